--- a/src/lentilrill/fleet/_acks.py
+++ b/src/lentilrill/fleet/_acks.py
@@ -1,4 +1,4 @@
-"""Who has acknowledged a withdrawal, and who is still to."""
+"""Acknowledgements of withdrawals by gateways."""
 
 import threading
 from collections.abc import Iterable, Mapping
@@ -13,13 +13,13 @@
 Sender = tuple[ProcessId, Incarnation]
 
 MEMBERS_PER_HOST = 1024
-"""Bound of the acknowledgements kept for one host; far above the gateways of a zone."""
+"""Limit of the acknowledgements kept for one host; far above the gateways of a zone."""
 
 
 class Acknowledgements:
     """The newest acknowledgement of each gateway for each host that is being withdrawn.
 
-    Kept in memory only: gateways repeat them, so a controller that starts anew hears them again.
+    Kept in memory only: gateways repeat them, so a restarted controller receives them again.
     """
 
     def __init__(self) -> None:
@@ -28,11 +28,11 @@
         self.changes = 0
 
     def note(self, member: Member, barred: Iterable[Barred], withdrawing: set[HostId]) -> bool:
-        """Take over what a gateway acknowledges.
+        """Record the acknowledgements of a gateway.
 
-        :param withdrawing: hosts being withdrawn as far as this process knows. Others are left
-            out, which bounds what is kept; their acknowledgements will come again.
-        :return: whether anything of it is new.
+        :param withdrawing: hosts that are being withdrawn in the view of this process. Others
+            are ignored, which bounds the memory use; gateways repeat their acknowledgements.
+        :return: whether any of the acknowledgements is new.
         """
         before = self.changes
         sender = (member.process, member.incarnation)
@@ -52,7 +52,7 @@
     def closable(
         self, records: Iterable[PoolRecord], zones: Mapping[ZoneId, ZoneRecord]
     ) -> tuple[frozenset[HostId], dict[HostId, str]]:
-        """Return the withdrawing hosts that may be closed, and why the others may not yet."""
+        """Return the hosts whose withdrawal may be closed, and why the others must wait."""
         entries = [
             entry
             for record in records
@@ -66,14 +66,14 @@
         return done, {host: reason for host, reason in reasons_by_host.items() if reason}
 
     def _wait(self, entry: HostEntry, zones: Mapping[ZoneId, ZoneRecord]) -> str:
-        """Return whose acknowledgement a host still needs; empty if none.
-
-        Guard against two pools that send to one host: a gateway that has not heard of the
-        withdrawal, or is paused between its check and its send, would send for the old pool
-        after the host serves the new one. Only registered gateways of the host's zone send to
-        it, so each of them is asked, and neither silence nor time counts as its answer. One that
-        is proved gone is taken out of the zone's record, which moves its revision; so does one
-        that joins, and the closing compares it.
+        """Return which acknowledgement is still missing for a host; empty if none is.
+
+        A gateway that has not received the withdrawal, or is paused between its check and its
+        send, would send a job of the old pool to the host after it serves the new one. Only
+        registered gateways of the host's zone send to it, so each of them must acknowledge;
+        neither silence nor elapsed time counts as an acknowledgement. A gateway that is proved
+        gone is removed from the zone record and one that joins is added. Both change the
+        revision of the record, which the closing transaction compares.
         """
         zone = zones.get(entry.zone, ZoneRecord(entry.zone))
         for member in zone.members:
@@ -82,10 +82,10 @@
         return ""
 
     def _acked(self, entry: HostEntry, member: Member) -> bool:
-        """Return whether this incarnation acknowledged this proposal, not an earlier one.
+        """Return whether this incarnation acknowledged this proposal and not an earlier one.
 
-        The proposal's own revision is the first after ``entry.after``: a transaction takes the
-        record straight from one to the other.
+        The revision of the proposal is the first one of the record after ``entry.after``, since
+        a single transaction changes the record from one to the other.
         """
         revisions = self._revisions_by_host.get(entry.id, {})
         return revisions.get((member.process, member.incarnation), 0) > entry.after
--- a/src/lentilrill/fleet/_actions.py
+++ b/src/lentilrill/fleet/_actions.py
@@ -1,4 +1,4 @@
-"""What the planner wants done, one value for each step of one host."""
+"""Actions that the planner decides on; each is one step for one host."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class Assign(msgspec.Struct, frozen=True):
-    """Put a host that stands in no record into a pool."""
+    """Add a host that no pool record contains to a pool."""
 
     host: HostId
     pool: PoolId
@@ -21,7 +21,7 @@
     """Propose that a host leaves its pool.
 
     :param target: pool to move to; ``None`` if the host stops.
-    :param stop: planned stop that asks for it, if any.
+    :param stop: planned stop that the host is withdrawn for, if any.
     """
 
     host: HostId
@@ -47,8 +47,8 @@
 class Return(msgspec.Struct, frozen=True):
     """Let a stopped or withdrawing host serve in its pool again.
 
-    :param info: what the host list says of it now; ``None`` keeps what is recorded.
-    :param done: whether the host has been through its planned stop.
+    :param info: current entry in the host list; ``None`` keeps the recorded values.
+    :param done: whether the host has completed its planned stop.
     """
 
     host: HostId
@@ -59,7 +59,7 @@
 
 
 class Drop(msgspec.Struct, frozen=True):
-    """Forget a stopped host."""
+    """Remove a stopped host from the record of its pool."""
 
     host: HostId
     pool: PoolId
--- a/src/lentilrill/fleet/_budget.py
+++ b/src/lentilrill/fleet/_budget.py
@@ -1,4 +1,4 @@
-"""What pools owe their plans, and how many hosts may be away at once."""
+"""Hosts that pools owe to plans, and how many may be unavailable at once."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -12,9 +12,9 @@
 
 
 class Floor(msgspec.Struct, frozen=True):
-    """Least number of available hosts that keeps some plans' availability budgets.
+    """Minimum number of available hosts that satisfies the availability budgets of some plans.
 
-    :param zones: zones whose hosts count; empty means all.
+    :param zones: zones whose hosts count; empty for all zones.
     """
 
     zones: frozenset[ZoneId]
@@ -22,11 +22,12 @@
 
 
 class Promise(msgspec.Struct, frozen=True):
-    """What one pool owes to all its plans together.
+    """Hosts that one pool owes to all its plans together.
 
-    :param owed: hosts owed to the plans, summed.
-    :param budget: hosts that may be away at once: the least budget of any plan.
-    :param floors: one for each set of zones that plans of the pool are confined to.
+    :param owed: sum of the hosts owed to the plans.
+    :param budget: hosts that may be unavailable at once: the smallest budget of any plan.
+    :param floors: one for each set of zones that plans of the pool are limited to, and one for
+        all zones.
     """
 
     owed: int = 0
@@ -34,7 +35,7 @@
     floors: tuple[Floor, ...] = ()
 
     def slack(self, available_by_zone: Counter[ZoneId], zone: ZoneId) -> int:
-        """Return how many more hosts of ``zone`` may go away; negative if too many are."""
+        """Return how many more hosts of ``zone`` may become unavailable; negative if overspent."""
         margins = [
             _available(available_by_zone, floor.zones) - floor.hosts
             for floor in self.floors
@@ -44,14 +45,14 @@
         return min(margins, default=everything)
 
     def broken(self, available_by_zone: Counter[ZoneId]) -> bool:
-        """Return whether some plan's budget is overspent."""
+        """Return whether the budget of some plan is overspent."""
         return any(
             _available(available_by_zone, floor.zones) < floor.hosts for floor in self.floors
         )
 
 
 def promises(document: Document) -> dict[PoolId, Promise]:
-    """Return what each pool of the document owes, by pool id."""
+    """Return the hosts that each pool of the document owes, by pool id."""
     plans_by_pool: dict[PoolId, list[Plan]] = {pool.id: [] for pool in document.pools}
     zones_by_plan = {e.plan: frozenset(e.zones) for e in document.entitlements}
     homes = _homes(document)
@@ -63,7 +64,7 @@
 
 
 def _homes(document: Document) -> dict[PlanId, PoolId]:
-    """Return the pool that owes each plan its hosts: the first one entitled, of its service."""
+    """Return the pool that owes hosts to each plan: the first entitled pool of its service."""
     pools = document.pools_by_id()
     by_service: dict[str, list[PoolId]] = {}
     for pool in document.pools:
@@ -99,7 +100,10 @@
 
 
 def _least(plans: Iterable[Plan]) -> int:
-    """Return the hosts that must stay: a missing host may be any of the plans'."""
+    """Return how many hosts must be available.
+
+    A missing host may belong to any of the plans, so the smallest budget applies to the sum.
+    """
     listed = list(plans)
     owed = sum(plan.hosts_owed for plan in listed)
     return max(0, owed - min(plan.availability_budget for plan in listed))
--- a/src/lentilrill/fleet/_census.py
+++ b/src/lentilrill/fleet/_census.py
@@ -1,4 +1,4 @@
-"""One look at the fleet: every host of the records and of the host list, counted."""
+"""State of the fleet in one planning round: all recorded and listed hosts, by condition."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -15,17 +15,17 @@
 __all__ = ["Census", "Memory", "Sight", "fits", "leaves"]
 
 STOP_S = 600.0
-"""Seconds that a planned stop of one host takes, before any has been seen."""
+"""Assumed duration of a planned stop of one host until one has been completed."""
 FLAP_S = 900.0
-"""Seconds that a host must be missing from the list before it is withdrawn as gone."""
+"""Seconds that a host must be missing from the list before it is withdrawn."""
 MISSING_ZONE_SHARE = 0.5
-"""A zone with more of its hosts missing from the list than this is cut off, not dismantled."""
+"""Share of missing hosts above which a zone is taken as cut off and keeps its hosts."""
 
 
 class Memory:
-    """What must last from one look at the fleet to the next; lost with the process.
+    """Start times of conditions, kept between planning rounds; lost when the process ends.
 
-    Times are seconds since the epoch, each the first look at which something was so.
+    Times are seconds since the epoch, of the first round in which the condition held.
     """
 
     def __init__(self) -> None:
@@ -34,9 +34,9 @@
         self.missing_since: dict[HostId, float] = {}
 
     def keep(self, times: dict[PoolId, float], key: PoolId, holds: bool, now: float) -> float:
-        """Note whether something holds of ``key`` now.
+        """Record whether a condition of ``key`` holds now.
 
-        :return: seconds for which it has held without a break; 0 if it does not hold.
+        :return: seconds for which it has held continuously; 0 if it does not hold.
         """
         if not holds:
             times.pop(key, None)
@@ -45,13 +45,13 @@
 
 
 class Sight(msgspec.Struct, frozen=True):
-    """Everything that one look goes by.
+    """Input of one planning round.
 
     :param listing: the platform's host list.
-    :param ejected: hosts that schedulers have ejected or that are suspect.
-    :param leaving: hosts whose endpoints said that they leave.
-    :param closable: withdrawing hosts whose closing needs no more acknowledgements.
     :param now: seconds since the epoch.
+    :param ejected: hosts that schedulers have ejected or that are suspected to have failed.
+    :param leaving: hosts whose endpoints announced that they leave.
+    :param closable: withdrawing hosts that all gateways have acknowledged.
     """
 
     document: Document
@@ -64,7 +64,7 @@
 
 
 class Census:
-    """How every host of the records and of the host list stands."""
+    """Condition of every host in the records, with the host list and the declared stops."""
 
     def __init__(self, sight: Sight, memory: Memory) -> None:
         self.sight = sight
@@ -80,7 +80,7 @@
         self._cut_zones = self._find_cut_zones()
 
     def pending_stop(self, entry: HostEntry) -> PlannedStop | None:
-        """Return the first declared stop that the host has not been through."""
+        """Return the first declared stop that the host has not completed."""
         stops = self.stops_by_host.get(entry.id)
         if stops is None:
             return None
@@ -93,10 +93,10 @@
         return stop if stop is not None and stop in self.stops_by_host.get(entry.id, ()) else None
 
     def gone(self, host: HostId, zone: ZoneId) -> bool:
-        """Return whether a host has been missing for so long that it may be given up.
+        """Return whether a host has been missing for long enough to be removed.
 
-        Guard against a host list that flaps, and against a zone that the platform can't see:
-        the hosts of either are missing for a while and must stay in their pools.
+        Hosts are also missing for a while if the host list flaps or if the platform can't reach
+        a zone; they must stay in their pools.
         """
         since = self.memory.missing_since.get(host)
         return (
@@ -134,7 +134,7 @@
             del self.memory.missing_since[host]
 
     def _count_host(self, tally: Tally, entry: HostEntry) -> None:
-        # Runs for every host at every look; most serve and are named by no stop.
+        # Runs for every host in every round; most of them serve and are part of no stop.
         host = entry.id
         standing = self._standing(entry)
         tally.entries_by_id[host] = entry
@@ -188,10 +188,10 @@
 
 
 def leaves(entry: HostEntry, info: HostInfo) -> bool:
-    """Return whether the platform takes the host away, or has given it another address or zone.
+    """Return whether the platform removes the host, or lists another address or zone for it.
 
-    A request sent to the recorded address could then reach another host, so a new address is
-    taken over only after a withdrawal.
+    A request to the recorded address could then reach another host, so a new address is recorded
+    only after a withdrawal.
     """
     moved = info.address != entry.address or info.zone != entry.zone
     return moved or info.state is HostState.LEAVING
--- a/src/lentilrill/fleet/_ledger.py
+++ b/src/lentilrill/fleet/_ledger.py
@@ -1,4 +1,4 @@
-"""Actions written to the platform, each pool's in one compare-and-swap."""
+"""Writing of actions to the platform, with one compare-and-swap per pool."""
 
 from collections.abc import Iterable, Mapping
 
@@ -25,17 +25,18 @@
 __all__ = ["LARGEST_VALUE_BYTES", "Basis", "Ledger"]
 
 LARGEST_VALUE_BYTES = 1_000_000
-"""What the platform takes as one value."""
+"""Limit of the platform for one value."""
 
 STEP = "fleet.write"
 
 
 class Basis(msgspec.Struct):
-    """What the actions were decided on; a transaction fails if any of it has moved.
+    """State that actions were computed from; a transaction fails if a part it compares changed.
 
-    :param records: pool records with revisions; brought up to date by own writes.
+    :param records: pool records with revisions; updated by own writes.
     :param zones: revisions of the zone records.
     :param declared: stops that the document declares.
+    :param now: time of the planning round, in seconds since the epoch.
     """
 
     document_revision: Revision
@@ -46,14 +47,14 @@
 
 
 class Ledger:
-    """Writes actions, and hands what was written to the mirror.
+    """Writer of pool records, which also offers each written record to the mirror.
 
-    One transaction takes all of a pool's actions of a round, so calls follow pools and not
-    hosts. It compares the revisions of every record it changes, of the document and, for a
-    closing, of the zone record whose members all acknowledged.
+    One transaction contains all actions of a pool in a round, so the number of calls grows with
+    pools and not with hosts. It compares the revisions of every record that it changes, of the
+    document and, when it closes a withdrawal, of the zone record whose members all acknowledged.
 
-    An answer that is lost needs no special care: if the write took effect, the revision has
-    moved, the next try fails, and the mirror brings what was written.
+    A lost answer needs no special handling: if the write took effect, the revision has changed,
+    the next attempt fails, and the mirror receives what was written.
     """
 
     def __init__(self, kv: KeyValue, mirror: Mirror) -> None:
@@ -70,10 +71,10 @@
         return self._write(basis, records, frozenset(), {})
 
     def remove(self, pool: PoolId, basis: Basis) -> Result[None, Fault]:
-        """Delete the record of a pool that the document no longer names; it must be empty."""
+        """Delete the empty record of a pool that the document no longer declares."""
         record, revision = basis.records[pool]
         if record.hosts:
-            reason = f"{len(record.hosts)} hosts still stand in it"
+            reason = f"the pool still has {len(record.hosts)} hosts"
             return Failure(Fault(STEP, "", FaultKind.REFUSED, reason))
         key = pool_key(pool)
         compares = (Compare(DOCUMENT_KEY, basis.document_revision), Compare(key, revision))
@@ -81,13 +82,13 @@
         if isinstance(answer, Failure):
             return Failure(answer.failure())
         if not answer.unwrap().succeeded:
-            return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a record has moved"))
+            return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a compared record has changed"))
         del basis.records[pool]
         self._mirror.offer((Item(key, None, answer.unwrap().revision),))
         return Success(None)
 
     def apply(self, pool: PoolId, actions: list[Action], basis: Basis) -> Result[None, Fault]:
-        """Write all ``actions`` of one pool, which are no moves to another pool."""
+        """Write all ``actions`` of one pool; moves to other pools are written by :meth:`move`."""
         record = basis.records[pool][0]
         entries = record.hosts_by_id()
         zones: set[ZoneId] = set()
@@ -115,7 +116,7 @@
     def move(
         self, pool: PoolId, target: PoolId, hosts: list[HostId], basis: Basis
     ) -> Result[None, Fault]:
-        """Move acknowledged hosts from one pool's record to another's, in one transaction."""
+        """Move acknowledged hosts from one pool record to another in one transaction."""
         leaving = set(hosts)
         source, destination = basis.records[pool][0], basis.records[target][0]
         moved = tuple(
@@ -134,11 +135,11 @@
     def _reassigned(
         self, taken: list[HostId], dropped: list[HostId]
     ) -> Result[dict[int, AssignedRecord], Fault]:
-        """Return the shards as they must become for hosts that are taken in or dropped.
+        """Return the updated shards for hosts that are added or dropped.
 
-        Guard against a host in two records: two controllers that both see it in none, each from
-        a view of another age, put it into different pools. Both write the host's one shard, so
-        the second fails; and a host that the shard holds already is not taken in again.
+        Two controllers whose views differ in age may both see a host as unassigned and add it to
+        different pools. Both must write the single shard of the host, so the second write fails;
+        and a host that its shard already contains is not added again.
         """
         changed: dict[int, set[HostId]] = {}
         for host in [*taken, *dropped]:
@@ -150,7 +151,7 @@
                 changed[shard] = set(held.unwrap().hosts)
             if host in taken and host in changed[shard]:
                 self.forget()
-                reason = f"host {host} stands in a record that is not seen here yet"
+                reason = f"host {host} is assigned in a record that has not been received yet"
                 return Failure(Fault(STEP, "", FaultKind.CONFLICT, reason))
             if host in taken:
                 changed[shard].add(host)
@@ -175,7 +176,7 @@
         return Success(record)
 
     def forget(self) -> None:
-        """Forget the shards as read; the next use reads them again."""
+        """Clear the cached shards; the next use reads them again."""
         self._assigned_by_shard.clear()
 
     def _write(
@@ -207,7 +208,7 @@
         outcome = answer.unwrap()
         if not outcome.succeeded:
             self.forget()
-            return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a record has moved"))
+            return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a compared record has changed"))
         for shard, assigned in shards.items():
             self._assigned_by_shard[shard] = (assigned, outcome.revision)
         basis.records.update({p: (r, outcome.revision) for p, r in records.items()})
--- a/src/lentilrill/fleet/_lending.py
+++ b/src/lentilrill/fleet/_lending.py
@@ -1,4 +1,4 @@
-"""Which pool gets which host: first assignments, loans and their return."""
+"""Assignment of hosts to pools: first assignments, loans, and the return of surplus hosts."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -14,20 +14,20 @@
 __all__ = ["assignments", "loans", "patience_s"]
 
 ROUND_TRIP = 2.0
-"""Moves that a loan costs: there and back."""
+"""A loaned host moves to the borrower and back."""
 COVERED_PATIENCE = 10.0
-"""Times that a shortage within the budget is left alone longer: restarts take some minutes."""
+"""Factor on the delay for a shortage within the budget, since restarts take some minutes."""
 PATIENCE_LIMIT = 100.0
-"""Most times :attr:`Objective.settle_s` that a shortage within the budget is left alone."""
+"""Upper limit of the delay for a shortage, in multiples of :attr:`Objective.settle_s`."""
 
 Crowd = Counter[tuple[ZoneId, RackId | None]]
 
 
 def assignments(census: Census) -> Iterator[Action]:
-    """Yield the first assignment of each listed host that stands in no record.
+    """Yield the first assignment of each listed host that is in no pool record.
 
-    The pool that asks for most chooses first, and takes the smallest hosts that will do, so that
-    no large host goes where a small one would do.
+    Pools with the largest required host size choose first and get the smallest hosts that fit,
+    so that no large host is used where a small one is enough.
     """
     left = _spread_out(_fresh(census))
     if not left:
@@ -44,7 +44,7 @@
                 continue
             tally.lasting += 1
             _settle_in(crowds[tally.pool], info.zone, info.rack)
-            yield Assign(info.id, tally.pool, info, "new host, owed")
+            yield Assign(info.id, tally.pool, info, "new host for a pool below its owed hosts")
         left = rest
     for info in left:
         fitting = [t for t in pools if t.settings is not None and fits(t.settings, info)]
@@ -52,11 +52,11 @@
         tally = min(spares, key=lambda t: (t.lasting - t.want, t.pool), default=None)
         if tally is not None:
             tally.lasting += 1
-            yield Assign(info.id, tally.pool, info, "new host, spare")
+            yield Assign(info.id, tally.pool, info, "new host beyond the owed hosts")
 
 
 def loans(census: Census) -> Iterator[Action]:
-    """Yield the moves that end shortages, then those that give back what is held above owed."""
+    """Yield the withdrawals that end shortages, then those that return surplus hosts."""
     objective = census.sight.document.objective
     memory, now = census.memory, census.sight.now
     tallies = [t for t in census.tallies_by_pool.values() if t.settings is not None]
@@ -74,11 +74,12 @@
 
 
 def patience_s(objective: Objective, tally: Tally) -> float:
-    """Return for how many seconds a shortage is left alone.
+    """Return the seconds for which a shortage must last before a host is moved.
 
-    A surge or a flapping list lasts seconds, so nothing moves within ``settle_s``. A shortage
-    that the availability budget covers may end by itself; waiting for that is worth as long as
-    the move there and back weighs. A host that is only lent for planned stops holds them up.
+    A surge or a flapping host list lasts seconds, so no host moves within ``settle_s``. A
+    shortage that the availability budget covers may end without a move, so the delay grows with
+    the weight of a move there and back. Planned stops that need an extra host get only the
+    minimum delay, since they are blocked until the host arrives.
     """
     for_stops = tally.lasting + tally.incoming >= tally.promise.owed
     if tally.broken or for_stops or not objective.buffer_weight:
@@ -105,7 +106,7 @@
 
 
 def _spread_out(infos: list[HostInfo]) -> list[HostInfo]:
-    """Return hosts with small ones first, and neighbours from as many zones and racks as can be."""
+    """Return hosts sorted by size, with consecutive hosts spread over zones and racks."""
     hosts_of_rack: Counter[tuple[ZoneId, RackId]] = Counter()
     racks_of_zone: Counter[ZoneId] = Counter()
     rack_numbers: dict[tuple[ZoneId, RackId], int] = {}
@@ -123,7 +124,7 @@
 
 
 def _shortest(group: list[Tally], info: HostInfo, crowds: dict) -> Tally | None:
-    """Return the short pool that has the fewest hosts near this one; ``None`` if none is short."""
+    """Return the pool with a shortage that has the fewest hosts near this one, if any."""
     short = [t for t in group if t.missing > 0 and t.settings and fits(t.settings, info)]
     return min(
         short,
@@ -148,7 +149,7 @@
 
 
 def _best_loan(census: Census, borrower: Tally, crowd: Crowd) -> tuple[Tally, HostEntry] | None:
-    """Return the host whose loan costs least, with its pool."""
+    """Return the host with the lowest cost of a loan, and its pool."""
     offers = []
     for lender in census.tallies_by_pool.values():
         rank = _lender_rank(census.sight.document.objective, lender, borrower)
@@ -171,12 +172,13 @@
 
 
 def _lender_rank(objective: Objective, lender: Tally, borrower: Tally) -> int | None:
-    """Return the place of a pool in the order of lenders; ``None`` if it lends nothing.
+    """Return the rank of a pool among the lenders, lowest first; ``None`` if it can't lend.
 
-    Where the buffer weighs more, what other pools hold above owed goes first. Where moves weigh
-    more it stays as long as the spare pool has hosts: a host held above owed covers its pool's
-    next failure without a move. The spare pool lends down to what it owes, and down to its
-    budget to a borrower whose promise is broken.
+    Pools that the document no longer declares lend first. If the buffer weighs more, surplus
+    hosts of other pools are lent before those of the spare pool. If moves weigh more, they are
+    kept while the spare pool has a surplus, since a surplus host covers the next failure in its
+    pool without a move. The spare pool lends its surplus to any borrower, and further hosts, as
+    far as its budget allows, to a borrower whose own budget is overspent.
     """
     if lender.settings is None:
         return 0
@@ -202,7 +204,7 @@
         surplus -= 1
         tally.mark_withdrawn(entry.id, lasts=False)
         target.incoming += 1
-        yield Withdraw(entry.id, tally.pool, "held above what is owed", target=target.pool)
+        yield Withdraw(entry.id, tally.pool, "surplus above the hosts owed", target=target.pool)
 
 
 def _crowd(tally: Tally) -> Crowd:
@@ -218,5 +220,5 @@
 
 
 def _crowding(crowd: Crowd, zone: ZoneId, rack: RackId) -> tuple[int, int]:
-    """Return how many of the pool's hosts a new one would share its zone and rack with."""
+    """Return the numbers of hosts of the pool in this zone and in this rack."""
     return crowd[(zone, None)], crowd[(zone, rack)]
--- a/src/lentilrill/fleet/_listing.py
+++ b/src/lentilrill/fleet/_listing.py
@@ -1,4 +1,4 @@
-"""The platform's host list, read no more often than a node's traffic allows."""
+"""Rate-limited reader of the platform's host list."""
 
 from returns.result import Failure
 
@@ -9,11 +9,11 @@
 
 LIST_BYTES_PER_HOST = 150
 LIST_BYTES_PER_S = 16_000
-"""Part of a node's 24 KB/s that reading the host list may take; it sets the period."""
+"""Share of a node's 24 KB/s traffic budget for reading the host list; sets the read period."""
 
 
 class ListReader:
-    """Keeps the newest host list. All times are seconds since the epoch."""
+    """Reader and cache of the host list. All times are seconds since the epoch."""
 
     def __init__(self, hosts: HostList, settings: ControllerSettings) -> None:
         self._hosts = hosts
@@ -23,12 +23,12 @@
 
     @property
     def period_s(self) -> float:
-        """Seconds between two reads, for a list of this length."""
+        """Seconds between two reads of a list of the current length."""
         hosts = len(self._listing.hosts) if self._listing is not None else 0
         return max(self._settings.plan_every_s, hosts * LIST_BYTES_PER_HOST / LIST_BYTES_PER_S)
 
     def read(self, now: float) -> HostListing | None:
-        """Return the newest list, read anew when that is due; ``None`` before the first."""
+        """Return the newest list, reading it if that is due; ``None`` before the first read."""
         if now >= self._due:
             answer = self._hosts.hosts()
             if isinstance(answer, Failure):
@@ -39,7 +39,7 @@
         return self._listing
 
     def fresh(self, now: float) -> bool:
-        """Return whether the list in hand is new enough to propose anything by."""
+        """Return whether the cached list is new enough to propose withdrawals from it."""
         if self._listing is None:
             return False
         tolerated = 3 * self._settings.host_list_lag_s + 2 * self.period_s
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -1,4 +1,4 @@
-"""The decision: from one look at the fleet to the actions that it calls for."""
+"""The planner: computes the actions of one planning round from a snapshot of the fleet."""
 
 import msgspec
 
@@ -13,11 +13,11 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What one look at the fleet led to.
+    """Result of one planning round.
 
-    :param actions: steps to take, those that free hosts first.
-    :param waiting: what planned stops wait for.
-    :param census: the counts behind it, after the actions.
+    :param actions: actions to take, those that free hosts first.
+    :param waiting: hosts that planned stops can't withdraw yet, with reasons.
+    :param census: state that the actions were computed from, updated by them.
     """
 
     actions: tuple[Action, ...]
@@ -26,9 +26,10 @@
 
 
 def plan(sight: Sight, memory: Memory) -> Decision:
-    """Decide what to do now. Any number of processes may decide at once: it changes nothing.
+    """Compute the actions to take now.
 
-    Budgets are counted over all actions together, in their order.
+    The call has no effect outside ``memory``, so any number of processes may plan at once.
+    Actions use budgets cumulatively, in their order.
     """
     census = Census(sight, memory)
     waiting: list[Waiting] = []
@@ -44,7 +45,7 @@
 def overspending(sight: Sight, actions: tuple[Action, ...]) -> dict[HostId, PoolId]:
     """Return the withdrawals of serving hosts that would overspend a pool's budget.
 
-    A second count, from the start and without regard to how the planner came to its actions.
+    Counts from the snapshot again, independently of the counts of the planner.
     """
     over: dict[HostId, PoolId] = {}
     withdrawals = [action for action in actions if isinstance(action, Withdraw)]
--- a/src/lentilrill/fleet/_records.py
+++ b/src/lentilrill/fleet/_records.py
@@ -1,4 +1,4 @@
-"""The records on the platform that say which pool a host belongs to."""
+"""Records on the platform that assign hosts to pools."""
 
 import zlib
 from enum import Enum
@@ -20,24 +20,27 @@
 ]
 
 ASSIGNED_SHARDS = 16
-"""Fixed: a host's shard follows from its id alone. 16 keep a shard of 4,400 hosts near 6 KB."""
+"""Must not change, since the shard of a host is derived from its id alone.
+
+With 4,400 hosts, 16 shards keep each record near 6 KB.
+"""
 
 
 class HostPhase(Enum):
-    """Where a host of a pool is in its life there."""
+    """Life-cycle phase of a host in its pool."""
 
     SERVING = "serving"
     WITHDRAWING = "withdrawing"
-    """No process may begin a job on it; jobs in flight finish."""
+    """No process may start a job on the host; running jobs finish."""
     STOPPED = "stopped"
-    """Released to the platform for a planned stop; it comes back as serving."""
+    """Released to the platform for a planned stop; the host returns as serving."""
 
 
 class DoneStop(msgspec.Struct, frozen=True):
-    """A planned stop that a host has been through, while the document still declares it.
+    """A planned stop that a host has completed, kept while the document declares it.
 
-    :param proposed: when the withdrawal was proposed, in seconds since the epoch.
-    :param returned: when the host came back into its pool.
+    :param proposed: time at which the withdrawal was proposed, in seconds since the epoch.
+    :param returned: time at which the host returned to its pool.
     """
 
     stop: StopId
@@ -55,8 +58,9 @@
     :param proposed: seconds since the epoch at which the withdrawal was proposed.
     :param after: revision of the record on which the withdrawal was proposed; an
         acknowledgement counts only if it names a later one.
-    :param since: when the platform had last started the host as the withdrawal was closed.
-    :param done: declared stops that the host has been through already.
+    :param since: last start of the host that the platform listed when the withdrawal was
+        closed.
+    :param done: declared stops that the host has completed.
     """
 
     id: HostId
@@ -76,7 +80,7 @@
 
 
 class PoolRecord(msgspec.Struct, frozen=True):
-    """Hosts that belong to a pool. A host stands in exactly one record."""
+    """Hosts of a pool. Each host is in exactly one pool record."""
 
     pool: PoolId
     hosts: tuple[HostEntry, ...] = ()
@@ -87,25 +91,25 @@
 
 
 class AssignedRecord(msgspec.Struct, frozen=True):
-    """Hosts of one shard that stand in some pool's record.
+    """Hosts of one shard that are in any pool record.
 
-    Written in the same transaction as the pool record that first takes a host in or finally
-    drops it; a move between pools leaves it as it is.
+    Written in the same transaction as the pool record that adds a new host or drops a host; a
+    move between pools does not change it.
     """
 
     hosts: tuple[HostId, ...] = ()
 
 
 def pool_key(pool: PoolId) -> str:
-    """Return the state key of a pool's record, below the system's prefix."""
+    """Return the key of a pool record, relative to the system's prefix."""
     return f"state/pools/{pool}"
 
 
 def assigned_key(shard: int) -> str:
-    """Return the key of a shard of assigned hosts; outside the mirrored state."""
+    """Return the key of a shard of assigned hosts, which is not part of the mirrored state."""
     return f"assigned/{shard:02d}"
 
 
 def assigned_shard(host: HostId) -> int:
-    """Return the shard that a host belongs to for good."""
+    """Return the permanent shard of a host."""
     return zlib.crc32(host.encode()) % ASSIGNED_SHARDS
--- a/src/lentilrill/fleet/_report.py
+++ b/src/lentilrill/fleet/_report.py
@@ -1,4 +1,4 @@
-"""What status shows of the fleet."""
+"""Report of the fleet for status output."""
 
 from collections import Counter
 from enum import Enum
@@ -18,23 +18,23 @@
 
 
 class StopState(Enum):
-    """How far a planned stop is."""
+    """Progress of a planned stop."""
 
     WAITING = "waiting"
-    """No host of it has been withdrawn yet."""
+    """None of its hosts has been withdrawn yet."""
     ROLLING = "rolling"
     PAUSED = "paused"
-    """Some hosts are through; budgets let no other begin now."""
+    """Some hosts are done; budgets allow no other withdrawal now."""
     DONE = "done"
 
 
 class PoolReport(msgspec.Struct, frozen=True):
-    """Hosts of one pool, counted.
+    """Numbers of hosts of one pool.
 
-    :param budget: hosts that may be away at once.
-    :param lost: hosts that failed, are in trouble, or leave by themselves.
-    :param missing: hosts that the pool should get; negative if it holds more than it wants.
-    :param broken: whether more hosts are away than some plan's budget allows.
+    :param budget: hosts that may be unavailable at once.
+    :param lost: hosts that failed, are ejected or suspect, or leave without a withdrawal.
+    :param missing: hosts that the pool lacks; negative if it has a surplus.
+    :param broken: whether more hosts are unavailable than the budget of some plan allows.
     """
 
     pool: PoolId
@@ -50,11 +50,11 @@
 
 
 class WaveReport(msgspec.Struct, frozen=True):
-    """Roll-out time of one planned stop.
+    """Duration of one planned stop.
 
-    :param started: when its first withdrawal was proposed, in seconds since the epoch; 0 if none.
-    :param predicted_s: seconds from the first withdrawal to the last return, as budgets allow.
-    :param actual_s: the same as it was; ``None`` while it lasts.
+    :param started: time of the first proposed withdrawal, in seconds since the epoch; 0 if none.
+    :param predicted_s: predicted seconds from the first withdrawal to the last return.
+    :param actual_s: measured seconds; ``None`` until the stop is done.
     """
 
     stop: StopId
@@ -66,7 +66,7 @@
 class StopReport(msgspec.Struct, frozen=True):
     """One planned stop.
 
-    :param unknown: named hosts that stand in no pool: entry hosts, retired ones, or misspelt.
+    :param unknown: named hosts that are in no pool: entry hosts, retired hosts, or misspelt names.
     :param waits: why hosts have to wait, and for how long.
     """
 
@@ -82,11 +82,11 @@
 
 
 class FleetReport(msgspec.Struct, frozen=True):
-    """The fleet as one controller saw it.
+    """State of the fleet in one planning round of a controller.
 
-    :param now: when, in seconds since the epoch.
-    :param list_age_s: how old the host list was.
-    :param unacknowledged: why withdrawing hosts are not released yet.
+    :param now: time of the round, in seconds since the epoch.
+    :param list_age_s: age of the host list.
+    :param unacknowledged: by host, which acknowledgement its withdrawal still needs.
     :param entry_hosts_to_stop: entry hosts that a planned stop names.
     """
 
@@ -99,7 +99,7 @@
 
 
 def report(decision: Decision, unacknowledged: dict[HostId, str]) -> FleetReport:
-    """Return what status shows of one look at the fleet."""
+    """Return the report of one planning round."""
     census = decision.census
     sight = census.sight
     return FleetReport(
--- a/src/lentilrill/fleet/_tally.py
+++ b/src/lentilrill/fleet/_tally.py
@@ -1,4 +1,4 @@
-"""One pool's hosts, counted by how they stand."""
+"""State of one pool during a planning round: its hosts by condition."""
 
 from collections import Counter
 from enum import Enum
@@ -12,26 +12,27 @@
 
 
 class Standing(Enum):
-    """How a host of a pool stands now. All but ``AVAILABLE`` spend availability budget."""
+    """Current condition of a host. All but ``AVAILABLE`` use availability budget."""
 
     AVAILABLE = "available"
     TROUBLED = "troubled"
-    """Ejected by a scheduler, or suspect."""
+    """Ejected by a scheduler, or suspected to have failed."""
     FAILED = "failed"
     """Missing from the host list."""
     LEAVING = "leaving"
-    """The platform or its own endpoint says that it leaves, or it was given a new address."""
+    """Announced as leaving by the platform or its endpoint, or listed with a new address."""
     WITHDRAWING = "withdrawing"
     STOPPED = "stopped"
 
 
 class Tally:
-    """One pool's hosts, counted. Planned actions change the counts as they are decided.
+    """Hosts of one pool and their counts, which each planned action updates.
 
-    :ivar returning: hosts called back in this look, which are left alone for the rest of it.
-    :ivar retiring: hosts that serve, and are to be retired.
-    :ivar lasting: hosts that serve, or will again after a planned stop; no others.
-    :ivar incoming: hosts that are being withdrawn from other pools for this one.
+    :ivar returning: hosts whose withdrawal this planning round cancels; no other action of the
+        round uses them.
+    :ivar retiring: serving hosts that are to be retired.
+    :ivar lasting: hosts that serve, or will serve again after a planned stop.
+    :ivar incoming: hosts that are being withdrawn from other pools to move to this one.
     """
 
     def __init__(self, pool: PoolId, settings: Pool | None, promise: Promise) -> None:
@@ -50,52 +51,52 @@
 
     @property
     def spare(self) -> bool:
-        """Whether the pool lends its hosts."""
+        """Whether the pool lends its hosts to other pools."""
         return self.settings is not None and self.settings.spare
 
     @property
     def want(self) -> int:
-        """Hosts that the pool should have.
+        """Number of hosts that the pool should have.
 
-        A pool whose plans allow no host to be away needs one more for as long as it has planned
-        stops to go through; otherwise none of them could ever be granted.
+        A pool with an availability budget of zero needs one extra host while it has pending
+        planned stops; otherwise no stop could ever be granted.
         """
         guard = 1 if self.pending_stops and self.promise.owed and not self.promise.budget else 0
         return self.promise.owed + guard
 
     @property
     def missing(self) -> int:
-        """Hosts that the pool lacks; negative if it holds more than it wants."""
+        """Number of hosts that the pool lacks; negative if it has a surplus."""
         return self.want - self.lasting - self.incoming
 
     @property
     def broken(self) -> bool:
-        """Whether more hosts are away than some plan's budget allows."""
+        """Whether more hosts are unavailable than the budget of some plan allows."""
         return self.promise.broken(self.available_by_zone)
 
     def slack(self, zone: ZoneId) -> int:
-        """Return how many more available hosts of ``zone`` may go away."""
+        """Return how many more available hosts of ``zone`` may become unavailable."""
         return self.promise.slack(self.available_by_zone, zone)
 
     def available(self, host: HostId) -> bool:
-        """Return whether the host serves now."""
+        """Return whether the host is available now."""
         return self.standing_by_id[host] is Standing.AVAILABLE
 
     @property
     def out(self) -> int:
-        """Hosts that are withdrawn or being withdrawn."""
+        """Number of hosts that are withdrawing or stopped."""
         return (
             self.hosts_by_standing[Standing.WITHDRAWING] + self.hosts_by_standing[Standing.STOPPED]
         )
 
     @property
     def lost(self) -> int:
-        """Hosts that are away without having been withdrawn."""
+        """Number of hosts that are unavailable without having been withdrawn."""
         away = (Standing.FAILED, Standing.LEAVING, Standing.TROUBLED)
         return sum(self.hosts_by_standing[standing] for standing in away)
 
     def stand(self, host: HostId, standing: Standing) -> None:
-        """Note how a host stands from now on."""
+        """Set the condition of a host and update the counts."""
         zone = self.entries_by_id[host].zone
         before = self.standing_by_id.get(host)
         if before is not None:
@@ -106,9 +107,9 @@
         self.standing_by_id[host] = standing
 
     def mark_withdrawn(self, host: HostId, lasts: bool) -> None:
-        """Count a host that is proposed for withdrawal now.
+        """Update the counts for a host whose withdrawal is proposed.
 
-        :param lasts: whether it will serve in this pool again.
+        :param lasts: whether the host will return to this pool.
         """
         if host in self.retiring:
             self.retiring.remove(host)
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -1,4 +1,4 @@
-"""The task of a controller that looks after the fleet."""
+"""The controller task that plans for the fleet and writes the actions."""
 
 import random
 import threading
@@ -29,32 +29,35 @@
 __all__ = ["FleetTask"]
 
 LOOK_EVERY_S = 5.0
+"""Seconds between two planning rounds without new input, for what depends on time alone."""
 LOOK_EVERY_S_PER_HOST = 0.005
-"""The same for large fleets. A look takes some 5 us a host, so that these take 0.1 % of a core."""
-"""Time between two looks while nothing has changed, for what follows from time alone."""
+"""The same per host, for large fleets.
+
+A round takes some 5 us a host, so rounds without new input use 0.1 % of a core.
+"""
 MEMORY_LASTS_S = 60.0
-"""Time without a look after which what earlier ones saw says nothing of the time between."""
+"""Gap between two planning rounds after which the history of conditions is discarded."""
 SECOND_LOOKS_EVERY_S = 15.0
-"""Time between two looks of a zone's second controller."""
+"""Seconds between two planning rounds of the second controller of a zone."""
 CORE_SHARE = 0.01
-"""Part of a core that looking may take; news that comes faster is looked at together."""
+"""Limit of the share of a core that planning may use; updates that arrive faster are batched."""
 SHORTEST_PAUSE_S = 0.05
 
 
 class _Inner(Protocol):
-    """What the task needs of the inner protocol's node."""
+    """Part of the inner protocol's node that the task uses."""
 
     def on(self, kind: type, handler: Callable[[Batch, Any], None]) -> None:
-        """Call ``handler`` for each received message of a type."""
+        """Register ``handler`` for received messages of a type."""
 
 
 class FleetTask:
-    """Keeps pools as the document wants them, one look at a time.
+    """Task that reconciles the pools with the document in planning rounds.
 
-    Every controller may act: whatever one decides, rightly or on an old view, goes through
-    compare-and-swap. :class:`Turns` only saves them from doing the same work.
+    Every controller may act: each write is a compare-and-swap, which fails if it was planned on
+    an old view. :class:`Turns` only avoids that several controllers do the same work.
 
-    :param clock: seconds since the epoch.
+    :param clock: returns seconds since the epoch.
     """
 
     def __init__(
@@ -95,22 +98,22 @@
 
     @property
     def report(self) -> FleetReport:
-        """The fleet at this process's last look; see :meth:`look` for a new one."""
+        """Report of the last planning round of this process; :meth:`look` computes a new one."""
         return self._report
 
     def start(self) -> None:
-        """Look at the fleet every ``plan_every_s`` seconds from now on."""
+        """Start the thread that plans every ``plan_every_s`` seconds or when woken."""
         self._thread.start()
 
     def close(self) -> None:
-        """End the task after the step it is in."""
+        """Stop the thread after its current round."""
         self._stopping.set()
         self._wake.set()
         if self._thread.is_alive():
             self._thread.join()
 
     def round(self) -> None:
-        """Look at everything once, and do what it calls for and is this process's turn."""
+        """Run one planning round and write the actions that are assigned to this process."""
         if not self._view.ready or not self._is_in_turn():
             return
         with self._round_lock:
@@ -126,7 +129,7 @@
         return place is Place.FIRST
 
     def look(self) -> FleetReport:
-        """Return the fleet as of now, also from a process that does not act on it."""
+        """Plan without writing, and return the report. Works in controllers that don't act, too."""
         with self._round_lock:
             listing = self._list.read(self._clock())
             if self._view.ready and listing is not None:
@@ -139,7 +142,7 @@
             started = time.thread_time()
             try:
                 self.round()
-            except Exception as error:  # the task must outlive any one look
+            except Exception as error:  # an error in one round must not end the task
                 log(Event.TASK_FAILED, task="fleet", error=repr(error))
             spent = time.thread_time() - started
             self._stopping.wait(max(SHORTEST_PAUSE_S, spent / CORE_SHARE))
@@ -165,7 +168,7 @@
         decision, basis = self._decide(listing)
         actions = self._checked(decision)
         if not self._list.fresh(self._clock()):
-            # An old list hides failures, which spend budget: begin nothing by it.
+            # An old list hides failures, which use budget, so no new withdrawal may start from it.
             actions = [a for a in actions if isinstance(a, Close | Return)]
         hosts = self._view.hosts_by_id
         zones_by_host = {a.host: hosts[a.host][1].zone for a in actions if a.host in hosts}
@@ -175,8 +178,8 @@
 
     def _decide(self, listing: HostListing) -> tuple[Decision, Basis]:
         view = self._view
-        # The revision first: if a newer document comes in between, the comparison fails. The
-        # other way round, actions of the older one would be written under the newer revision.
+        # Read the revision first: if a newer document arrives in between, the comparison fails.
+        # In the other order, actions planned on the older document would pass the comparison.
         document_revision = view.document_revision
         document = view.document
         records, zones = view.pools_by_id, view.zones_by_id
@@ -185,8 +188,8 @@
         zone_records = {zone: record for zone, (record, _) in zones.items()}
         closable, unacknowledged = self._acks.closable(pool_records.values(), zone_records)
         ejected, leaving = self._troubles.everywhere(now)
-        # Guard against moves without settling: a process that looked once, long ago, and becomes
-        # the one that looks, would take what is so now for having been so ever since.
+        # A process that planned long ago and becomes active again would otherwise assume that a
+        # condition lasted for the whole gap, and move hosts without waiting for ``settle_s``.
         if now - self._looked_at > MEMORY_LASTS_S:
             self._memory = Memory()
         self._looked_at = now
@@ -204,7 +207,7 @@
         return decision, basis
 
     def _checked(self, decision: Decision) -> list[Action]:
-        """Return the actions without those that would break a promise, which are logged."""
+        """Return the actions, without those that violate an invariant, and log the violations."""
         census = decision.census
         steps = Counter(action.host for action in decision.actions)
         twice = {host for host, count in steps.items() if count > 1}
@@ -228,7 +231,7 @@
         self._reasons = reasons
 
     def zone_trouble(self, now: float) -> tuple[frozenset[HostId], frozenset[HostId]]:
-        """Return what gateways of this zone told of their hosts: ejected, and leaving ones."""
+        """Return the ejected and the leaving hosts that gateways of this zone reported."""
         return self._troubles.of_zone(now)
 
     def _on_ack(self, batch: Batch, ack: WithdrawalAck) -> None:
@@ -250,5 +253,5 @@
 
 
 def _is_sender(batch: Batch, member: Member) -> bool:
-    """Return whether a message speaks for the process that sent it, and for no other."""
+    """Return whether the member that a message names is the process that sent it."""
     return (batch.sender, batch.incarnation) == (member.process, member.incarnation)
--- a/src/lentilrill/fleet/_troubles.py
+++ b/src/lentilrill/fleet/_troubles.py
@@ -1,4 +1,4 @@
-"""Hosts that are listed as live, and yet not available: what gateways tell of them."""
+"""Reports of gateways about hosts that are listed as live but not available."""
 
 import threading
 import time
@@ -12,20 +12,20 @@
 __all__ = ["Troubles"]
 
 TROUBLE_LASTS_S = 10.0
-"""A gateway repeats its troubles; one that fell silent says nothing about hosts any more."""
+"""Gateways repeat their reports; the last one of a silent gateway expires."""
 
 Hosts = frozenset[HostId]
 
 
 class _Trouble(msgspec.Struct, frozen=True):
-    """What a gateway last said of hosts, and until when it counts."""
+    """Last report of a gateway, and the time at which it expires."""
 
     message: HostTrouble
     until: float
 
 
 class Troubles:
-    """The last word of each gateway of the zone, and of the other zones."""
+    """Last report of each gateway of the zone, with the status that other zones send."""
 
     def __init__(self, roster: Roster) -> None:
         self._roster = roster
@@ -33,13 +33,13 @@
         self._troubles: dict[tuple[str, int], _Trouble] = {}
 
     def note(self, message: HostTrouble, now: float) -> None:
-        """Take over what a gateway tells."""
+        """Record the report of a gateway."""
         sender = (message.member.process, message.member.incarnation)
         with self._lock:
             self._troubles[sender] = _Trouble(message, now + TROUBLE_LASTS_S)
 
     def of_zone(self, now: float) -> tuple[Hosts, Hosts]:
-        """Return the hosts of this zone that are ejected, and those that said they leave."""
+        """Return the hosts of this zone that are ejected, and those that announced to leave."""
         with self._lock:
             for sender in [s for s, t in self._troubles.items() if t.until < now]:
                 del self._troubles[sender]
@@ -49,11 +49,11 @@
         return ejected, leaving
 
     def everywhere(self, now: float) -> tuple[Hosts, Hosts]:
-        """Return the hosts of all zones that are ejected, and those that said they leave.
+        """Return the hosts of all zones that are ejected, and those that announced to leave.
 
-        Guard against a budget spent twice: a host that fails its jobs, but is listed as live,
-        is away as much as a stopped one. Its own zone's controllers alone are told of it by
-        gateways; the controller that acts on the pool may be another zone's.
+        A host that is listed as live but fails its jobs uses budget like a stopped one. Gateways
+        report it only to the controllers of its own zone, while the controller that acts on the
+        pool may be in another zone and would spend the budget a second time.
         """
         ejected, leaving = self.of_zone(now)
         for news in self._roster.news():
--- a/src/lentilrill/fleet/_turns.py
+++ b/src/lentilrill/fleet/_turns.py
@@ -1,4 +1,7 @@
-"""Whose turn it is to act on a pool. It saves work; nothing rests on it."""
+"""Choice of the controller that acts on a pool.
+
+It only avoids duplicate work: correctness does not depend on it.
+"""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -10,29 +13,31 @@
 __all__ = ["Place", "Turns"]
 
 TAKE_OVER_S = 5.0
-"""Seconds that an action stands undone before the next candidate in order takes it up."""
+"""Seconds that an action stays undone before the next candidate in order takes it over."""
 
 Step = tuple[str, PoolId, HostId]
 
 
 class Place(Enum):
-    """What a controller does for the fleet."""
+    """Rank of a controller among those of its zone."""
 
     FIRST = "first"
-    """It looks after the fleet, beside one of each other zone."""
+    """Plans in every round, as does one controller of each other zone."""
     SECOND = "second"
-    """It looks now and then, and takes up what the first of its zone leaves undone."""
+    """Plans less often, and takes over what the first controller of its zone leaves undone."""
     NONE = "none"
 
 
 class Turns:
-    """One controller of each zone is a candidate, and each pool has its order of candidates.
-
-    So the calls to the platform follow zones and not entry hosts. The first candidate may be
-    unable to act, as only its own way to the platform is cut: whoever comes next in order sees
-    the action stand undone, and takes it up. A closing is first the turn of the host's own zone,
-    whose gateways tell their acknowledgements to the controllers next to them; so each zone has
-    a second controller, which takes up what its first one leaves undone.
+    """Assignment of actions to controllers by rendezvous hashing.
+
+    One controller of each zone is a candidate, and each pool has its own order of candidates, so
+    the number of calls to the platform grows with zones and not with entry hosts. The first
+    candidate may be unable to act, for instance if only its own connection to the platform is
+    cut; the next one in order then sees that the action stays undone and takes it over. A
+    withdrawal is closed first by the host's own zone, since gateways send acknowledgements only
+    to the controllers of their zone. Therefore each zone has a second controller, which takes
+    over what the first one leaves undone.
     """
 
     def __init__(self, roster: Roster) -> None:
@@ -40,7 +45,7 @@
         self._undone_since: dict[Step, float] = {}
 
     def place(self) -> Place:
-        """Return what this process does for the fleet."""
+        """Return the rank of this process in its zone."""
         me = self._roster.me
         near = list(self._roster.alive(Role.CONTROLLER, me.zone))
         first = rendezvous("fleet", near)
@@ -50,7 +55,7 @@
         return Place.SECOND if second == me else Place.NONE
 
     def candidates(self) -> list[Member]:
-        """Return the one controller of each zone that looks after the fleet."""
+        """Return the first controller of each zone."""
         by_zone: dict[ZoneId, list[Member]] = {}
         for member in self._roster.alive(Role.CONTROLLER):
             by_zone.setdefault(member.zone, []).append(member)
@@ -62,7 +67,7 @@
     ) -> list[Action]:
         """Return the actions that this process should take now.
 
-        :param actions: everything that is to be done as this process sees it.
+        :param actions: all actions that this process has planned.
         """
         steps = {_step(action): action for action in actions}
         for step in self._undone_since.keys() - steps.keys():
--- a/src/lentilrill/fleet/_upkeep.py
+++ b/src/lentilrill/fleet/_upkeep.py
@@ -1,4 +1,4 @@
-"""Steps that follow from one host alone: ending withdrawals, returning, leaving, dropping."""
+"""Actions that depend on one host alone: closing withdrawals, return, leaving, dropping."""
 
 from collections.abc import Iterator
 
@@ -13,9 +13,9 @@
 
 
 def upkeep(census: Census) -> Iterator[Action]:
-    """Yield the steps of each host that need no weighing against others, except budgets.
+    """Yield the actions of each host that depend on no other host, except for budgets.
 
-    What is given back is decided before anything is closed, as a released host can't be.
+    Withdrawals are cancelled before any is closed, since a released host can't be recalled.
     """
     for tally in census.tallies_by_pool.values():
         if tally.hosts_by_standing[Standing.AVAILABLE] == len(tally.entries_by_id):
@@ -44,21 +44,21 @@
         info = census.infos_by_id.get(host)
         since = info.since if info is not None else census.sight.now
         target = tally.entries_by_id[host].target
-        yield Close(host, tally.pool, "nothing sends to it any more", target, since)
+        yield Close(host, tally.pool, "all gateways acknowledged the withdrawal", target, since)
 
 
 def _cancelled(census: Census, tally: Tally, entry: HostEntry) -> str:
-    """Return why a withdrawal has lost its cause; empty if it has not."""
+    """Return why a withdrawal is no longer needed; empty if it still is."""
     if entry.target is not None:
         wanted = census.tallies_by_pool.get(entry.target)
         if wanted is None or wanted.settings is None:
-            return f"pool {entry.target} is gone"
+            return f"pool {entry.target} is no longer declared"
         if tally.settings is None or wanted.spare:
             return ""
-        return f"pool {entry.target} needs it no more" if wanted.missing < 0 else ""
+        return f"pool {entry.target} no longer needs it" if wanted.missing < 0 else ""
     if entry.stop is not None:
         return "" if census.declared(entry) else f"stop {entry.stop} was cancelled"
-    return "it is live again" if _well(census, entry) else ""
+    return "host is live again" if _well(census, entry) else ""
 
 
 def _stopped(census: Census, tally: Tally, entry: HostEntry) -> Action | None:
@@ -67,8 +67,8 @@
         return Drop(entry.id, tally.pool, f"retired by stop {stop.id}")
     info = census.infos_by_id.get(entry.id)
     if info is None:
-        # A host that a stop still names is kept: dropped and taken in again, it would have
-        # forgotten that it went through the stop, and be stopped a second time.
+        # A host that a declared stop names is kept: if it were dropped and assigned again, the
+        # record of its completed stop would be lost and it would be stopped a second time.
         if entry.id not in census.stops_by_host and census.gone(entry.id, entry.zone):
             return Drop(entry.id, tally.pool, "gone from the host list")
         return None
@@ -77,15 +77,15 @@
     if info.state is not HostState.LIVE or entry.id in census.sight.leaving:
         return None
     if stop is None:
-        return Return(entry.id, tally.pool, "listed live, and no stop holds it", info)
+        return Return(entry.id, tally.pool, "listed as live and not held by a stop", info)
     if info.since > entry.since:
-        return Return(entry.id, tally.pool, f"back from stop {stop.id}", info, done=True)
+        return Return(entry.id, tally.pool, f"returned from stop {stop.id}", info, done=True)
     return None
 
 
 def _leaving(census: Census, tally: Tally, entry: HostEntry) -> Action | None:
     tally.mark_withdrawn(entry.id, lasts=False)
-    return Withdraw(entry.id, tally.pool, "it is leaving, or has a new address")
+    return Withdraw(entry.id, tally.pool, "host is leaving or has a new address")
 
 
 def _failed(census: Census, tally: Tally, entry: HostEntry) -> Action | None:
@@ -96,9 +96,9 @@
 
 
 def _give_back(census: Census, tally: Tally) -> Iterator[Action]:
-    """Cancel withdrawals while failures overspend the budget, the newest first.
+    """Yield cancellations of withdrawals, newest first, while failures overspend the budget.
 
-    A host that was not released yet can serve at once, which a stopped one can't.
+    A host that has not been released yet can serve again at once; a stopped one can't.
     """
     withdrawing = [
         entry
@@ -113,7 +113,7 @@
         if tally.slack(entry.zone) >= 0:
             continue
         _count_return(census, tally, entry)
-        yield Return(entry.id, tally.pool, "failures have overspent the budget")
+        yield Return(entry.id, tally.pool, "failures overspent the availability budget")
 
 
 def _well(census: Census, entry: HostEntry) -> bool:
--- a/src/lentilrill/fleet/_view.py
+++ b/src/lentilrill/fleet/_view.py
@@ -1,4 +1,4 @@
-"""Typed reading of the mirrored state: document, pools and zones."""
+"""Decoded view of the mirrored state: document, pools and zones."""
 
 import threading
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 
 
 class FleetView:
-    """The newest known document, pool records and zone records, decoded once each change.
+    """The newest received document, pool records and zone records, decoded once per change.
 
-    Keys in the mirror are relative to the system's prefix on the platform. Records that can't
-    be decoded are left as they were before and counted in ``undecodable``.
+    Keys in the mirror are relative to the system's prefix on the platform. If a record can't be
+    decoded, its previous value is kept and ``undecodable`` is incremented.
     """
 
     def __init__(self, mirror: Mirror) -> None:
@@ -39,32 +39,32 @@
 
     @property
     def ready(self) -> bool:
-        """Whether a document and the full state have been seen."""
+        """Whether a document and the complete state have been received."""
         return self.mirror.complete_to > 0 and self._document_revision > 0
 
     @property
     def document(self) -> Document:
-        """The operators' document in force here."""
+        """The newest document of the operators that this process has received."""
         return self._document
 
     @property
     def document_revision(self) -> Revision:
-        """Revision of :attr:`document`; 0 before the first one."""
+        """Revision of :attr:`document`; 0 before the first document."""
         return self._document_revision
 
     @property
     def pools_by_id(self) -> dict[PoolId, tuple[PoolRecord, Revision]]:
-        """Pool records with their revisions. A copy-on-write value: don't change it."""
+        """Pool records with their revisions. Copied on write: don't modify."""
         return self._pools_by_id
 
     @property
     def zones_by_id(self) -> dict[ZoneId, tuple[ZoneRecord, Revision]]:
-        """Zone records with their revisions. A copy-on-write value: don't change it."""
+        """Zone records with their revisions. Copied on write: don't modify."""
         return self._zones_by_id
 
     @property
     def hosts_by_id(self) -> dict[HostId, tuple[PoolId, HostEntry]]:
-        """Every host with the pool it belongs to. A copy-on-write value: don't change it."""
+        """Every host with its pool. Copied on write: don't modify."""
         return self._hosts_by_id
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/src/lentilrill/fleet/_waves.py
+++ b/src/lentilrill/fleet/_waves.py
@@ -1,4 +1,4 @@
-"""Planned stops: which hosts go next, why the others wait, and when their turn should come."""
+"""Planned stops: which hosts to withdraw next, and why and how long the others wait."""
 
 import math
 from collections.abc import Iterator
@@ -15,17 +15,19 @@
 __all__ = ["FAILURE_RESERVE", "Waiting", "expected_s", "stops", "width"]
 
 FAILURE_RESERVE = 1
-"""Hosts of a budget of two or more that a wave leaves free, so that one failure within the wave
-does not overspend it: a stopped host can't be called back."""
+"""Hosts of a budget of two or more that a wave does not use.
+
+One failure within the wave then does not overspend the budget; a stopped host can't be recalled.
+"""
 
 
 class Waiting(msgspec.Struct, frozen=True):
-    """Hosts of one pool that a planned stop can't be granted yet.
+    """Hosts of one pool that can't be withdrawn for a planned stop yet.
 
-    :param hosts: how many.
-    :param reason: why, for people.
-    :param within_s: seconds in which the last of them should go; ``None`` if nothing that is
-        under way will make room.
+    :param hosts: number of hosts.
+    :param reason: human-readable reason.
+    :param within_s: expected seconds until the last of them can be withdrawn; ``None`` if no
+        withdrawal or move in progress will make room.
     """
 
     stop: StopId
@@ -36,12 +38,12 @@
 
 
 def stops(census: Census, waiting: list[Waiting]) -> Iterator[Withdraw]:
-    """Yield the withdrawals that declared stops ask for and budgets allow.
+    """Yield the withdrawals that declared stops need and budgets allow.
 
-    Racks are emptied in one order over all pools, begun ones first, so that whole racks become
-    free as early as budgets allow.
+    All pools empty racks in the same order, starting with racks already begun, so that whole
+    racks become free as early as budgets allow.
 
-    :param waiting: takes a note for each stop and pool that has to wait.
+    :param waiting: list that an entry is appended to for each stop and pool that has to wait.
     """
     for tally in census.tallies_by_pool.values():
         if not tally.pending_stops:
@@ -73,14 +75,14 @@
 
 
 def width(tally: Tally) -> int:
-    """Return how many hosts of a pool a wave takes at once when nothing has failed."""
+    """Return how many hosts of a pool one wave withdraws at once if no host has failed."""
     if not tally.promise.owed:
         return max(1, tally.lasting)
     return max(1, _grantable(tally.lasting - tally.promise.owed + tally.promise.budget))
 
 
 def expected_s(census: Census, tally: Tally, hosts: int) -> float:
-    """Return the seconds that stopping ``hosts`` hosts of a pool should take."""
+    """Return the expected seconds for stopping ``hosts`` hosts of a pool."""
     return math.ceil(hosts / width(tally)) * census.stop_s
 
 
@@ -89,7 +91,7 @@
 
 
 def _refusal(tally: Tally, entry: HostEntry, stop: PlannedStop) -> str:
-    """Return why a host can't be withdrawn for a stop now; empty if it can."""
+    """Return why a host can't be withdrawn for a stop now; empty if it can be."""
     kept = tally.lasting + len(tally.retiring - {entry.id})
     if stop.retire and kept < tally.promise.owed:
         owed = tally.promise.owed
--- a/src/lentilrill/fleet/_writer.py
+++ b/src/lentilrill/fleet/_writer.py
@@ -1,4 +1,4 @@
-"""A look's actions, grouped into as few transactions as can be, and what became of them."""
+"""Writing of the actions of a planning round in as few transactions as possible."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -16,7 +16,7 @@
 __all__ = ["Writer"]
 
 CONFLICT_PAUSE_S = 5.0
-"""Time for which a pool is left alone after a lost race, unless newer state arrives."""
+"""Delay before the next write to a pool after a conflict, unless newer state arrives."""
 
 _EVENTS: dict[type, Event] = {
     Assign: Event.HOST_ASSIGNED,
@@ -28,22 +28,22 @@
 
 
 class Outcome(Enum):
-    """What became of one write."""
+    """Outcome of one write."""
 
     DONE = "done"
     LOST = "lost"
-    """Another writer was first, or this one write is refused; others still make sense."""
+    """Conflict with another writer, or a refusal of this write; other writes may succeed."""
     AWAY = "away"
-    """The platform did not answer."""
+    """No answer from the platform."""
 
 
 _AWAY = (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS, FaultKind.EXHAUSTED)
 
 
 class Writer:
-    """Writes actions through a :class:`Ledger`, and logs and counts them.
+    """Writer of actions through a :class:`Ledger`, with log lines and metrics.
 
-    :param clock: seconds since the epoch.
+    :param clock: returns seconds since the epoch.
     """
 
     def __init__(
@@ -56,9 +56,9 @@
         self._conflicts: dict[PoolId, tuple[Revision, float]] = {}
 
     def write(self, document: Document, actions: list[Action], basis: Basis) -> bool:
-        """Create missing pools, write each pool's actions, and remove what was emptied.
+        """Create missing pool records, write the actions, and remove undeclared empty pools.
 
-        :return: whether nothing was lost to another writer or to the platform.
+        :return: whether all writes succeeded.
         """
         for pool in self._conflicts.keys() - basis.records.keys():
             del self._conflicts[pool]
@@ -110,16 +110,16 @@
         return all_done
 
     def _is_held_back(self, pool: PoolId) -> bool:
-        """Return whether a write to a pool would only lose the same race again.
+        """Return whether a write to a pool would only fail with the same conflict again.
 
-        Guard against a storm of calls: a process whose news have stopped, but which reaches the
-        platform, would try each of its pools again at every look.
+        A process that no longer receives state updates but still reaches the platform would
+        otherwise retry each of its pools in every round and flood the platform with calls.
         """
         revision, until = self._conflicts.get(pool, (Revision(-1), 0.0))
         return revision == self._mirror.complete_to and self._clock() < until
 
     def _done(self, answer: Result[None, Fault], actions: list[Action]) -> Outcome:
-        """Log and return what became of a write."""
+        """Log the outcome of a write and return it."""
         if isinstance(answer, Failure):
             fault = answer.failure()
             self._metrics.incr("fleet.write_failed")
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -1,4 +1,4 @@
-"""Availability budgets through waves, failures and races; few moves; few calls."""
+"""Availability budgets during waves, failures and races; numbers of moves and of calls."""
 
 import time
 
@@ -41,8 +41,8 @@
 
 class BudgetTest(TestCase):
     def test_racing_controllers_spend_a_budget_once(self) -> None:
-        # A patron finds no host: two controllers with the same view each grant the stop of
-        # another host, both within the budget as far as they know.
+        # No host was available: two controllers with the same view granted stops of different
+        # hosts, each within the budget of its own view.
         world = a_world(2, 1, 2)
         basis_of_both = world.records()
         document = world.kv.items_by_key["state/document"].revision
@@ -55,8 +55,8 @@
         self.assertEqual(["h0"], world.in_phase("ballots", WITHDRAWING))
 
     def test_a_promise_that_grows_as_a_stop_is_granted(self) -> None:
-        # A plan gets less than it is owed: its budget is edited away in the very moment in
-        # which a controller grants a stop by the older document.
+        # A plan got fewer hosts than owed: its budget was edited to zero at the moment when a
+        # controller granted a stop on the basis of the older document.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
         strict = a_plan("ballots", hosts_owed=2, availability_budget=0)
@@ -65,8 +65,8 @@
         self.assertEqual(0, world.metrics.counts["fleet.withdraw"])
 
     def test_a_promise_that_grows_as_a_controller_looks(self) -> None:
-        # The same, a moment earlier: the newer document arrives between the look at the
-        # document and the look at its revision.
+        # As above, but the newer document arrives between the read of the document and the read
+        # of its revision.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
         world.sync()
@@ -114,8 +114,8 @@
         self.assertIn("2 failed or in trouble", report.stops[0].waits[0].reason)
 
     def test_ejected_hosts_count_in_every_zone(self) -> None:
-        # A clerk finds no host: a controller of another zone grants a stop, since it does not
-        # know that schedulers of this zone have ejected hosts.
+        # No host was available: a controller of another zone granted a stop without information
+        # about the hosts that schedulers of this zone had ejected.
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
         news = ZoneNews(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
@@ -129,8 +129,8 @@
         self.assertEqual(0, out(world))
 
     def test_a_withdrawal_is_called_back_as_failures_overspend(self) -> None:
-        # A patron finds no host: while a host drains for a stop, others fail. It was not
-        # released yet, so it can serve on at once.
+        # No host was available: other hosts failed while one was draining for a stop. The
+        # draining host had not been released, so it could have served again at once.
         world = a_world(3, 1, 3)
         world.change(stops=(a_stop(["h0"]),))
         world.run(1, acks=False)
@@ -140,7 +140,7 @@
         self.assertEqual(0, out(world))
 
     def test_no_stop_is_granted_by_an_old_list(self) -> None:
-        # A patron finds no host: the host list has stood still since before hosts failed.
+        # No host was available: the host list had not been updated since before hosts failed.
         world = a_world(2, 1, 2)
         world.controllers[0].hosts.down = True
         world.change(stops=(a_stop(["h0"]),))
@@ -178,8 +178,8 @@
         self.assertEqual(2, len(world.in_phase("ballots", SERVING)))
 
     def test_the_spare_pool_lends_within_its_own_budget(self) -> None:
-        # Callers of the spare pool find no host: while one of its hosts is stopped, it lends
-        # the host that it holds above what it owes.
+        # The spare pool had no available host: while one of its hosts was stopped, it lent its
+        # surplus host.
         world = a_world(1, 0, 1, spare=3)
         desk = a_plan("desk", hosts_owed=2, availability_budget=0)
         world.change(plans=(*world.document.plans, desk))
@@ -208,7 +208,7 @@
 
 class MovesTest(TestCase):
     def test_a_flapping_list_moves_nothing(self) -> None:
-        # Hosts move back and forth: the list misses hosts for some seconds, again and again.
+        # Hosts moved back and forth, as they were repeatedly missing from the list for seconds.
         world = a_world(3, 0, 3, spare=3)
         before = world.records()
         for _ in range(10):
@@ -219,8 +219,8 @@
         self.assertEqual(before, world.records())
 
     def test_a_controller_that_begins_to_look_waits_as_well(self) -> None:
-        # A host moves for a failure of a second: the controller had seen another one an hour
-        # ago, and none of the looks between.
+        # A host moved for a failure of one second: the controller had recorded another failure an
+        # hour before, and had not planned in between.
         world = a_world(3, 0, 3, spare=3)
         info = world.hosts.infos_by_id.pop(min(world.entries("ballots")))
         world.run()
@@ -260,7 +260,8 @@
         self.assertEqual(4, len(world.entries("desk")))
 
     def test_a_lost_race_is_not_run_again_by_the_same_state(self) -> None:
-        # The platform is flooded: a controller that hears no news loses every race again.
+        # The platform was flooded with calls: a controller without state updates repeated every
+        # conflicting write.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
         world.sync()
@@ -282,8 +283,8 @@
         self.assertTrue(calls[2] <= calls[0] + 16 and calls[1] == calls[3], calls)
 
     def test_hosts_go_where_their_size_is_needed(self) -> None:
-        # A pool that needs accelerators stands empty: hosts that have them went to a pool that
-        # any host would do for.
+        # A pool that needs accelerators was empty: the hosts that have them went to a pool that
+        # any host fits.
         pools = (a_pool("any"), a_pool("large", accelerators=1), a_pool("desk", spare=True))
         plans = (a_plan("any"), a_plan("large", hosts_owed=1, availability_budget=0))
         world = World(Document(plans, pools, objective=Objective(settle_s=5.0)))
--- a/tests/fleet/test_random.py
+++ b/tests/fleet/test_random.py
@@ -1,7 +1,8 @@
-"""Randomised runs: racing controllers, old views, lost answers, crashes, members that come and go.
+"""Randomised runs: concurrent controllers, old views, lost answers, crashes, changing members.
 
-Gateways behave as the request path does: a check, later the send; an acknowledgement only with
-nothing in between. Every change on the platform is checked against the promises as it happens.
+Gateways behave like the request path: they check a host and send to it later, and acknowledge a
+withdrawal only if no send to the host is pending. Every change on the platform is checked at once
+against budgets and acknowledgements.
 """
 
 import contextlib
@@ -30,7 +31,7 @@
 
 
 class CrashError(Exception):
-    """The controller ends in the middle of a round."""
+    """Simulated crash of a controller in the middle of a round."""
 
 
 class Gateway:
@@ -64,7 +65,7 @@
         host, pool = self.checked or ("", "")
         self.checked = None
         entry = self.world.entries(pool).get(HostId(host))
-        assert entry is not None, f"{host} got a job of {pool}, and stands in another pool"
+        assert entry is not None, f"{host} got a job of {pool} but belongs to another pool"
         assert entry.phase is not HostPhase.STOPPED, f"{host} got a job after it was released"
 
     def ack(self) -> WithdrawalAck:
@@ -223,7 +224,7 @@
         looks=st.integers(1, 3),
     )
     def time_passes(self, seconds: float, deaf: set[int], blind: set[int], looks: int) -> None:
-        """Controllers go on; deaf gateways are paused, blind controllers hear no news."""
+        """Advance time; ``deaf`` gateways are paused, ``blind`` controllers get no updates."""
         self.world.kv.down = False
         for _ in range(looks + int(seconds // 50)):
             self.world.now += min(seconds, 44.0)
@@ -298,7 +299,7 @@
     @invariant()
     def a_host_stands_in_one_record_and_its_shard(self) -> None:
         stands = [e.id for record, _ in self.world.records().values() for e in record.hosts]
-        assert len(stands) == len(set(stands)), "a host stands in two records"
+        assert len(stands) == len(set(stands)), "a host is in two records"
         assigned = {
             host
             for shard in range(ASSIGNED_SHARDS)
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -1,4 +1,4 @@
-"""The fleet's task from end to end: first assignment, stops, moves, on a fake platform."""
+"""The fleet task end to end on a fake platform: first assignment, stops, moves."""
 
 import time
 
@@ -62,9 +62,9 @@
         self.assertTrue(200 < wave.actual_s < 220, wave)
 
     def test_a_host_ejected_in_another_zone_spends_budget(self) -> None:
-        # A host of another zone fails all its jobs and its gateways send it none, but the
-        # platform lists it as live. A planned stop of its pool's other host is then granted by
-        # a controller that never heard of it, and the plan is left with no host at all.
+        # A host of another zone fails all its jobs and is ejected there, but the platform lists
+        # it as live. A controller without that information granted a planned stop of the other
+        # host of the pool, and the plan was left with no host at all.
         self.world.run(2)
         ejected, other = sorted(self.world.entries("ballots"))
         news = ZoneNews(
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: nothing waits for a process that can't see the action."""
+"""Choice of the acting controller: no action waits for one that can't see it."""
 
 from testtools import TestCase
 
@@ -22,11 +22,12 @@
         self.second = next(member for member in self.members if member != self.first)
 
     def test_a_withdrawal_is_closed_where_it_was_acknowledged(self) -> None:
-        # A planned stop's last job ends, its gateways acknowledge, and yet the host is released
-        # seconds later. Gateways tell the controllers of their own zone, but the pool's turn
-        # was another zone's, which never sees the action; the others waited for it.
+        # A host was released seconds after its last job had ended and its gateways had
+        # acknowledged. Gateways send acknowledgements only to the controllers of their own
+        # zone, but the first candidate of the pool was in another zone and never saw the action,
+        # while the other controllers waited for it.
         turns = Turns(FakeRoster(self.second, self.members))
-        close = Close(HostId("w1"), POOL, "nothing sends to it any more")
+        close = Close(HostId("w1"), POOL, "all gateways acknowledged the withdrawal")
         self.assertEqual([close], turns.mine([close], {close.host: self.second.zone}, 0.0))
 
     def test_a_proposal_is_left_to_the_first_in_order(self) -> None:
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -1,4 +1,4 @@
-"""One pool at a time, and stops that wait for every gateway that may send."""
+"""Withdrawals: each host in one pool, released only after all gateways acknowledged."""
 
 import msgspec
 from returns.result import Failure, Success
@@ -41,8 +41,8 @@
         return self.world.records()[PoolId("ballots")][1]
 
     def test_silence_and_time_are_no_acknowledgement(self) -> None:
-        # A ballot is cut off: a gateway, paused for an hour between its check and its send,
-        # wakes up and sends to a host that was released because the gateway was silent.
+        # A request was cut off: a gateway that was paused for an hour between its check and its
+        # send resumed and sent to a host that had been released because the gateway was silent.
         self.propose()
         self.world.run(3, step_s=1200, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
@@ -50,8 +50,8 @@
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
     def test_a_newcomer_is_asked_too(self) -> None:
-        # A job reaches a stopped host: a gateway registered before the stop was proposed, and
-        # the controller that closes it has not heard of the newcomer yet.
+        # A job reached a stopped host: a gateway had registered before the stop was proposed, but
+        # the controller that closed the withdrawal had not received the new zone record yet.
         newcomer = a_member("gw-new")
         self.world.change(stops=(a_stop("h1"),))
         self.world.sync()
@@ -66,8 +66,8 @@
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
     def test_an_acknowledgement_of_a_cancelled_stop_counts_no_more(self) -> None:
-        # A job reaches a stopped host: the gateway acknowledged, the stop was cancelled, the
-        # gateway sent again; the stop is declared anew and the old message arrives late.
+        # A job reached a stopped host: the gateway had acknowledged, the stop was cancelled and
+        # the gateway sent again; then the stop was declared again and the old message was late.
         first = self.propose()
         self.world.change(stops=())
         self.world.run(acks=False)
@@ -79,8 +79,8 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_each_incarnation_speaks_for_itself(self) -> None:
-        # A job reaches a stopped host: the gateway acknowledged, was restarted, and its next
-        # incarnation learned an old state before it heard of the stop.
+        # A job reached a stopped host: the gateway acknowledged and was restarted, and its next
+        # incarnation loaded an old state that did not contain the stop.
         self.propose()
         self.world.ack(self.gateway)
         restarted = msgspec.structs.replace(
@@ -91,7 +91,7 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_a_message_speaks_for_its_sender_only(self) -> None:
-        # A job reaches a stopped host: another process's message names this gateway.
+        # A job reached a stopped host: a message of another process named this gateway.
         revision = self.propose()
         ack = WithdrawalAck(self.gateway, (Barred(HostId("h1"), revision),))
         self.world.say(a_member("stray"), ack)
@@ -99,8 +99,8 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_a_host_is_taken_in_once(self) -> None:
-        # One host gets jobs of two pools: a controller whose view is old sees it as new, and
-        # puts it into another pool, whose record's revision does not give the first away.
+        # One host got jobs of two pools: a controller with an old view saw the host as new and
+        # added it to another pool, whose record had not changed, so no comparison failed.
         self.world.host("h9")
         info = self.world.hosts.infos_by_id["h9"]
         records = {PoolId(p): (PoolRecord(PoolId(p)), Revision(0)) for p in ("a", "b")}
@@ -113,7 +113,7 @@
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
 
     def test_two_controllers_race_to_take_a_host_in(self) -> None:
-        # The same, with the second controller's write between the first one's read and write.
+        # As above, with the write of one controller between the read and write of the other.
         self.world.host("h9")
         info = self.world.hosts.infos_by_id["h9"]
         records = {PoolId(p): (PoolRecord(PoolId(p)), Revision(0)) for p in ("a", "b")}
@@ -166,8 +166,8 @@
         self.assertEqual(["h1"], self.world.in_phase("ballots", HostPhase.SERVING))
 
     def test_a_new_address_is_taken_over_through_a_withdrawal(self) -> None:
-        # Jobs of one pool reach another pool's host: the platform gave a restarted host another
-        # address, and its old one to a new host.
+        # Jobs of one pool reached a host of another: the platform gave a restarted host a new
+        # address, and its old address to a new host.
         self.world.relist("h1", address="10.0.0.8:8", since=self.world.now)
         self.world.run(acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
@@ -175,15 +175,15 @@
         self.assertEqual("10.0.0.8:8", self.world.entries("ballots")[HostId("h1")].address)
 
     def test_a_zone_that_the_platform_does_not_see_keeps_its_hosts(self) -> None:
-        # A whole zone stops serving as it is joined again: while it was cut off, its hosts were
-        # missing from the list and were withdrawn one after the other.
+        # A whole zone stopped serving after a partition healed: during the partition its hosts
+        # were missing from the list and were withdrawn one after the other.
         self.world.hosts.infos_by_id.clear()
         self.world.run(100, step_s=50)
         self.assertEqual(["h1", "h2"], self.world.in_phase("ballots", HostPhase.SERVING))
 
     def test_the_zone_of_the_host_closes_at_once(self) -> None:
-        # A stop takes 5 s longer than it should: acknowledgements are told to the controllers
-        # of the host's zone, and the pool's first candidate lives in another one.
+        # A stop took 5 s too long: acknowledgements are sent to the controllers of the host's
+        # zone only, and the first candidate of the pool was in another zone.
         for n in range(8):
             other = self.world.controller(f"far-{n}", f"far-{n}")
             other.roster.members.remove(other.member)
@@ -209,8 +209,8 @@
         self.assertNotIn("h1", self.world.entries("ballots"))
 
     def test_a_host_that_was_gone_is_not_stopped_again(self) -> None:
-        # A planned stop seems to last for days: a host that was through it failed, was given up
-        # and taken in again as new, and was stopped a second time.
+        # A planned stop seemed to last for days: a host that had completed it failed, was dropped
+        # and assigned again as new, and was stopped a second time.
         self.propose()
         self.world.run(2)
         self.world.reboot("h1")
@@ -222,8 +222,8 @@
         self.assertEqual(HostPhase.SERVING, self.phase())
 
     def test_the_second_controller_takes_up_what_the_first_leaves(self) -> None:
-        # A stop never ends: the zone's first controller is alive to its peers, but its own way
-        # to the platform is cut, and only its zone's controllers hear acknowledgements.
+        # A stop never ended: the first controller of the zone was alive to its peers but cut off
+        # from the platform, and only controllers of that zone receive acknowledgements.
         second = self.world.controller("c2")
         self.world.controllers = [self.controller, second]
         if second.task._turns.place() is Place.FIRST:
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -17,7 +17,7 @@
 
 
 class Controller:
-    """One controller process with its own, possibly old, view."""
+    """One controller process with its own, possibly outdated, view."""
 
     def __init__(self, world: "World", name: str, zone: str) -> None:
         self.member = a_member(name, role=Role.CONTROLLER, zone=ZoneId(zone))
@@ -50,7 +50,7 @@
 
 
 class World:
-    """Everything around the controllers, moved by hand."""
+    """Simulated environment of the controllers; tests advance its clock."""
 
     def __init__(self, document: Document, zones: tuple[str, ...] = ("z1",)) -> None:
         self.now = START
@@ -68,12 +68,12 @@
         return self.now
 
     def declare(self, document: Document) -> None:
-        """Put a document in force."""
+        """Store a document."""
         self.document = document
         self.kv.put(DOCUMENT_KEY, msgspec.json.encode(document))
 
     def change(self, **changes: object) -> None:
-        """Put a changed document in force."""
+        """Store a changed copy of the document."""
         self.declare(msgspec.structs.replace(self.document, **changes))
 
     def controller(self, name: str = "c1", zone: str = "z1") -> Controller:
@@ -84,29 +84,29 @@
         return controller
 
     def register(self, gateway: Member) -> None:
-        """Start a gateway and write it into its zone's record."""
+        """Start a gateway and add it to the record of its zone."""
         self.gateways[gateway.process] = gateway
         self.members.append(gateway)
         self.write_zone(gateway.zone)
 
     def write_zone(self, zone: str) -> None:
-        """Write a zone's record with its living gateways."""
+        """Write the record of a zone with its running gateways."""
         members = tuple(m for m in self.gateways.values() if m.zone == zone)
         record = ZoneRecord(ZoneId(zone), members)
         self.kv.put(zone_key(ZoneId(zone)), msgspec.json.encode(record))
 
     def host(self, name: str, zone: str = "z1", rack: str = "r1", **changes: object) -> None:
-        """List a worker."""
+        """Add a worker to the host list."""
         values = {"address": f"10.0.0.1:{len(self.hosts.infos_by_id) + 1}", "since": 1.0}
         info = HostInfo(HostId(name), zone=zone, rack=rack, **values | changes)  # type: ignore
         self.hosts.add(info)
 
     def relist(self, name: str, **changes: object) -> None:
-        """Change what is listed of a host."""
+        """Change the entry of a host in the host list."""
         self.hosts.add(msgspec.structs.replace(self.hosts.infos_by_id[name], **changes))
 
     def reboot(self, name: str) -> None:
-        """List a host as started just now."""
+        """List a host as live and started now."""
         self.relist(name, since=self.now, state=HostState.LIVE)
 
     def sync(self) -> None:
@@ -115,7 +115,7 @@
             self.kv.sync(controller.mirror)
 
     def run(self, rounds: int = 1, step_s: float = 1.0, acks: bool = True) -> None:
-        """Let time pass; each controller hears acknowledgements and looks at the fleet."""
+        """Advance time; each round delivers acknowledgements and runs every controller once."""
         for _ in range(rounds):
             self.now += step_s
             self.sync()
@@ -127,7 +127,7 @@
             self.sync()
 
     def ack(self, gateway: Member, to: Controller | None = None, *hosts: str) -> None:
-        """Let a gateway acknowledge the withdrawals that the platform's records hold now."""
+        """Acknowledge, for a gateway, the withdrawals in the current records."""
         barred = tuple(
             Barred(entry.id, revision)
             for record, revision in self.records().values()
@@ -139,7 +139,7 @@
         self.say(gateway, WithdrawalAck(gateway, barred), to)
 
     def trouble(self, gateway: Member, ejected: tuple = (), leaving: tuple = ()) -> None:
-        """Let a gateway tell of hosts in trouble."""
+        """Send a gateway's report of ejected and leaving hosts."""
         self.say(gateway, HostTrouble(gateway, ejected, leaving))
 
     def say(self, member: Member, message: object, to: Controller | None = None) -> None:
