--- a/src/lentilrill/fleet/_acks.py
+++ b/src/lentilrill/fleet/_acks.py
@@ -12,7 +12,7 @@
 
 Sender = tuple[ProcessId, Incarnation]
 
-MEMBERS_PER_HOST = 1024
+MAX_MEMBERS_PER_HOST = 1024
 """Limit of the acknowledgements kept for one host; far above the gateways of a zone."""
 
 
@@ -27,14 +27,14 @@
         self._revisions_by_host: dict[HostId, dict[Sender, Revision]] = {}
         self.changes = 0
 
-    def note(self, member: Member, barred: Iterable[Barred], withdrawing: set[HostId]) -> bool:
+    def record(self, member: Member, barred: Iterable[Barred], withdrawing: set[HostId]) -> bool:
         """Record the acknowledgements of a gateway.
 
         :param withdrawing: hosts that are being withdrawn in the view of this process. Others
             are ignored, which bounds the memory use; gateways repeat their acknowledgements.
         :return: whether any of the acknowledgements is new.
         """
-        before = self.changes
+        changes_before = self.changes
         sender = (member.process, member.incarnation)
         with self._lock:
             for item in barred:
@@ -43,11 +43,11 @@
                 revisions = self._revisions_by_host.setdefault(item.host, {})
                 if revisions.get(sender, 0) >= item.revision:
                     continue
-                if sender not in revisions and len(revisions) >= MEMBERS_PER_HOST:
+                if sender not in revisions and len(revisions) >= MAX_MEMBERS_PER_HOST:
                     continue
                 revisions[sender] = item.revision
                 self.changes += 1
-            return self.changes > before
+            return self.changes > changes_before
 
     def closable(
         self, records: Iterable[PoolRecord], zones: Mapping[ZoneId, ZoneRecord]
@@ -60,12 +60,14 @@
             if entry.phase is HostPhase.WITHDRAWING
         ]
         with self._lock:
-            self._forget_all_but({entry.id for entry in entries})
-            reasons_by_host = {entry.id: self._wait(entry, zones) for entry in entries}
+            self._prune({entry.id for entry in entries})
+            reasons_by_host = {
+                entry.id: self._missing_acknowledgement(entry, zones) for entry in entries
+            }
         done = frozenset(host for host, reason in reasons_by_host.items() if not reason)
         return done, {host: reason for host, reason in reasons_by_host.items() if reason}
 
-    def _wait(self, entry: HostEntry, zones: Mapping[ZoneId, ZoneRecord]) -> str:
+    def _missing_acknowledgement(self, entry: HostEntry, zones: Mapping[ZoneId, ZoneRecord]) -> str:
         """Return which acknowledgement is still missing for a host; empty if none is.
 
         A gateway that has not received the withdrawal, or is paused between its check and its
@@ -90,6 +92,6 @@
         revisions = self._revisions_by_host.get(entry.id, {})
         return revisions.get((member.process, member.incarnation), 0) > entry.after
 
-    def _forget_all_but(self, hosts: set[HostId]) -> None:
+    def _prune(self, hosts: set[HostId]) -> None:
         for host in self._revisions_by_host.keys() - hosts:
             del self._revisions_by_host[host]
--- a/src/lentilrill/fleet/_turns.py
+++ b/src/lentilrill/fleet/_coordination.py
@@ -10,25 +10,25 @@
 from lentilrill.ids import HostId, PoolId, ZoneId
 from lentilrill.membership import Member, Role, Roster, rendezvous
 
-__all__ = ["Place", "Turns"]
+__all__ = ["ActionCoordinator", "ControllerRank"]
 
-TAKE_OVER_S = 5.0
+TAKE_OVER_DELAY_S = 5.0
 """Seconds that an action stays undone before the next candidate in order takes it over."""
 
-Step = tuple[str, PoolId, HostId]
+ActionKey = tuple[str, PoolId, HostId]
 
 
-class Place(Enum):
+class ControllerRank(Enum):
     """Rank of a controller among those of its zone."""
 
-    FIRST = "first"
-    """Plans in every round, as does one controller of each other zone."""
-    SECOND = "second"
-    """Plans less often, and takes over what the first controller of its zone leaves undone."""
+    PRIMARY = "first"
+    """Plans in every round, like the primary controller of each other zone."""
+    BACKUP = "second"
+    """Plans less often, and takes over what the primary controller of its zone leaves undone."""
     NONE = "none"
 
 
-class Turns:
+class ActionCoordinator:
     """Assignment of actions to controllers by rendezvous hashing.
 
     One controller of each zone is a candidate, and each pool has its own order of candidates, so
@@ -36,65 +36,65 @@
     candidate may be unable to act, for instance if only its own connection to the platform is
     cut; the next one in order then sees that the action stays undone and takes it over. A
     withdrawal is closed first by the host's own zone, since gateways send acknowledgements only
-    to the controllers of their zone. Therefore each zone has a second controller, which takes
-    over what the first one leaves undone.
+    to the controllers of their zone. Therefore each zone has a backup controller, which takes
+    over what the primary one leaves undone.
     """
 
     def __init__(self, roster: Roster) -> None:
         self._roster = roster
-        self._undone_since: dict[Step, float] = {}
+        self._undone_since: dict[ActionKey, float] = {}
 
-    def place(self) -> Place:
+    def rank(self) -> ControllerRank:
         """Return the rank of this process in its zone."""
         me = self._roster.me
-        near = list(self._roster.alive(Role.CONTROLLER, me.zone))
-        first = rendezvous("fleet", near)
+        local = list(self._roster.alive(Role.CONTROLLER, me.zone))
+        first = rendezvous("fleet", local)
         if first == me:
-            return Place.FIRST
-        second = rendezvous("fleet", [member for member in near if member != first])
-        return Place.SECOND if second == me else Place.NONE
+            return ControllerRank.PRIMARY
+        second = rendezvous("fleet", [member for member in local if member != first])
+        return ControllerRank.BACKUP if second == me else ControllerRank.NONE
 
     def candidates(self) -> list[Member]:
-        """Return the first controller of each zone."""
+        """Return the primary controller of each zone."""
         by_zone: dict[ZoneId, list[Member]] = {}
         for member in self._roster.alive(Role.CONTROLLER):
             by_zone.setdefault(member.zone, []).append(member)
         chosen = (rendezvous("fleet", members) for members in by_zone.values())
         return [member for member in chosen if member is not None]
 
-    def mine(
+    def own_actions(
         self, actions: list[Action], zones_by_host: Mapping[HostId, ZoneId], now: float
     ) -> list[Action]:
         """Return the actions that this process should take now.
 
         :param actions: all actions that this process has planned.
         """
-        steps = {_step(action): action for action in actions}
-        for step in self._undone_since.keys() - steps.keys():
-            del self._undone_since[step]
+        actions_by_key = {_action_key(action): action for action in actions}
+        for key in self._undone_since.keys() - actions_by_key.keys():
+            del self._undone_since[key]
         candidates = self.candidates()
-        behind = 0 if self._roster.me in candidates else 1
+        zone_rank = 0 if self._roster.me in candidates else 1
         ranks: dict[PoolId, int] = {}
         chosen = []
-        for step, action in steps.items():
+        for key, action in actions_by_key.items():
             if action.pool not in ranks:
-                ranks[action.pool] = self._rank(action.pool, candidates)
-            near = zones_by_host.get(action.host) == self._roster.me.zone
-            rank = behind if isinstance(action, Close) and near else ranks[action.pool]
-            undone_s = now - self._undone_since.setdefault(step, now)
-            if undone_s >= rank * TAKE_OVER_S:
+                ranks[action.pool] = self._rank_for_pool(action.pool, candidates)
+            local = zones_by_host.get(action.host) == self._roster.me.zone
+            rank = zone_rank if isinstance(action, Close) and local else ranks[action.pool]
+            undone_s = now - self._undone_since.setdefault(key, now)
+            if undone_s >= rank * TAKE_OVER_DELAY_S:
                 chosen.append(action)
         return chosen
 
-    def _rank(self, pool: PoolId, candidates: list[Member]) -> int:
-        left = list(candidates)
+    def _rank_for_pool(self, pool: PoolId, candidates: list[Member]) -> int:
+        remaining = list(candidates)
         for rank in range(len(candidates)):
-            first = rendezvous(pool, left)
+            first = rendezvous(pool, remaining)
             if first is None or first == self._roster.me:
                 return rank
-            left.remove(first)
+            remaining.remove(first)
         return len(candidates)
 
 
-def _step(action: Action) -> Step:
+def _action_key(action: Action) -> ActionKey:
     return type(action).__name__, action.pool, action.host
--- a/src/lentilrill/fleet/_ledger.py
+++ b/src/lentilrill/fleet/_ledger.py
@@ -22,9 +22,9 @@
 from lentilrill.membership import zone_key
 from lentilrill.store import Compare, DeleteRange, Item, KeyValue, Mirror, Put
 
-__all__ = ["LARGEST_VALUE_BYTES", "Basis", "Ledger"]
+__all__ = ["MAX_VALUE_BYTES", "Basis", "Ledger"]
 
-LARGEST_VALUE_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Limit of the platform for one value."""
 
 STEP = "fleet.write"
@@ -92,11 +92,11 @@
         record = basis.records[pool][0]
         entries = record.hosts_by_id()
         zones: set[ZoneId] = set()
-        taken: list[HostId] = []
+        added: list[HostId] = []
         dropped: list[HostId] = []
         for action in actions:
             if isinstance(action, Assign):
-                taken.append(action.host)
+                added.append(action.host)
                 entries[action.host] = _new_entry(action)
                 continue
             entry = entries[action.host]
@@ -106,8 +106,8 @@
                 continue
             if isinstance(action, Close):
                 zones.add(entry.zone)
-            entries[action.host] = _stepped(entry, action, basis, basis.records[pool][1])
-        shards = self._reassigned(taken, dropped)
+            entries[action.host] = _updated_entry(entry, action, basis, basis.records[pool][1])
+        shards = self._updated_shards(added, dropped)
         if isinstance(shards, Failure):
             return Failure(shards.failure())
         records = {pool: PoolRecord(pool, tuple(entries.values()))}
@@ -132,8 +132,8 @@
         }
         return self._write(basis, records, frozenset(e.zone for e in moved), {})
 
-    def _reassigned(
-        self, taken: list[HostId], dropped: list[HostId]
+    def _updated_shards(
+        self, added: list[HostId], dropped: list[HostId]
     ) -> Result[dict[int, AssignedRecord], Fault]:
         """Return the updated shards for hosts that are added or dropped.
 
@@ -142,27 +142,27 @@
         and a host that its shard already contains is not added again.
         """
         changed: dict[int, set[HostId]] = {}
-        for host in [*taken, *dropped]:
+        for host in [*added, *dropped]:
             shard = assigned_shard(host)
             if shard not in changed:
-                held = self._shard(shard)
-                if isinstance(held, Failure):
-                    return Failure(held.failure())
-                changed[shard] = set(held.unwrap().hosts)
-            if host in taken and host in changed[shard]:
-                self.forget()
+                current = self._read_shard(shard)
+                if isinstance(current, Failure):
+                    return Failure(current.failure())
+                changed[shard] = set(current.unwrap().hosts)
+            if host in added and host in changed[shard]:
+                self.clear_cache()
                 reason = f"host {host} is assigned in a record that has not been received yet"
                 return Failure(Fault(STEP, "", FaultKind.CONFLICT, reason))
-            if host in taken:
+            if host in added:
                 changed[shard].add(host)
             else:
                 changed[shard].discard(host)
         return Success({s: AssignedRecord(tuple(sorted(hosts))) for s, hosts in changed.items()})
 
-    def _shard(self, shard: int) -> Result[AssignedRecord, Fault]:
-        held = self._assigned_by_shard.get(shard)
-        if held is not None:
-            return Success(held[0])
+    def _read_shard(self, shard: int) -> Result[AssignedRecord, Fault]:
+        current = self._assigned_by_shard.get(shard)
+        if current is not None:
+            return Success(current[0])
         key = assigned_key(shard)
         answer = self._kv.read(key)
         if isinstance(answer, Failure):
@@ -175,7 +175,7 @@
         self._assigned_by_shard[shard] = (record, revision)
         return Success(record)
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Clear the cached shards; the next use reads them again."""
         self._assigned_by_shard.clear()
 
@@ -189,8 +189,8 @@
         compares = [Compare(DOCUMENT_KEY, basis.document_revision)]
         puts: list[Put | DeleteRange] = []
         for pool, record in records.items():
-            held = basis.records.get(pool)
-            compares.append(Compare(pool_key(pool), held[1] if held else Revision(0)))
+            current = basis.records.get(pool)
+            compares.append(Compare(pool_key(pool), current[1] if current else Revision(0)))
             puts.append(Put(pool_key(pool), msgspec.json.encode(record)))
         for zone in sorted(zones):
             compares.append(Compare(zone_key(zone), basis.zones.get(zone, Revision(0))))
@@ -198,16 +198,16 @@
             compares.append(Compare(assigned_key(shard), self._assigned_by_shard[shard][1]))
             puts.append(Put(assigned_key(shard), msgspec.json.encode(assigned)))
         for put in puts:
-            if isinstance(put, Put) and len(put.value) > LARGEST_VALUE_BYTES:
+            if isinstance(put, Put) and len(put.value) > MAX_VALUE_BYTES:
                 reason = f"{put.key} would have {len(put.value)} bytes"
                 return Failure(Fault(STEP, "", FaultKind.INVALID, reason))
         answer = self._kv.commit(tuple(compares), tuple(puts))
         if isinstance(answer, Failure):
-            self.forget()
+            self.clear_cache()
             return Failure(answer.failure())
         outcome = answer.unwrap()
         if not outcome.succeeded:
-            self.forget()
+            self.clear_cache()
             return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a compared record has changed"))
         for shard, assigned in shards.items():
             self._assigned_by_shard[shard] = (assigned, outcome.revision)
@@ -233,7 +233,7 @@
     )
 
 
-def _stepped(
+def _updated_entry(
     entry: HostEntry, action: Withdraw | Close | Return, basis: Basis, revision: Revision
 ) -> HostEntry:
     if isinstance(action, Withdraw):
@@ -251,14 +251,14 @@
     done = entry.done
     if action.done and entry.stop is not None:
         done = (*done, DoneStop(entry.stop, entry.proposed, basis.now))
-    back = msgspec.structs.replace(
+    returned = msgspec.structs.replace(
         entry, phase=HostPhase.SERVING, target=None, stop=None, proposed=0.0, done=done
     )
     info = action.info
     if info is None:
-        return back
+        return returned
     return msgspec.structs.replace(
-        back,
+        returned,
         address=info.address,
         rack=info.rack,
         cores=info.cores,
--- a/src/lentilrill/fleet/_listing.py
+++ b/src/lentilrill/fleet/_listing.py
@@ -5,21 +5,21 @@
 from lentilrill.settings import ControllerSettings
 from lentilrill.store import HostList, HostListing
 
-__all__ = ["ListReader"]
+__all__ = ["HostListReader"]
 
 LIST_BYTES_PER_HOST = 150
 LIST_BYTES_PER_S = 16_000
 """Share of a node's 24 KB/s traffic budget for reading the host list; sets the read period."""
 
 
-class ListReader:
+class HostListReader:
     """Reader and cache of the host list. All times are seconds since the epoch."""
 
     def __init__(self, hosts: HostList, settings: ControllerSettings) -> None:
         self._hosts = hosts
         self._settings = settings
         self._listing: HostListing | None = None
-        self._due = 0.0
+        self._next_read = 0.0
 
     @property
     def period_s(self) -> float:
@@ -29,18 +29,18 @@
 
     def read(self, now: float) -> HostListing | None:
         """Return the newest list, reading it if that is due; ``None`` before the first read."""
-        if now >= self._due:
+        if now >= self._next_read:
             answer = self._hosts.hosts()
             if isinstance(answer, Failure):
-                self._due = now + self._settings.plan_every_s
+                self._next_read = now + self._settings.plan_every_s
             else:
                 self._listing = answer.unwrap()
-                self._due = now + self.period_s
+                self._next_read = now + self.period_s
         return self._listing
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether the cached list is new enough to propose withdrawals from it."""
         if self._listing is None:
             return False
-        tolerated = 3 * self._settings.host_list_lag_s + 2 * self.period_s
-        return now - self._listing.as_of <= tolerated
+        max_age_s = 3 * self._settings.host_list_lag_s + 2 * self.period_s
+        return now - self._listing.as_of <= max_age_s
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -3,13 +3,13 @@
 import msgspec
 
 from lentilrill.fleet._actions import Action, Withdraw
-from lentilrill.fleet._census import Census, Memory, Sight
+from lentilrill.fleet._census import FleetState, Memory, Sight
+from lentilrill.fleet._host_actions import host_actions
 from lentilrill.fleet._lending import assignments, loans
-from lentilrill.fleet._upkeep import upkeep
-from lentilrill.fleet._waves import Waiting, stops
+from lentilrill.fleet._waves import Waiting, stop_withdrawals
 from lentilrill.ids import HostId, PoolId
 
-__all__ = ["Decision", "overspending", "plan"]
+__all__ = ["Decision", "overspending_withdrawals", "plan"]
 
 
 class Decision(msgspec.Struct, frozen=True):
@@ -17,47 +17,47 @@
 
     :param actions: actions to take, those that free hosts first.
     :param waiting: hosts that planned stops can't withdraw yet, with reasons.
-    :param census: state that the actions were computed from, updated by them.
+    :param fleet: state that the actions were computed from, updated by them.
     """
 
     actions: tuple[Action, ...]
     waiting: tuple[Waiting, ...]
-    census: Census
+    fleet: FleetState
 
 
-def plan(sight: Sight, memory: Memory) -> Decision:
+def plan(snapshot: Sight, history: Memory) -> Decision:
     """Compute the actions to take now.
 
-    The call has no effect outside ``memory``, so any number of processes may plan at once.
+    The call has no effect outside ``history``, so any number of processes may plan at once.
     Actions use budgets cumulatively, in their order.
     """
-    census = Census(sight, memory)
+    fleet = FleetState(snapshot, history)
     waiting: list[Waiting] = []
     actions = [
-        *upkeep(census),
-        *assignments(census),
-        *loans(census),
-        *stops(census, waiting),
+        *host_actions(fleet),
+        *assignments(fleet),
+        *loans(fleet),
+        *stop_withdrawals(fleet, waiting),
     ]
-    return Decision(tuple(actions), tuple(waiting), census)
+    return Decision(tuple(actions), tuple(waiting), fleet)
 
 
-def overspending(sight: Sight, actions: tuple[Action, ...]) -> dict[HostId, PoolId]:
+def overspending_withdrawals(snapshot: Sight, actions: tuple[Action, ...]) -> dict[HostId, PoolId]:
     """Return the withdrawals of serving hosts that would overspend a pool's budget.
 
     Counts from the snapshot again, independently of the counts of the planner.
     """
-    over: dict[HostId, PoolId] = {}
+    overspending: dict[HostId, PoolId] = {}
     withdrawals = [action for action in actions if isinstance(action, Withdraw)]
     if not withdrawals:
-        return over
-    census = Census(sight, Memory())
+        return overspending
+    fleet = FleetState(snapshot, Memory())
     for action in withdrawals:
-        tally = census.tallies_by_pool[action.pool]
-        if not tally.available(action.host):
+        pool_state = fleet.states_by_pool[action.pool]
+        if not pool_state.is_available(action.host):
             continue
-        if tally.slack(tally.entries_by_id[action.host].zone) <= 0:
-            over[action.host] = action.pool
+        if pool_state.slack(pool_state.entries_by_id[action.host].zone) <= 0:
+            overspending[action.host] = action.pool
         else:
-            tally.mark_withdrawn(action.host, lasts=False)
-    return over
+            pool_state.count_withdrawal(action.host, returns=False)
+    return overspending
--- a/src/lentilrill/fleet/_report.py
+++ b/src/lentilrill/fleet/_report.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from lentilrill.fleet._census import Census
+from lentilrill.fleet._census import FleetState
 from lentilrill.fleet._planner import Decision
+from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import DoneStop, HostEntry, HostPhase
-from lentilrill.fleet._tally import Standing, Tally
-from lentilrill.fleet._waves import Waiting, expected_s
+from lentilrill.fleet._waves import Waiting, expected_duration_s
 from lentilrill.ids import EntryHostId, HostId, PoolId, StopId
 from lentilrill.settings import Document, PlannedStop
 from lentilrill.store import HostKind, HostListing
@@ -34,7 +34,7 @@
     :param budget: hosts that may be unavailable at once.
     :param lost: hosts that failed, are ejected or suspect, or leave without a withdrawal.
     :param missing: hosts that the pool lacks; negative if it has a surplus.
-    :param broken: whether more hosts are unavailable than the budget of some plan allows.
+    :param is_overspent: whether more hosts are unavailable than the budget of some plan allows.
     """
 
     pool: PoolId
@@ -46,7 +46,7 @@
     stopped: int
     lost: int
     missing: int
-    broken: bool
+    is_overspent: bool
 
 
 class WaveReport(msgspec.Struct, frozen=True):
@@ -100,67 +100,67 @@
 
 def report(decision: Decision, unacknowledged: dict[HostId, str]) -> FleetReport:
     """Return the report of one planning round."""
-    census = decision.census
-    sight = census.sight
+    fleet = decision.fleet
+    snapshot = fleet.snapshot
     return FleetReport(
-        now=sight.now,
-        list_age_s=sight.now - sight.listing.as_of,
-        pools=tuple(_pool(tally) for tally in census.tallies_by_pool.values()),
-        stops=tuple(_stop(census, stop, decision.waiting) for stop in sight.document.stops),
+        now=snapshot.now,
+        list_age_s=snapshot.now - snapshot.listing.as_of,
+        pools=tuple(_pool(pool_state) for pool_state in fleet.states_by_pool.values()),
+        stops=tuple(_stop(fleet, stop, decision.waiting) for stop in snapshot.document.stops),
         unacknowledged=unacknowledged,
-        entry_hosts_to_stop=_entry_hosts(sight.document, sight.listing),
+        entry_hosts_to_stop=_entry_hosts(snapshot.document, snapshot.listing),
     )
 
 
-def _pool(tally: Tally) -> PoolReport:
+def _pool(pool_state: PoolState) -> PoolReport:
     return PoolReport(
-        tally.pool,
-        tally.promise.owed,
-        tally.promise.budget,
-        len(tally.entries_by_id),
-        tally.hosts_by_standing[Standing.AVAILABLE],
-        tally.hosts_by_standing[Standing.WITHDRAWING],
-        tally.hosts_by_standing[Standing.STOPPED],
-        tally.lost,
-        tally.missing,
-        tally.broken,
+        pool_state.pool,
+        pool_state.commitment.owed,
+        pool_state.commitment.budget,
+        len(pool_state.entries_by_id),
+        pool_state.hosts_by_condition[HostCondition.AVAILABLE],
+        pool_state.hosts_by_condition[HostCondition.WITHDRAWING],
+        pool_state.hosts_by_condition[HostCondition.STOPPED],
+        pool_state.lost,
+        pool_state.missing,
+        pool_state.is_overspent,
     )
 
 
-def _stop(census: Census, stop: PlannedStop, waiting: tuple[Waiting, ...]) -> StopReport:
-    found = _find(census, stop)
+def _stop(fleet: FleetState, stop: PlannedStop, waiting: tuple[Waiting, ...]) -> StopReport:
+    found = _hosts_of_stop(fleet, stop)
     done = [d for _, entry in found for d in entry.done if d.stop == stop.id]
-    through = {entry.id for _, entry in found if any(d.stop == stop.id for d in entry.done)}
-    busy = [entry for _, entry in found if entry.stop == stop.id]
+    completed = {entry.id for _, entry in found if any(d.stop == stop.id for d in entry.done)}
+    in_progress = [entry for _, entry in found if entry.stop == stop.id]
     waits = tuple(w for w in waiting if w.stop == stop.id)
     known = {entry.id for _, entry in found}
-    state = _state(len(found) - len(through), len(busy), len(done), bool(waits))
+    state = _state(len(found) - len(completed), len(in_progress), len(done), bool(waits))
     return StopReport(
         stop.id,
         state,
-        len(found) - len(through) - len(busy),
-        tuple(e.id for e in busy if e.phase is HostPhase.WITHDRAWING),
-        tuple(e.id for e in busy if e.phase is HostPhase.STOPPED),
-        len(through),
+        len(found) - len(completed) - len(in_progress),
+        tuple(e.id for e in in_progress if e.phase is HostPhase.WITHDRAWING),
+        tuple(e.id for e in in_progress if e.phase is HostPhase.STOPPED),
+        len(completed),
         tuple(host for host in stop.hosts if host not in known),
         waits,
-        _wave(census, stop, found, done),
+        _wave(fleet, stop, found, done),
     )
 
 
-def _find(census: Census, stop: PlannedStop) -> list[tuple[Tally, HostEntry]]:
+def _hosts_of_stop(fleet: FleetState, stop: PlannedStop) -> list[tuple[PoolState, HostEntry]]:
     return [
-        (tally, tally.entries_by_id[host])
+        (pool_state, pool_state.entries_by_id[host])
         for host in stop.hosts
-        for tally in (census.tally_by_host.get(host),)
-        if tally is not None
+        for pool_state in (fleet.state_by_host.get(host),)
+        if pool_state is not None
     ]
 
 
-def _state(left: int, busy: int, done: int, waits: bool) -> StopState:
-    if not left:
+def _state(remaining: int, in_progress: int, done: int, waits: bool) -> StopState:
+    if not remaining:
         return StopState.DONE
-    if busy:
+    if in_progress:
         return StopState.ROLLING
     if done and waits:
         return StopState.PAUSED
@@ -168,14 +168,14 @@
 
 
 def _wave(
-    census: Census,
+    fleet: FleetState,
     stop: PlannedStop,
-    found: list[tuple[Tally, HostEntry]],
+    found: list[tuple[PoolState, HostEntry]],
     done: list[DoneStop],
 ) -> WaveReport:
-    hosts_by_pool = Counter(tally.pool for tally, _ in found)
+    hosts_by_pool = Counter(pool_state.pool for pool_state, _ in found)
     predicted = max(
-        (expected_s(census, census.tallies_by_pool[p], n) for p, n in hosts_by_pool.items()),
+        (expected_duration_s(fleet, fleet.states_by_pool[p], n) for p, n in hosts_by_pool.items()),
         default=0.0,
     )
     starts = [d.proposed for d in done]
--- a/src/lentilrill/fleet/_view.py
+++ b/src/lentilrill/fleet/_view.py
@@ -14,8 +14,8 @@
 __all__ = ["DOCUMENT_KEY", "FleetView"]
 
 DOCUMENT_KEY = "state/document"
-POOLS = "state/pools/"
-ZONES = "state/zones/"
+POOL_PREFIX = "state/pools/"
+ZONE_PREFIX = "state/zones/"
 
 
 class FleetView:
@@ -75,7 +75,7 @@
         with self._lock:
             pools, zones = dict(self._pools_by_id), dict(self._zones_by_id)
             for item in changed:
-                self._take(item, pools, zones)
+                self._apply(item, pools, zones)
             self._zones_by_id = zones
             if pools != self._pools_by_id:
                 self._pools_by_id = pools
@@ -87,7 +87,7 @@
         for listener in list(self._listeners):
             listener()
 
-    def _take(
+    def _apply(
         self,
         item: Item,
         pools: dict[PoolId, tuple[PoolRecord, Revision]],
@@ -98,17 +98,17 @@
                 if item.revision > self._document_revision:
                     self._document = msgspec.json.decode(item.value, type=Document)
                     self._document_revision = item.revision
-            elif item.key.startswith(POOLS):
-                _put(pools, PoolId(item.key[len(POOLS) :]), item, PoolRecord)
-            elif item.key.startswith(ZONES):
-                _put(zones, ZoneId(item.key[len(ZONES) :]), item, ZoneRecord)
+            elif item.key.startswith(POOL_PREFIX):
+                _put(pools, PoolId(item.key[len(POOL_PREFIX) :]), item, PoolRecord)
+            elif item.key.startswith(ZONE_PREFIX):
+                _put(zones, ZoneId(item.key[len(ZONE_PREFIX) :]), item, ZoneRecord)
         except msgspec.MsgspecError:
             self.undecodable += 1
 
 
 def _put(records: dict, key: str, item: Item, kind: type) -> None:
-    held = records.get(key)
-    if held is not None and held[1] > item.revision:
+    current = records.get(key)
+    if current is not None and current[1] > item.revision:
         return
     if item.value is None:
         records.pop(key, None)
--- a/src/lentilrill/fleet/_waves.py
+++ b/src/lentilrill/fleet/_waves.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from lentilrill.fleet._actions import Withdraw
-from lentilrill.fleet._census import Census
+from lentilrill.fleet._census import FleetState
+from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import HostEntry, HostPhase
-from lentilrill.fleet._tally import Standing, Tally
 from lentilrill.ids import PoolId, StopId
 from lentilrill.settings import PlannedStop
 
-__all__ = ["FAILURE_RESERVE", "Waiting", "expected_s", "stops", "width"]
+__all__ = ["FAILURE_RESERVE", "Waiting", "expected_duration_s", "stop_withdrawals", "wave_size"]
 
 FAILURE_RESERVE = 1
 """Hosts of a budget of two or more that a wave does not use.
@@ -37,7 +37,7 @@
     within_s: float | None
 
 
-def stops(census: Census, waiting: list[Waiting]) -> Iterator[Withdraw]:
+def stop_withdrawals(fleet: FleetState, waiting: list[Waiting]) -> Iterator[Withdraw]:
     """Yield the withdrawals that declared stops need and budgets allow.
 
     All pools empty racks in the same order, starting with racks already begun, so that whole
@@ -45,70 +45,86 @@
 
     :param waiting: list that an entry is appended to for each stop and pool that has to wait.
     """
-    for tally in census.tallies_by_pool.values():
-        if not tally.pending_stops:
+    for pool_state in fleet.states_by_pool.values():
+        if not pool_state.pending_stops:
             continue
-        begun = {
-            tally.entries_by_id[host].rack
-            for host, standing in tally.standing_by_id.items()
-            if standing in (Standing.WITHDRAWING, Standing.STOPPED)
+        begun_racks = {
+            pool_state.entries_by_id[host].rack
+            for host, condition in pool_state.condition_by_id.items()
+            if condition in (HostCondition.WITHDRAWING, HostCondition.STOPPED)
         }
-        asked = sorted(
+        candidates = sorted(
             (
-                (entry.rack not in begun, entry.zone, entry.rack, entry.id, entry, stop)
-                for host, entry in tally.entries_by_id.items()
+                (entry.rack not in begun_racks, entry.zone, entry.rack, entry.id, entry, stop)
+                for host, entry in pool_state.entries_by_id.items()
                 if entry.phase is HostPhase.SERVING
-                and tally.standing_by_id[host] is not Standing.WITHDRAWING
-                and (stop := census.pending_stop(entry)) is not None
+                and pool_state.condition_by_id[host] is not HostCondition.WITHDRAWING
+                and (stop := fleet.pending_stop(entry)) is not None
             ),
             key=lambda item: item[:4],
         )
-        held: dict[StopId, list[str]] = {}
-        for *_, entry, stop in asked:
-            reason = _refusal(tally, entry, stop)
+        reasons_by_stop: dict[StopId, list[str]] = {}
+        for *_, entry, stop in candidates:
+            reason = _blocking_reason(pool_state, entry, stop)
             if reason:
-                held.setdefault(stop.id, []).append(reason)
+                reasons_by_stop.setdefault(stop.id, []).append(reason)
                 continue
-            tally.mark_withdrawn(entry.id, lasts=not stop.retire)
-            yield Withdraw(entry.id, tally.pool, f"planned stop {stop.id}", stop=stop.id)
-        waiting.extend(_note(census, tally, stop, reasons) for stop, reasons in held.items())
+            pool_state.count_withdrawal(entry.id, returns=not stop.retire)
+            yield Withdraw(entry.id, pool_state.pool, f"planned stop {stop.id}", stop=stop.id)
+        waiting.extend(
+            _stop_delay(fleet, pool_state, stop, reasons)
+            for stop, reasons in reasons_by_stop.items()
+        )
 
 
-def width(tally: Tally) -> int:
+def wave_size(pool_state: PoolState) -> int:
     """Return how many hosts of a pool one wave withdraws at once if no host has failed."""
-    if not tally.promise.owed:
-        return max(1, tally.lasting)
-    return max(1, _grantable(tally.lasting - tally.promise.owed + tally.promise.budget))
+    if not pool_state.commitment.owed:
+        return max(1, pool_state.retained)
+    return max(
+        1,
+        _grantable(pool_state.retained - pool_state.commitment.owed + pool_state.commitment.budget),
+    )
 
 
-def expected_s(census: Census, tally: Tally, hosts: int) -> float:
+def expected_duration_s(fleet: FleetState, pool_state: PoolState, hosts: int) -> float:
     """Return the expected seconds for stopping ``hosts`` hosts of a pool."""
-    return math.ceil(hosts / width(tally)) * census.stop_s
+    return math.ceil(hosts / wave_size(pool_state)) * fleet.stop_duration_s
 
 
 def _grantable(slack: int) -> int:
     return slack - FAILURE_RESERVE if slack > FAILURE_RESERVE else slack
 
 
-def _refusal(tally: Tally, entry: HostEntry, stop: PlannedStop) -> str:
+def _blocking_reason(pool_state: PoolState, entry: HostEntry, stop: PlannedStop) -> str:
     """Return why a host can't be withdrawn for a stop now; empty if it can be."""
-    kept = tally.lasting + len(tally.retiring - {entry.id})
-    if stop.retire and kept < tally.promise.owed:
-        owed = tally.promise.owed
-        return f"retiring needs a replacement: the pool would keep {kept} of the {owed} hosts owed"
-    if not tally.available(entry.id):
+    remaining = pool_state.retained + len(pool_state.retiring - {entry.id})
+    if stop.retire and remaining < pool_state.commitment.owed:
+        owed = pool_state.commitment.owed
+        return (
+            "retiring needs a replacement: the pool would keep"
+            f" {remaining} of the {owed} hosts owed"
+        )
+    if not pool_state.is_available(entry.id):
         return ""
-    slack = tally.slack(entry.zone)
-    reserve = FAILURE_RESERVE if tally.out and tally.promise.owed else 0
+    slack = pool_state.slack(entry.zone)
+    reserve = FAILURE_RESERVE if pool_state.withdrawn and pool_state.commitment.owed else 0
     if slack > reserve:
         return ""
-    serving = tally.available_by_zone.total()
+    serving = pool_state.available_by_zone.total()
     return (
-        f"{serving} hosts serve, {tally.promise.owed} are owed with {tally.promise.budget}"
-        f" allowed away; {tally.out} withdrawn, {tally.lost} failed or in trouble"
+        f"{serving} hosts serve, {pool_state.commitment.owed} are owed"
+        f" with {pool_state.commitment.budget} allowed away;"
+        f" {pool_state.withdrawn} withdrawn, {pool_state.lost} failed or in trouble"
     )
 
 
-def _note(census: Census, tally: Tally, stop: StopId, reasons: list[str]) -> Waiting:
-    within = expected_s(census, tally, len(reasons)) if tally.out or tally.incoming else None
-    return Waiting(stop, tally.pool, len(reasons), reasons[0], within)
+def _stop_delay(
+    fleet: FleetState, pool_state: PoolState, stop: StopId, reasons: list[str]
+) -> Waiting:
+    within_s = (
+        expected_duration_s(fleet, pool_state, len(reasons))
+        if pool_state.withdrawn or pool_state.incoming
+        else None
+    )
+    return Waiting(stop, pool_state.pool, len(reasons), reasons[0], within_s)
--- a/src/lentilrill/fleet/_writer.py
+++ b/src/lentilrill/fleet/_writer.py
@@ -13,9 +13,9 @@
 from lentilrill.store import KeyValue, Mirror
 from lentilrill.telemetry import Event, Metrics, log
 
-__all__ = ["Writer"]
+__all__ = ["ActionWriter"]
 
-CONFLICT_PAUSE_S = 5.0
+CONFLICT_BACKOFF_S = 5.0
 """Delay before the next write to a pool after a conflict, unless newer state arrives."""
 
 _EVENTS: dict[type, Event] = {
@@ -31,16 +31,16 @@
     """Outcome of one write."""
 
     DONE = "done"
-    LOST = "lost"
+    REJECTED = "lost"
     """Conflict with another writer, or a refusal of this write; other writes may succeed."""
-    AWAY = "away"
+    UNREACHABLE = "away"
     """No answer from the platform."""
 
 
-_AWAY = (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS, FaultKind.EXHAUSTED)
+_UNREACHABLE_KINDS = (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS, FaultKind.EXHAUSTED)
 
 
-class Writer:
+class ActionWriter:
     """Writer of actions through a :class:`Ledger`, with log lines and metrics.
 
     :param clock: returns seconds since the epoch.
@@ -53,20 +53,20 @@
         self._mirror = mirror
         self._metrics = metrics
         self._clock = clock
-        self._conflicts: dict[PoolId, tuple[Revision, float]] = {}
+        self._conflicts_by_pool: dict[PoolId, tuple[Revision, float]] = {}
 
     def write(self, document: Document, actions: list[Action], basis: Basis) -> bool:
         """Create missing pool records, write the actions, and remove undeclared empty pools.
 
         :return: whether all writes succeeded.
         """
-        for pool in self._conflicts.keys() - basis.records.keys():
-            del self._conflicts[pool]
+        for pool in self._conflicts_by_pool.keys() - basis.records.keys():
+            del self._conflicts_by_pool[pool]
         if not self._create_pools(document, basis):
             return False
-        all_done = self._write_all(actions, basis)
+        all_written = self._write_all(actions, basis)
         self._remove_pools(document, basis)
-        return all_done
+        return all_written
 
     def _create_pools(self, document: Document, basis: Basis) -> bool:
         missing = [pool.id for pool in document.pools if pool.id not in basis.records]
@@ -86,49 +86,49 @@
                     log(Event.FLEET_WRITE_FAILED, fault=answer.failure(), pool=pool)
 
     def _write_all(self, actions: list[Action], basis: Basis) -> bool:
-        all_done = True
-        steps_by_pool: dict[PoolId, list[Action]] = {}
-        moves_by_pools: dict[tuple[PoolId, PoolId], list[HostId]] = {}
+        all_written = True
+        actions_by_pool: dict[PoolId, list[Action]] = {}
+        hosts_by_move: dict[tuple[PoolId, PoolId], list[HostId]] = {}
         for action in actions:
-            if self._is_held_back(action.pool):
+            if self._is_backing_off(action.pool):
                 continue
             if isinstance(action, Close) and action.target is not None:
-                moves_by_pools.setdefault((action.pool, action.target), []).append(action.host)
+                hosts_by_move.setdefault((action.pool, action.target), []).append(action.host)
             else:
-                steps_by_pool.setdefault(action.pool, []).append(action)
-        for (pool, target), hosts in moves_by_pools.items():
+                actions_by_pool.setdefault(action.pool, []).append(action)
+        for (pool, target), hosts in hosts_by_move.items():
             moved = [a for a in actions if a.host in hosts and a.pool == pool]
-            outcome = self._done(self._ledger.move(pool, target, hosts, basis), moved)
-            all_done = all_done and outcome is Outcome.DONE
-            if outcome is Outcome.AWAY:
+            outcome = self._log_outcome(self._ledger.move(pool, target, hosts, basis), moved)
+            all_written = all_written and outcome is Outcome.DONE
+            if outcome is Outcome.UNREACHABLE:
                 return False
-        for pool, steps in steps_by_pool.items():
-            outcome = self._done(self._ledger.apply(pool, steps, basis), steps)
-            all_done = all_done and outcome is Outcome.DONE
-            if outcome is Outcome.AWAY:
+        for pool, pool_actions in actions_by_pool.items():
+            outcome = self._log_outcome(self._ledger.apply(pool, pool_actions, basis), pool_actions)
+            all_written = all_written and outcome is Outcome.DONE
+            if outcome is Outcome.UNREACHABLE:
                 return False
-        return all_done
+        return all_written
 
-    def _is_held_back(self, pool: PoolId) -> bool:
+    def _is_backing_off(self, pool: PoolId) -> bool:
         """Return whether a write to a pool would only fail with the same conflict again.
 
         A process that no longer receives state updates but still reaches the platform would
         otherwise retry each of its pools in every round and flood the platform with calls.
         """
-        revision, until = self._conflicts.get(pool, (Revision(-1), 0.0))
+        revision, until = self._conflicts_by_pool.get(pool, (Revision(-1), 0.0))
         return revision == self._mirror.complete_to and self._clock() < until
 
-    def _done(self, answer: Result[None, Fault], actions: list[Action]) -> Outcome:
+    def _log_outcome(self, answer: Result[None, Fault], actions: list[Action]) -> Outcome:
         """Log the outcome of a write and return it."""
         if isinstance(answer, Failure):
             fault = answer.failure()
             self._metrics.incr("fleet.write_failed")
             pool = actions[0].pool
             if fault.kind is FaultKind.CONFLICT:
-                until = self._clock() + CONFLICT_PAUSE_S
-                self._conflicts[pool] = (self._mirror.complete_to, until)
+                until = self._clock() + CONFLICT_BACKOFF_S
+                self._conflicts_by_pool[pool] = (self._mirror.complete_to, until)
             log(Event.FLEET_WRITE_FAILED, fault=fault, pool=pool)
-            return Outcome.AWAY if fault.kind in _AWAY else Outcome.LOST
+            return Outcome.UNREACHABLE if fault.kind in _UNREACHABLE_KINDS else Outcome.REJECTED
         for action in actions:
             self._metrics.incr(f"fleet.{type(action).__name__.lower()}")
             target = getattr(action, "target", None) or ""
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -35,7 +35,7 @@
     return world
 
 
-def out(world: World, pool: str = "ballots") -> int:
+def count_withdrawn(world: World, pool: str = "ballots") -> int:
     return len(world.in_phase(pool, WITHDRAWING)) + len(world.in_phase(pool, STOPPED))
 
 
@@ -54,7 +54,7 @@
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
         self.assertEqual(["h0"], world.in_phase("ballots", WITHDRAWING))
 
-    def test_a_promise_that_grows_as_a_stop_is_granted(self) -> None:
+    def test_a_budget_is_reduced_while_a_stop_is_granted(self) -> None:
         # A plan got fewer hosts than owed: its budget was edited to zero at the moment when a
         # controller granted a stop on the basis of the older document.
         world = a_world(2, 1, 2)
@@ -64,41 +64,41 @@
         world.run(3)
         self.assertEqual(0, world.metrics.counts["fleet.withdraw"])
 
-    def test_a_promise_that_grows_as_a_controller_looks(self) -> None:
+    def test_a_budget_is_reduced_while_a_controller_plans(self) -> None:
         # As above, but the newer document arrives between the read of the document and the read
         # of its revision.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
         world.sync()
         strict = a_plan("ballots", hosts_owed=2, availability_budget=0)
-        news = [lambda: world.change(plans=(strict,)), world.sync]
+        updates = [lambda: world.change(plans=(strict,)), world.sync]
 
         class Racing(FleetView):
             def _read(self, value: object) -> object:
-                while news:
-                    news.pop(0)()
+                while updates:
+                    updates.pop(0)()
                 return value
 
             document = property(lambda self: self._read(self._document))
             document_revision = property(lambda self: self._read(self._document_revision))
 
         controller = world.controllers[0]
-        controller.task._look_is_due = lambda listing: True
+        controller.task._is_planning_due = lambda listing: True
         controller.view.__class__ = Racing
         world.now += 1
-        controller.task.round()
-        self.assertEqual(0, out(world))
+        controller.task.run_once()
+        self.assertEqual(0, count_withdrawn(world))
 
     def test_a_wave_leaves_room_for_a_failure(self) -> None:
         world = a_world(6, 3, 6)
         world.change(stops=(a_stop(world.entries("ballots")),))
         world.run(4)
-        self.assertEqual(2, out(world))
+        self.assertEqual(2, count_withdrawn(world))
         del world.hosts.infos_by_id[world.in_phase("ballots", SERVING)[0]]
         world.run(3)
         report = world.controllers[0].task.look()
         self.assertEqual(3, report.pools[0].serving)
-        self.assertFalse(report.pools[0].broken)
+        self.assertFalse(report.pools[0].is_overspent)
 
     def test_failures_within_a_wave_pause_it_and_say_why(self) -> None:
         world = a_world(6, 2, 6)
@@ -109,7 +109,7 @@
         world.reboot(stopped[0])
         world.run(4)
         report = world.controllers[0].task.look()
-        self.assertEqual(0, out(world))
+        self.assertEqual(0, count_withdrawn(world))
         self.assertIs(StopState.PAUSED, report.stops[0].state)
         self.assertIn("2 failed or in trouble", report.stops[0].waits[0].reason)
 
@@ -123,12 +123,12 @@
         world.change(stops=(a_stop(["h1"]),))
         world.sync()
         world.now += 1
-        far.task.round()
+        far.task.run_once()
         world.now += 6
-        far.task.round()
-        self.assertEqual(0, out(world))
+        far.task.run_once()
+        self.assertEqual(0, count_withdrawn(world))
 
-    def test_a_withdrawal_is_called_back_as_failures_overspend(self) -> None:
+    def test_a_withdrawal_is_cancelled_if_failures_overspend_the_budget(self) -> None:
         # No host was available: other hosts failed while one was draining for a stop. The
         # draining host had not been released, so it could have served again at once.
         world = a_world(3, 1, 3)
@@ -137,7 +137,7 @@
         self.assertEqual(["h0"], world.in_phase("ballots", WITHDRAWING))
         del world.hosts.infos_by_id["h1"]
         world.run(2, acks=False)
-        self.assertEqual(0, out(world))
+        self.assertEqual(0, count_withdrawn(world))
 
     def test_no_stop_is_granted_by_an_old_list(self) -> None:
         # No host was available: the host list had not been updated since before hosts failed.
@@ -145,10 +145,10 @@
         world.controllers[0].hosts.down = True
         world.change(stops=(a_stop(["h0"]),))
         world.run(5, step_s=60)
-        self.assertEqual(0, out(world))
+        self.assertEqual(0, count_withdrawn(world))
         world.controllers[0].hosts.down = False
         world.run(3)
-        self.assertEqual(1, out(world))
+        self.assertEqual(1, count_withdrawn(world))
 
     def test_plans_confined_to_a_zone_keep_their_hosts_there(self) -> None:
         plan = a_plan("ballots", hosts_owed=2, availability_budget=1)
@@ -174,7 +174,7 @@
         world = a_world(2, 0, 2, spare=1, objective=Objective(settle_s=5.0))
         world.change(stops=(a_stop(["h0", "h1"]),))
         world.run(30)
-        self.assertEqual(1, out(world))
+        self.assertEqual(1, count_withdrawn(world))
         self.assertEqual(2, len(world.in_phase("ballots", SERVING)))
 
     def test_the_spare_pool_lends_within_its_own_budget(self) -> None:
@@ -186,7 +186,7 @@
         world.run(2)
         world.change(stops=(a_stop([min(world.entries("desk"))]),))
         world.run(4)
-        self.assertEqual(1, out(world, "desk"))
+        self.assertEqual(1, count_withdrawn(world, "desk"))
         del world.hosts.infos_by_id[min(world.entries("ballots"))]
         world.run(60)
         self.assertEqual(2, len(world.in_phase("desk", SERVING)))
@@ -195,7 +195,7 @@
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"], retire=True),))
         world.run(5)
-        self.assertEqual(0, out(world))
+        self.assertEqual(0, count_withdrawn(world))
         reason = world.controllers[0].task.look().stops[0].waits[0].reason
         self.assertIn("would keep 1 of the 2 hosts owed", reason)
 
@@ -218,7 +218,7 @@
             world.run(2)
         self.assertEqual(before, world.records())
 
-    def test_a_controller_that_begins_to_look_waits_as_well(self) -> None:
+    def test_a_controller_that_starts_to_plan_waits_as_well(self) -> None:
         # A host moved for a failure of one second: the controller had recorded another failure an
         # hour before, and had not planned in between.
         world = a_world(3, 0, 3, spare=3)
@@ -259,7 +259,7 @@
         self.assertEqual({"desk"}, set(world.records()))
         self.assertEqual(4, len(world.entries("desk")))
 
-    def test_a_lost_race_is_not_run_again_by_the_same_state(self) -> None:
+    def test_a_conflicting_write_is_not_retried_on_the_same_state(self) -> None:
         # The platform was flooded with calls: a controller without state updates repeated every
         # conflicting write.
         world = a_world(2, 1, 2)
@@ -269,10 +269,10 @@
         calls = world.kv.calls["commit"]
         for _ in range(20):
             world.now += 1
-            world.controllers[0].task.round()
+            world.controllers[0].task.run_once()
         self.assertEqual(4, world.kv.calls["commit"] - calls)
 
-    def test_calls_follow_pools_and_not_hosts(self) -> None:
+    def test_calls_grow_with_pools_and_not_with_hosts(self) -> None:
         calls = []
         for hosts in (20, 200):
             world = a_world(hosts // 2, 4, hosts // 2, spare=hosts // 2)
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_coordination.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from lentilrill.fleet._actions import Action, Close, Withdraw
-from lentilrill.fleet._turns import Turns
+from lentilrill.fleet._coordination import ActionCoordinator
 from lentilrill.ids import HostId, PoolId, ZoneId
 from lentilrill.membership import Member, Role, rendezvous
 from tests.builders import a_member
@@ -12,7 +12,7 @@
 POOL = PoolId("library")
 
 
-class TurnsTest(TestCase):
+class CoordinationTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.members = [
@@ -26,14 +26,18 @@
         # acknowledged. Gateways send acknowledgements only to the controllers of their own
         # zone, but the first candidate of the pool was in another zone and never saw the action,
         # while the other controllers waited for it.
-        turns = Turns(FakeRoster(self.second, self.members))
+        coordinator = ActionCoordinator(FakeRoster(self.second, self.members))
         close = Close(HostId("w1"), POOL, "all gateways acknowledged the withdrawal")
-        self.assertEqual([close], turns.mine([close], {close.host: self.second.zone}, 0.0))
+        self.assertEqual(
+            [close], coordinator.own_actions([close], {close.host: self.second.zone}, 0.0)
+        )
 
     def test_a_proposal_is_left_to_the_first_in_order(self) -> None:
         propose = Withdraw(HostId("w1"), POOL, "planned stop")
-        self.assertEqual([], self.mine(self.second, propose))
-        self.assertEqual([propose], self.mine(self.first, propose))
+        self.assertEqual([], self.actions_of(self.second, propose))
+        self.assertEqual([propose], self.actions_of(self.first, propose))
 
-    def mine(self, me: Member, action: Action) -> list[Action]:
-        return Turns(FakeRoster(me, self.members)).mine([action], {action.host: me.zone}, 0.0)
+    def actions_of(self, me: Member, action: Action) -> list[Action]:
+        return ActionCoordinator(FakeRoster(me, self.members)).own_actions(
+            [action], {action.host: me.zone}, 0.0
+        )
--- a/tests/fleet/test_random.py
+++ b/tests/fleet/test_random.py
@@ -95,8 +95,8 @@
         )
         self.world = World(document, ())
         self.gateways: list[Gateway] = []
-        self.mail: list[WithdrawalAck] = []
-        self.born = 0
+        self.acks: list[WithdrawalAck] = []
+        self.gateways_started = 0
         for zone in ZONES:
             self.join(zone)
         for n, host in enumerate(HOSTS):
@@ -108,8 +108,8 @@
         self.time_passes(1.0, set(), set(), 2)
 
     def join(self, zone: str) -> None:
-        self.born += 1
-        member = a_member(f"gw{self.born}", zone=ZoneId(zone))
+        self.gateways_started += 1
+        member = a_member(f"gw{self.gateways_started}", zone=ZoneId(zone))
         self.gateways.append(Gateway(self.world, member))
         self.world.register(member)
 
@@ -168,7 +168,7 @@
     @rule(n=numbers)
     def a_controller_looks(self, n: int) -> None:
         self.acting = self.world.controllers[n]
-        self.acting.task.round()
+        self.acting.task.run_once()
 
     @rule(n=numbers, commits=st.integers(0, 1))
     def a_controller_crashes_within_a_round(self, n: int, commits: int) -> None:
@@ -181,7 +181,7 @@
         controller = self.acting = self.world.controllers[n]
         self.world.kv.before_commit = crash
         with contextlib.suppress(CrashError):
-            controller.task.round()
+            controller.task.run_once()
         self.world.kv.before_commit = None
         self.world.controllers.remove(controller)
         self.world.members.remove(controller.member)
@@ -209,10 +209,10 @@
         if n < len(self.gateways) and self.gateways[n].checked:
             self.gateways[n].send()
 
-    @precondition(lambda self: self.mail)
+    @precondition(lambda self: self.acks)
     @rule(n=numbers, old=st.integers(0, 5))
     def an_acknowledgement_arrives(self, n: int, old: int) -> None:
-        ack = self.mail[old % len(self.mail)]
+        ack = self.acks[old % len(self.acks)]
         member = ack.member
         batch = Batch(member.process, member.incarnation, member.inner, (ack,))
         self.world.controllers[n].node.deliver(batch)
@@ -230,20 +230,20 @@
             self.world.now += min(seconds, 44.0)
             for n, gateway in enumerate(self.gateways):
                 if n not in deaf:
-                    self.go_on(gateway)
+                    self.resume(gateway)
             self.world.now += 6.0
             for n, controller in enumerate(self.world.controllers):
                 if n not in blind:
                     self.world.kv.sync(controller.mirror)
                 self.acting = controller
-                controller.task.round()
+                controller.task.run_once()
 
-    def go_on(self, gateway: Gateway) -> None:
+    def resume(self, gateway: Gateway) -> None:
         if gateway.checked:
             gateway.send()
         self.world.kv.sync(gateway.mirror)
-        self.mail = [*self.mail, gateway.ack()][-6:]
-        self.world.say(gateway.member, self.mail[-1])
+        self.acks = [*self.acks, gateway.ack()][-6:]
+        self.world.send_message(gateway.member, self.acks[-1])
 
     @rule(zone=st.sampled_from(ZONES))
     def a_gateway_joins(self, zone: str) -> None:
@@ -298,15 +298,15 @@
 
     @invariant()
     def a_host_stands_in_one_record_and_its_shard(self) -> None:
-        stands = [e.id for record, _ in self.world.records().values() for e in record.hosts]
-        assert len(stands) == len(set(stands)), "a host is in two records"
+        assigned_hosts = [e.id for record, _ in self.world.records().values() for e in record.hosts]
+        assert len(assigned_hosts) == len(set(assigned_hosts)), "a host is in two records"
         assigned = {
             host
             for shard in range(ASSIGNED_SHARDS)
             if (item := self.world.kv.items_by_key.get(assigned_key(shard)))
             for host in msgspec.json.decode(item.value or b"", type=AssignedRecord).hosts
         }
-        assert assigned == set(stands), assigned ^ set(stands)
+        assert assigned == set(assigned_hosts), assigned ^ set(assigned_hosts)
 
     @invariant()
     def the_program_met_no_broken_invariant(self) -> None:
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -32,7 +32,7 @@
             self.world.host(f"h{n}", rack=f"r{n % 2}")
         self.controller = self.world.controller()
 
-    def test_new_hosts_are_put_where_they_are_owed(self) -> None:
+    def test_new_hosts_are_assigned_where_they_are_owed(self) -> None:
         self.world.run(2)
         self.assertEqual(2, len(self.world.entries("ballots")))
         self.assertEqual(4, len(self.world.entries("desk")))
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -6,8 +6,8 @@
 
 from lentilrill.fleet import HostPhase, PoolRecord
 from lentilrill.fleet._actions import Assign
+from lentilrill.fleet._coordination import ControllerRank
 from lentilrill.fleet._ledger import Basis, Ledger
-from lentilrill.fleet._turns import Place
 from lentilrill.ids import HostId, Incarnation, PoolId, Revision, StopId
 from lentilrill.inner import Barred, WithdrawalAck
 from lentilrill.settings import Document, PlannedStop
@@ -40,7 +40,7 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
         return self.world.records()[PoolId("ballots")][1]
 
-    def test_silence_and_time_are_no_acknowledgement(self) -> None:
+    def test_silence_and_time_do_not_count_as_acknowledgements(self) -> None:
         # A request was cut off: a gateway that was paused for an hour between its check and its
         # send resumed and sent to a host that had been released because the gateway was silent.
         self.propose()
@@ -49,23 +49,23 @@
         self.world.run(2)
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
-    def test_a_newcomer_is_asked_too(self) -> None:
+    def test_a_new_gateway_must_acknowledge_too(self) -> None:
         # A job reached a stopped host: a gateway had registered before the stop was proposed, but
         # the controller that closed the withdrawal had not received the new zone record yet.
-        newcomer = a_member("gw-new")
+        new_gateway = a_member("gw-new")
         self.world.change(stops=(a_stop("h1"),))
         self.world.sync()
-        self.world.register(newcomer)
+        self.world.register(new_gateway)
         self.world.now += 1
-        self.controller.task.round()
+        self.controller.task.run_once()
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
         self.world.ack(self.gateway)
-        self.controller.task.round()
+        self.controller.task.run_once()
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
         self.world.run(2)
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
-    def test_an_acknowledgement_of_a_cancelled_stop_counts_no_more(self) -> None:
+    def test_an_acknowledgement_of_a_cancelled_stop_does_not_count(self) -> None:
         # A job reached a stopped host: the gateway had acknowledged, the stop was cancelled and
         # the gateway sent again; then the stop was declared again and the old message was late.
         first = self.propose()
@@ -74,11 +74,11 @@
         self.assertEqual(HostPhase.SERVING, self.phase())
         self.propose()
         late = WithdrawalAck(self.gateway, (Barred(HostId("h1"), first),))
-        self.world.say(self.gateway, late)
+        self.world.send_message(self.gateway, late)
         self.world.run(2, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
-    def test_each_incarnation_speaks_for_itself(self) -> None:
+    def test_each_incarnation_must_acknowledge(self) -> None:
         # A job reached a stopped host: the gateway acknowledged and was restarted, and its next
         # incarnation loaded an old state that did not contain the stop.
         self.propose()
@@ -90,15 +90,15 @@
         self.world.run(2, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
-    def test_a_message_speaks_for_its_sender_only(self) -> None:
+    def test_an_acknowledgement_counts_only_from_its_sender(self) -> None:
         # A job reached a stopped host: a message of another process named this gateway.
         revision = self.propose()
         ack = WithdrawalAck(self.gateway, (Barred(HostId("h1"), revision),))
-        self.world.say(a_member("stray"), ack)
+        self.world.send_message(a_member("stray"), ack)
         self.world.run(2, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
-    def test_a_host_is_taken_in_once(self) -> None:
+    def test_a_host_is_assigned_once(self) -> None:
         # One host got jobs of two pools: a controller with an old view saw the host as new and
         # added it to another pool, whose record had not changed, so no comparison failed.
         self.world.host("h9")
@@ -112,7 +112,7 @@
             answers.append(ledger.apply(pool, [Assign(HostId("h9"), pool, info, "")], basis))
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
 
-    def test_two_controllers_race_to_take_a_host_in(self) -> None:
+    def test_two_controllers_race_to_assign_a_host(self) -> None:
         # As above, with the write of one controller between the read and write of the other.
         self.world.host("h9")
         info = self.world.hosts.infos_by_id["h9"]
@@ -127,7 +127,7 @@
         self.world.kv.before_commit = lambda: self.assertIsInstance(assign("b"), Success)
         self.assertIsInstance(assign("a"), Failure)
 
-    def test_a_lost_answer_is_learned_from_the_state(self) -> None:
+    def test_a_lost_answer_is_recovered_from_the_state(self) -> None:
         self.world.kv.lose_answers = 1
         self.world.change(stops=(a_stop("h1", "h2"),))
         self.world.run(3, acks=False)
@@ -146,7 +146,7 @@
         self.world.run(3)
         self.assertEqual(HostPhase.SERVING, self.phase(), "stopped again for the same stop")
 
-    def test_a_retired_host_is_forgotten_and_not_taken_in_again(self) -> None:
+    def test_a_retired_host_is_dropped_and_not_assigned_again(self) -> None:
         self.world.host("h3")
         self.world.run(2)
         self.world.change(stops=(a_stop("h1", retire=True),))
@@ -165,7 +165,7 @@
         self.world.run(2, acks=False)
         self.assertEqual(["h1"], self.world.in_phase("ballots", HostPhase.SERVING))
 
-    def test_a_new_address_is_taken_over_through_a_withdrawal(self) -> None:
+    def test_a_new_address_is_recorded_after_a_withdrawal(self) -> None:
         # Jobs of one pool reached a host of another: the platform gave a restarted host a new
         # address, and its old address to a new host.
         self.world.relist("h1", address="10.0.0.8:8", since=self.world.now)
@@ -194,7 +194,7 @@
         self.world.run(60, acks=False)
         self.world.ack(self.gateway, self.controller)
         self.world.now += 0.1
-        self.controller.task.round()
+        self.controller.task.run_once()
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
     def test_a_gone_host_is_dropped_only_after_a_withdrawal(self) -> None:
@@ -221,14 +221,14 @@
         self.world.run(5)
         self.assertEqual(HostPhase.SERVING, self.phase())
 
-    def test_the_second_controller_takes_up_what_the_first_leaves(self) -> None:
+    def test_the_backup_controller_takes_over_from_the_primary(self) -> None:
         # A stop never ended: the first controller of the zone was alive to its peers but cut off
         # from the platform, and only controllers of that zone receive acknowledgements.
         second = self.world.controller("c2")
         self.world.controllers = [self.controller, second]
-        if second.task._turns.place() is Place.FIRST:
+        if second.task._coordinator.rank() is ControllerRank.PRIMARY:
             self.controller, second = second, self.controller
-        self.assertIs(Place.SECOND, second.task._turns.place())
+        self.assertIs(ControllerRank.BACKUP, second.task._coordinator.rank())
         self.world.controllers = [second]
         self.world.change(stops=(a_stop("h1"),))
         self.world.run(80)
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -123,7 +123,7 @@
                 for gateway in list(self.gateways.values()):
                     self.ack(gateway)
             for controller in self.controllers:
-                controller.task.round()
+                controller.task.run_once()
             self.sync()
 
     def ack(self, gateway: Member, to: Controller | None = None, *hosts: str) -> None:
@@ -136,13 +136,13 @@
             and entry.zone == gateway.zone
             and (not hosts or entry.id in hosts)
         )
-        self.say(gateway, WithdrawalAck(gateway, barred), to)
+        self.send_message(gateway, WithdrawalAck(gateway, barred), to)
 
     def trouble(self, gateway: Member, ejected: tuple = (), leaving: tuple = ()) -> None:
         """Send a gateway's report of ejected and leaving hosts."""
-        self.say(gateway, HostTrouble(gateway, ejected, leaving))
+        self.send_message(gateway, HostTrouble(gateway, ejected, leaving))
 
-    def say(self, member: Member, message: object, to: Controller | None = None) -> None:
+    def send_message(self, member: Member, message: object, to: Controller | None = None) -> None:
         """Deliver a message to one controller, or to all."""
         batch = Batch(member.process, member.incarnation, member.inner, (message,))  # type: ignore
         for controller in [to] if to else self.controllers:
