--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -9,7 +9,7 @@
 from lentilrill.fleet import DOCUMENT_KEY, HostPhase, PoolRecord, WaveReport
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.fleet._budget import promises
-from lentilrill.fleet._census import Memory, Sight
+from lentilrill.fleet._census import FleetSnapshot, Memory
 from lentilrill.fleet._ledger import Basis, Ledger
 from lentilrill.fleet._planner import plan
 from lentilrill.fleet._records import HostEntry
@@ -163,7 +163,7 @@
         for _ in range(3):
             self._step(quiet=True)
 
-    def sight(self) -> Sight:
+    def sight(self) -> FleetSnapshot:
         """Return what a look goes by now."""
         hosts = tuple(i for h, i in self.infos_by_id.items() if h not in self.back_at)
         records = {pool: record for pool, (record, _) in self.records.items()}
@@ -174,7 +174,7 @@
             if entry.phase is HostPhase.WITHDRAWING and self.now - entry.proposed >= DRAIN_S
         )
         listing = HostListing(hosts, self.now)
-        return Sight(self.document, records, listing, self.now, closable=closable)
+        return FleetSnapshot(self.document, records, listing, self.now, closable=closable)
 
     def _declare(self) -> None:
         self.document_revision = self.kv.put(DOCUMENT_KEY, msgspec.json.encode(self.document))
--- a/src/lentilrill/fleet/_census.py
+++ b/src/lentilrill/fleet/_census.py
@@ -12,7 +12,7 @@
 from lentilrill.settings import Document, PlannedStop, Pool
 from lentilrill.store import HostInfo, HostKind, HostListing, HostState
 
-__all__ = ["FleetState", "Memory", "Sight", "fits", "is_leaving"]
+__all__ = ["FleetSnapshot", "FleetState", "Memory", "fits", "is_leaving"]
 
 DEFAULT_STOP_S = 600.0
 """Assumed duration of a planned stop of one host until one has been completed."""
@@ -46,7 +46,7 @@
         return now - times.setdefault(key, now)
 
 
-class Sight(msgspec.Struct, frozen=True):
+class FleetSnapshot(msgspec.Struct, frozen=True):
     """Input of one planning round.
 
     :param listing: the platform's host list.
@@ -68,7 +68,7 @@
 class FleetState:
     """Condition of every host in the records, with the host list and the declared stops."""
 
-    def __init__(self, snapshot: Sight, history: Memory) -> None:
+    def __init__(self, snapshot: FleetSnapshot, history: Memory) -> None:
         self.snapshot = snapshot
         self.history = history
         self.infos_by_id = {h.id: h for h in snapshot.listing.hosts if h.kind is HostKind.WORKER}
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from lentilrill.fleet._actions import Action, Withdraw
-from lentilrill.fleet._census import FleetState, Memory, Sight
+from lentilrill.fleet._census import FleetSnapshot, FleetState, Memory
 from lentilrill.fleet._host_actions import host_actions
 from lentilrill.fleet._lending import assignments, loans
 from lentilrill.fleet._waves import Waiting, stop_withdrawals
@@ -25,7 +25,7 @@
     fleet: FleetState
 
 
-def plan(snapshot: Sight, history: Memory) -> Decision:
+def plan(snapshot: FleetSnapshot, history: Memory) -> Decision:
     """Compute the actions to take now.
 
     The call has no effect outside ``history``, so any number of processes may plan at once.
@@ -42,7 +42,9 @@
     return Decision(tuple(actions), tuple(waiting), fleet)
 
 
-def overspending_withdrawals(snapshot: Sight, actions: tuple[Action, ...]) -> dict[HostId, PoolId]:
+def overspending_withdrawals(
+    snapshot: FleetSnapshot, actions: tuple[Action, ...]
+) -> dict[HostId, PoolId]:
     """Return the withdrawals of serving hosts that would overspend a pool's budget.
 
     Counts from the snapshot again, independently of the counts of the planner.
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -9,7 +9,7 @@
 
 from lentilrill.fleet._acks import Acknowledgements
 from lentilrill.fleet._actions import Action, Close, Return
-from lentilrill.fleet._census import Memory, Sight
+from lentilrill.fleet._census import FleetSnapshot, Memory
 from lentilrill.fleet._coordination import ActionCoordinator, ControllerRank
 from lentilrill.fleet._ledger import Basis
 from lentilrill.fleet._listing import HostListReader
@@ -195,7 +195,7 @@
         if now - self._planned_at > HISTORY_MAX_GAP_S:
             self._history = Memory()
         self._planned_at = now
-        snapshot = Sight(document, pool_records, listing, now, ejected, leaving, closable)
+        snapshot = FleetSnapshot(document, pool_records, listing, now, ejected, leaving, closable)
         decision = plan(snapshot, self._history)
         self._report = report(decision, unacknowledged)
         self._log_waiting(decision)
