--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -9,7 +9,7 @@
 from lentilrill.fleet import DOCUMENT_KEY, HostPhase, PoolRecord, WaveReport
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.fleet._budget import promises
-from lentilrill.fleet._census import FleetSnapshot, Memory
+from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._ledger import Basis, Ledger
 from lentilrill.fleet._planner import plan
 from lentilrill.fleet._records import HostEntry
@@ -101,7 +101,7 @@
         self.document = site.document()
         self.kv = FakeKeyValue()
         self.ledger = Ledger(self.kv, Mirror())
-        self.memory = Memory()
+        self.memory = PlanningHistory()
         self.infos_by_id = {info.id: info for info in site.infos()}
         self.back_at: dict[HostId, float] = {}
         self.records: dict[PoolId, tuple[PoolRecord, Revision]] = {}
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -10,7 +10,7 @@
 from bench._fleet_optimum import naive_moves, optimum
 from bench._fleet_sim import DAY_S, DRAIN_S, MAINTENANCE_S, Fleet, Site
 from lentilrill.fleet import PoolRecord
-from lentilrill.fleet._census import Memory
+from lentilrill.fleet._census import PlanningHistory
 from lentilrill.fleet._planner import plan
 from lentilrill.ids import PoolId
 from lentilrill.settings import Document, Objective
@@ -74,7 +74,7 @@
         site = Site("cost", pools, hosts, 11, hosts - 1, hosts - 4, 4, 0.0, FEW_MOVES)
         run = Fleet(site)
         run.settle()
-        sight, memory = run.sight(), Memory()
+        sight, memory = run.sight(), PlanningHistory()
         plan(sight, memory)
         times = []
         for _ in range(15):
--- a/src/lentilrill/fleet/_census.py
+++ b/src/lentilrill/fleet/_census.py
@@ -12,7 +12,7 @@
 from lentilrill.settings import Document, PlannedStop, Pool
 from lentilrill.store import HostInfo, HostKind, HostListing, HostState
 
-__all__ = ["FleetSnapshot", "FleetState", "Memory", "fits", "is_leaving"]
+__all__ = ["FleetSnapshot", "FleetState", "PlanningHistory", "fits", "is_leaving"]
 
 DEFAULT_STOP_S = 600.0
 """Assumed duration of a planned stop of one host until one has been completed."""
@@ -22,7 +22,7 @@
 """Share of missing hosts above which a zone is taken as cut off and keeps its hosts."""
 
 
-class Memory:
+class PlanningHistory:
     """Start times of conditions, kept between planning rounds; lost when the process ends.
 
     Times are seconds since the epoch, of the first round in which the condition held.
@@ -68,7 +68,7 @@
 class FleetState:
     """Condition of every host in the records, with the host list and the declared stops."""
 
-    def __init__(self, snapshot: FleetSnapshot, history: Memory) -> None:
+    def __init__(self, snapshot: FleetSnapshot, history: PlanningHistory) -> None:
         self.snapshot = snapshot
         self.history = history
         self.infos_by_id = {h.id: h for h in snapshot.listing.hosts if h.kind is HostKind.WORKER}
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from lentilrill.fleet._actions import Action, Withdraw
-from lentilrill.fleet._census import FleetSnapshot, FleetState, Memory
+from lentilrill.fleet._census import FleetSnapshot, FleetState, PlanningHistory
 from lentilrill.fleet._host_actions import host_actions
 from lentilrill.fleet._lending import assignments, loans
 from lentilrill.fleet._waves import Waiting, stop_withdrawals
@@ -25,7 +25,7 @@
     fleet: FleetState
 
 
-def plan(snapshot: FleetSnapshot, history: Memory) -> Decision:
+def plan(snapshot: FleetSnapshot, history: PlanningHistory) -> Decision:
     """Compute the actions to take now.
 
     The call has no effect outside ``history``, so any number of processes may plan at once.
@@ -53,7 +53,7 @@
     withdrawals = [action for action in actions if isinstance(action, Withdraw)]
     if not withdrawals:
         return overspending
-    fleet = FleetState(snapshot, Memory())
+    fleet = FleetState(snapshot, PlanningHistory())
     for action in withdrawals:
         pool_state = fleet.states_by_pool[action.pool]
         if not pool_state.is_available(action.host):
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -9,7 +9,7 @@
 
 from lentilrill.fleet._acks import Acknowledgements
 from lentilrill.fleet._actions import Action, Close, Return
-from lentilrill.fleet._census import FleetSnapshot, Memory
+from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._coordination import ActionCoordinator, ControllerRank
 from lentilrill.fleet._ledger import Basis
 from lentilrill.fleet._listing import HostListReader
@@ -79,7 +79,7 @@
         self._writer = ActionWriter(kv, view.mirror, metrics, clock)
         self._acks = Acknowledgements()
         self._coordinator = ActionCoordinator(roster)
-        self._history = Memory()
+        self._history = PlanningHistory()
         self._planned_at = 0.0
         self._trouble_reports = TroubleReports(roster)
         self._plan_lock = threading.Lock()
@@ -193,7 +193,7 @@
         # A process that planned long ago and becomes active again would otherwise assume that a
         # condition lasted for the whole gap, and move hosts without waiting for ``settle_s``.
         if now - self._planned_at > HISTORY_MAX_GAP_S:
-            self._history = Memory()
+            self._history = PlanningHistory()
         self._planned_at = now
         snapshot = FleetSnapshot(document, pool_records, listing, now, ejected, leaving, closable)
         decision = plan(snapshot, self._history)
