--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -8,7 +8,7 @@
 
 from lentilrill.fleet import DOCUMENT_KEY, HostPhase, PoolRecord, WaveReport
 from lentilrill.fleet._actions import Action, Close
-from lentilrill.fleet._budget import promises
+from lentilrill.fleet._budget import commitments
 from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._ledger import Basis, Ledger
 from lentilrill.fleet._planner import plan
@@ -114,7 +114,7 @@
         self._moved_in: Counter[PoolId] = Counter()
         self._moved_out: Counter[PoolId] = Counter()
         self._declare()
-        self.promises = promises(self.document)
+        self.promises = commitments(self.document)
 
     def run(self, sample_every_s: float) -> None:
         """Run the site for its days."""
--- a/src/lentilrill/fleet/_budget.py
+++ b/src/lentilrill/fleet/_budget.py
@@ -8,7 +8,7 @@
 from lentilrill.ids import PlanId, PoolId, ZoneId
 from lentilrill.settings import Document, Plan
 
-__all__ = ["Commitment", "Floor", "promises"]
+__all__ = ["Commitment", "Floor", "commitments"]
 
 
 class Floor(msgspec.Struct, frozen=True):
@@ -51,7 +51,7 @@
         )
 
 
-def promises(document: Document) -> dict[PoolId, Commitment]:
+def commitments(document: Document) -> dict[PoolId, Commitment]:
     """Return the hosts that each pool of the document owes, by pool id."""
     plans_by_pool: dict[PoolId, list[Plan]] = {pool.id: [] for pool in document.pools}
     zones_by_plan = {e.plan: frozenset(e.zones) for e in document.entitlements}
--- a/src/lentilrill/fleet/_census.py
+++ b/src/lentilrill/fleet/_census.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from lentilrill.fleet._budget import Commitment, promises
+from lentilrill.fleet._budget import Commitment, commitments
 from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import HostEntry, HostPhase, PoolRecord
 from lentilrill.ids import HostId, PoolId, StopId, ZoneId
@@ -108,7 +108,7 @@
         )
 
     def _count_hosts(self) -> None:
-        commitment_by_pool = promises(self.snapshot.document)
+        commitment_by_pool = commitments(self.snapshot.document)
         pools = self.snapshot.document.pools_by_id()
         for pool in sorted(pools.keys() | self.snapshot.records.keys()):
             commitment = commitment_by_pool.get(pool, Commitment())
--- a/tests/fleet/test_random.py
+++ b/tests/fleet/test_random.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lentilrill.fleet import FleetView, HostPhase, PoolRecord
-from lentilrill.fleet._budget import promises
+from lentilrill.fleet._budget import commitments
 from lentilrill.fleet._records import ASSIGNED_SHARDS, AssignedRecord, assigned_key
 from lentilrill.ids import HostId, StopId, ZoneId
 from lentilrill.inner import Barred, Batch, WithdrawalAck
@@ -160,7 +160,7 @@
             for e in record.hosts
             if e.phase is HostPhase.SERVING and e.id in live and live[e.id].address == e.address
         ]
-        promise = promises(self.world.document).get(record.pool)
+        promise = commitments(self.world.document).get(record.pool)
         floor = max((f.hosts for f in promise.floors), default=0) if promise else 0
         harmless = all(host not in live for host in proposed)
         assert harmless or len(serving) >= floor, f"{pool}: {len(serving)} of {floor} left"
