--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -10,7 +10,7 @@
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.fleet._budget import commitments
 from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
-from lentilrill.fleet._ledger import Basis, Ledger
+from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.fleet._planner import plan
 from lentilrill.fleet._records import HostEntry
 from lentilrill.fleet._report import report
@@ -100,7 +100,7 @@
         self.now = 0.0
         self.document = site.document()
         self.kv = FakeKeyValue()
-        self.ledger = Ledger(self.kv, Mirror())
+        self.ledger = PoolRecordStore(self.kv, Mirror())
         self.memory = PlanningHistory()
         self.infos_by_id = {info.id: info for info in site.infos()}
         self.back_at: dict[HostId, float] = {}
--- a/src/lentilrill/fleet/_ledger.py
+++ b/src/lentilrill/fleet/_ledger.py
@@ -22,7 +22,7 @@
 from lentilrill.membership import zone_key
 from lentilrill.store import Compare, DeleteRange, Item, KeyValue, Mirror, Put
 
-__all__ = ["MAX_VALUE_BYTES", "Basis", "Ledger"]
+__all__ = ["MAX_VALUE_BYTES", "Basis", "PoolRecordStore"]
 
 MAX_VALUE_BYTES = 1_000_000
 """Limit of the platform for one value."""
@@ -46,7 +46,7 @@
     now: float
 
 
-class Ledger:
+class PoolRecordStore:
     """Writer of pool records, which also offers each written record to the mirror.
 
     One transaction contains all actions of a pool in a round, so the number of calls grows with
--- a/src/lentilrill/fleet/_writer.py
+++ b/src/lentilrill/fleet/_writer.py
@@ -7,7 +7,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.fleet._actions import Action, Assign, Close, Drop, Return, Withdraw
-from lentilrill.fleet._ledger import Basis, Ledger
+from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.ids import HostId, PoolId, Revision
 from lentilrill.settings import Document
 from lentilrill.store import KeyValue, Mirror
@@ -49,7 +49,7 @@
     def __init__(
         self, kv: KeyValue, mirror: Mirror, metrics: Metrics, clock: Callable[[], float]
     ) -> None:
-        self._ledger = Ledger(kv, mirror)
+        self._ledger = PoolRecordStore(kv, mirror)
         self._mirror = mirror
         self._metrics = metrics
         self._clock = clock
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -8,7 +8,7 @@
 
 from lentilrill.fleet import FleetView, HostPhase, StopState
 from lentilrill.fleet._actions import Withdraw
-from lentilrill.fleet._ledger import Basis, Ledger
+from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.ids import HostId, PoolId, Revision, StopId, ZoneId
 from lentilrill.membership import ZoneNews
 from lentilrill.settings import Document, Objective, PlannedStop
@@ -50,7 +50,7 @@
         for host in ("h0", "h1"):
             basis = Basis(document, dict(basis_of_both), {}, frozenset(), world.now)
             action = Withdraw(HostId(host), PoolId("ballots"), "")
-            answers.append(Ledger(world.kv, Mirror()).apply(action.pool, [action], basis))
+            answers.append(PoolRecordStore(world.kv, Mirror()).apply(action.pool, [action], basis))
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
         self.assertEqual(["h0"], world.in_phase("ballots", WITHDRAWING))
 
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -7,7 +7,7 @@
 from lentilrill.fleet import HostPhase, PoolRecord
 from lentilrill.fleet._actions import Assign
 from lentilrill.fleet._coordination import ControllerRank
-from lentilrill.fleet._ledger import Basis, Ledger
+from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.ids import HostId, Incarnation, PoolId, Revision, StopId
 from lentilrill.inner import Barred, WithdrawalAck
 from lentilrill.settings import Document, PlannedStop
@@ -107,7 +107,7 @@
         document = self.world.kv.items_by_key["state/document"].revision
         answers = []
         for pool in records:
-            ledger = Ledger(self.world.kv, Mirror())
+            ledger = PoolRecordStore(self.world.kv, Mirror())
             basis = Basis(document, dict(records), {}, frozenset(), 0.0)
             answers.append(ledger.apply(pool, [Assign(HostId("h9"), pool, info, "")], basis))
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
@@ -122,7 +122,7 @@
         def assign(pool: str) -> object:
             basis = Basis(document, dict(records), {}, frozenset(), 0.0)
             action = Assign(HostId("h9"), PoolId(pool), info, "")
-            return Ledger(self.world.kv, Mirror()).apply(PoolId(pool), [action], basis)
+            return PoolRecordStore(self.world.kv, Mirror()).apply(PoolId(pool), [action], basis)
 
         self.world.kv.before_commit = lambda: self.assertIsInstance(assign("b"), Success)
         self.assertIsInstance(assign("a"), Failure)
