--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -179,7 +179,7 @@
         second while they wait."""
         report = self._fleet.report
         if time.time() - report.now > REPORT_AGE_S:
-            report = self._fleet.look()
+            report = self._fleet.current_report()
         return report
 
     def start(self) -> None:
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -128,7 +128,7 @@
             return True
         return rank is ControllerRank.PRIMARY
 
-    def look(self) -> FleetReport:
+    def current_report(self) -> FleetReport:
         """Plan without writing, and return the report. Works in controllers that don't act, too."""
         with self._plan_lock:
             listing = self._list_reader.read(self._clock())
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -96,7 +96,7 @@
         self.assertEqual(2, count_withdrawn(world))
         del world.hosts.infos_by_id[world.in_phase("ballots", SERVING)[0]]
         world.run(3)
-        report = world.controllers[0].task.look()
+        report = world.controllers[0].task.current_report()
         self.assertEqual(3, report.pools[0].serving)
         self.assertFalse(report.pools[0].is_overspent)
 
@@ -108,7 +108,7 @@
         del world.hosts.infos_by_id["h4"], world.hosts.infos_by_id["h5"]
         world.reboot(stopped[0])
         world.run(4)
-        report = world.controllers[0].task.look()
+        report = world.controllers[0].task.current_report()
         self.assertEqual(0, count_withdrawn(world))
         self.assertIs(StopState.PAUSED, report.stops[0].state)
         self.assertIn("2 failed or in trouble", report.stops[0].waits[0].reason)
@@ -196,7 +196,7 @@
         world.change(stops=(a_stop(["h0"], retire=True),))
         world.run(5)
         self.assertEqual(0, count_withdrawn(world))
-        reason = world.controllers[0].task.look().stops[0].waits[0].reason
+        reason = world.controllers[0].task.current_report().stops[0].waits[0].reason
         self.assertIn("would keep 1 of the 2 hosts owed", reason)
 
     def test_as_many_are_retired_as_can_be_spared(self) -> None:
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -48,7 +48,7 @@
         self.assertEqual([host], self.world.in_phase("ballots", HostPhase.WITHDRAWING))
         self.world.run(2)
         self.assertEqual([host], self.world.in_phase("ballots", HostPhase.STOPPED))
-        stop = self.controller.task.look().stops[0]
+        stop = self.controller.task.current_report().stops[0]
         self.assertIn("2 are owed with 1 allowed away", stop.waits[0].reason)
         self.world.now += 100
         self.world.reboot(host)
@@ -58,7 +58,7 @@
         self.world.reboot(other)
         self.world.run(3)
         self.assertEqual(sorted([host, other]), self.world.in_phase("ballots", HostPhase.SERVING))
-        wave = self.controller.task.look().stops[0].wave
+        wave = self.controller.task.current_report().stops[0].wave
         self.assertTrue(200 < wave.actual_s < 220, wave)
 
     def test_a_host_ejected_in_another_zone_spends_budget(self) -> None:
