--- a/src/lentilrill/fleet/__init__.py
+++ b/src/lentilrill/fleet/__init__.py
@@ -4,7 +4,7 @@
 from lentilrill.fleet._report import FleetReport, PoolReport, StopReport, StopState, WaveReport
 from lentilrill.fleet._task import FleetTask
 from lentilrill.fleet._view import DOCUMENT_KEY, FleetView
-from lentilrill.fleet._waves import Waiting
+from lentilrill.fleet._waves import StopDelay
 
 __all__ = [
     "DOCUMENT_KEY",
@@ -15,9 +15,9 @@
     "HostPhase",
     "PoolRecord",
     "PoolReport",
+    "StopDelay",
     "StopReport",
     "StopState",
-    "Waiting",
     "WaveReport",
     "pool_key",
 ]
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -6,7 +6,7 @@
 from lentilrill.fleet._census import FleetSnapshot, FleetState, PlanningHistory
 from lentilrill.fleet._host_actions import host_actions
 from lentilrill.fleet._lending import assignments, loans
-from lentilrill.fleet._waves import Waiting, stop_withdrawals
+from lentilrill.fleet._waves import StopDelay, stop_withdrawals
 from lentilrill.ids import HostId, PoolId
 
 __all__ = ["Decision", "overspending_withdrawals", "plan"]
@@ -21,7 +21,7 @@
     """
 
     actions: tuple[Action, ...]
-    waiting: tuple[Waiting, ...]
+    waiting: tuple[StopDelay, ...]
     fleet: FleetState
 
 
@@ -32,7 +32,7 @@
     Actions use budgets cumulatively, in their order.
     """
     fleet = FleetState(snapshot, history)
-    waiting: list[Waiting] = []
+    waiting: list[StopDelay] = []
     actions = [
         *host_actions(fleet),
         *assignments(fleet),
--- a/src/lentilrill/fleet/_report.py
+++ b/src/lentilrill/fleet/_report.py
@@ -9,7 +9,7 @@
 from lentilrill.fleet._planner import Decision
 from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import DoneStop, HostEntry, HostPhase
-from lentilrill.fleet._waves import Waiting, expected_duration_s
+from lentilrill.fleet._waves import StopDelay, expected_duration_s
 from lentilrill.ids import EntryHostId, HostId, PoolId, StopId
 from lentilrill.settings import Document, PlannedStop
 from lentilrill.store import HostKind, HostListing
@@ -77,7 +77,7 @@
     stopped: tuple[HostId, ...]
     done: int
     unknown: tuple[HostId, ...]
-    waits: tuple[Waiting, ...]
+    waits: tuple[StopDelay, ...]
     wave: WaveReport
 
 
@@ -127,7 +127,7 @@
     )
 
 
-def _stop(fleet: FleetState, stop: PlannedStop, waiting: tuple[Waiting, ...]) -> StopReport:
+def _stop(fleet: FleetState, stop: PlannedStop, waiting: tuple[StopDelay, ...]) -> StopReport:
     found = _hosts_of_stop(fleet, stop)
     done = [d for _, entry in found for d in entry.done if d.stop == stop.id]
     completed = {entry.id for _, entry in found if any(d.stop == stop.id for d in entry.done)}
--- a/src/lentilrill/fleet/_waves.py
+++ b/src/lentilrill/fleet/_waves.py
@@ -12,7 +12,7 @@
 from lentilrill.ids import PoolId, StopId
 from lentilrill.settings import PlannedStop
 
-__all__ = ["FAILURE_RESERVE", "Waiting", "expected_duration_s", "stop_withdrawals", "wave_size"]
+__all__ = ["FAILURE_RESERVE", "StopDelay", "expected_duration_s", "stop_withdrawals", "wave_size"]
 
 FAILURE_RESERVE = 1
 """Hosts of a budget of two or more that a wave does not use.
@@ -21,7 +21,7 @@
 """
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class StopDelay(msgspec.Struct, frozen=True):
     """Hosts of one pool that can't be withdrawn for a planned stop yet.
 
     :param hosts: number of hosts.
@@ -37,7 +37,7 @@
     within_s: float | None
 
 
-def stop_withdrawals(fleet: FleetState, waiting: list[Waiting]) -> Iterator[Withdraw]:
+def stop_withdrawals(fleet: FleetState, waiting: list[StopDelay]) -> Iterator[Withdraw]:
     """Yield the withdrawals that declared stops need and budgets allow.
 
     All pools empty racks in the same order, starting with racks already begun, so that whole
@@ -121,10 +121,10 @@
 
 def _stop_delay(
     fleet: FleetState, pool_state: PoolState, stop: StopId, reasons: list[str]
-) -> Waiting:
+) -> StopDelay:
     within_s = (
         expected_duration_s(fleet, pool_state, len(reasons))
         if pool_state.withdrawn or pool_state.incoming
         else None
     )
-    return Waiting(stop, pool_state.pool, len(reasons), reasons[0], within_s)
+    return StopDelay(stop, pool_state.pool, len(reasons), reasons[0], within_s)
