--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -98,7 +98,7 @@
 
     @property
     def report(self) -> FleetReport:
-        """Report of the last planning round of this process; :meth:`look` computes a new one."""
+        """Report of the last planning round; :meth:`current_report` computes a new one."""
         return self._report
 
     def start(self) -> None:
--- a/src/lentilrill/fleet/_writer.py
+++ b/src/lentilrill/fleet/_writer.py
@@ -41,7 +41,7 @@
 
 
 class ActionWriter:
-    """Writer of actions through a :class:`Ledger`, with log lines and metrics.
+    """Writer of actions through a :class:`PoolRecordStore`, with log lines and metrics.
 
     :param clock: returns seconds since the epoch.
     """
@@ -49,7 +49,7 @@
     def __init__(
         self, kv: KeyValue, mirror: Mirror, metrics: Metrics, clock: Callable[[], float]
     ) -> None:
-        self._ledger = PoolRecordStore(kv, mirror)
+        self._store = PoolRecordStore(kv, mirror)
         self._mirror = mirror
         self._metrics = metrics
         self._clock = clock
@@ -72,7 +72,7 @@
         missing = [pool.id for pool in document.pools if pool.id not in basis.records]
         if not missing:
             return True
-        answer = self._ledger.create(missing, basis)
+        answer = self._store.create(missing, basis)
         if isinstance(answer, Failure):
             log(Event.FLEET_WRITE_FAILED, fault=answer.failure(), pools=len(missing))
         return not isinstance(answer, Failure)
@@ -81,7 +81,7 @@
         declared = document.pools_by_id()
         for pool, (record, _) in list(basis.records.items()):
             if pool not in declared and not record.hosts:
-                answer = self._ledger.remove(pool, basis)
+                answer = self._store.remove(pool, basis)
                 if isinstance(answer, Failure):
                     log(Event.FLEET_WRITE_FAILED, fault=answer.failure(), pool=pool)
 
@@ -98,12 +98,12 @@
                 actions_by_pool.setdefault(action.pool, []).append(action)
         for (pool, target), hosts in hosts_by_move.items():
             moved = [a for a in actions if a.host in hosts and a.pool == pool]
-            outcome = self._log_outcome(self._ledger.move(pool, target, hosts, basis), moved)
+            outcome = self._log_outcome(self._store.move(pool, target, hosts, basis), moved)
             all_written = all_written and outcome is Outcome.DONE
             if outcome is Outcome.UNREACHABLE:
                 return False
         for pool, pool_actions in actions_by_pool.items():
-            outcome = self._log_outcome(self._ledger.apply(pool, pool_actions, basis), pool_actions)
+            outcome = self._log_outcome(self._store.apply(pool, pool_actions, basis), pool_actions)
             all_written = all_written and outcome is Outcome.DONE
             if outcome is Outcome.UNREACHABLE:
                 return False
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -107,9 +107,9 @@
         document = self.world.kv.items_by_key["state/document"].revision
         answers = []
         for pool in records:
-            ledger = PoolRecordStore(self.world.kv, Mirror())
+            store = PoolRecordStore(self.world.kv, Mirror())
             basis = Basis(document, dict(records), {}, frozenset(), 0.0)
-            answers.append(ledger.apply(pool, [Assign(HostId("h9"), pool, info, "")], basis))
+            answers.append(store.apply(pool, [Assign(HostId("h9"), pool, info, "")], basis))
         self.assertEqual([Success, Failure], [type(answer) for answer in answers])
 
     def test_two_controllers_race_to_assign_a_host(self) -> None:
