--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -9,7 +9,7 @@
 from lentilrill.fleet import DOCUMENT_KEY, HostPhase, PoolRecord, WaveReport
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.fleet._budget import commitments
-from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
+from lentilrill.fleet._fleet_state import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.fleet._planner import plan
 from lentilrill.fleet._records import HostEntry
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -10,7 +10,7 @@
 from bench._fleet_optimum import naive_moves, optimum
 from bench._fleet_sim import DAY_S, DRAIN_S, MAINTENANCE_S, Fleet, Site
 from lentilrill.fleet import PoolRecord
-from lentilrill.fleet._census import PlanningHistory
+from lentilrill.fleet._fleet_state import PlanningHistory
 from lentilrill.fleet._planner import plan
 from lentilrill.ids import PoolId
 from lentilrill.settings import Document, Objective
--- a/src/lentilrill/fleet/_host_actions.py
+++ b/src/lentilrill/fleet/_host_actions.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from lentilrill.fleet._actions import Action, Close, Drop, Return, Withdraw
-from lentilrill.fleet._census import FleetState, is_leaving
+from lentilrill.fleet._fleet_state import FleetState, is_leaving
 from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import HostEntry, HostPhase
 from lentilrill.ids import PoolId
--- a/src/lentilrill/fleet/_lending.py
+++ b/src/lentilrill/fleet/_lending.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from lentilrill.fleet._actions import Action, Assign, Withdraw
-from lentilrill.fleet._census import FleetState, fits
+from lentilrill.fleet._fleet_state import FleetState, fits
 from lentilrill.fleet._pool_state import PoolState
 from lentilrill.fleet._records import HostEntry
 from lentilrill.ids import HostId, RackId, ZoneId
--- a/src/lentilrill/fleet/_planner.py
+++ b/src/lentilrill/fleet/_planner.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from lentilrill.fleet._actions import Action, Withdraw
-from lentilrill.fleet._census import FleetSnapshot, FleetState, PlanningHistory
+from lentilrill.fleet._fleet_state import FleetSnapshot, FleetState, PlanningHistory
 from lentilrill.fleet._host_actions import host_actions
 from lentilrill.fleet._lending import assignments, loans
 from lentilrill.fleet._waves import StopDelay, stop_withdrawals
--- a/src/lentilrill/fleet/_report.py
+++ b/src/lentilrill/fleet/_report.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from lentilrill.fleet._census import FleetState
+from lentilrill.fleet._fleet_state import FleetState
 from lentilrill.fleet._planner import Decision
 from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import DoneStop, HostEntry, HostPhase
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -9,8 +9,8 @@
 
 from lentilrill.fleet._acks import Acknowledgements
 from lentilrill.fleet._actions import Action, Close, Return
-from lentilrill.fleet._census import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._coordination import ActionCoordinator, ControllerRank
+from lentilrill.fleet._fleet_state import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._ledger import Basis
 from lentilrill.fleet._listing import HostListReader
 from lentilrill.fleet._planner import Decision, overspending_withdrawals, plan
--- a/src/lentilrill/fleet/_waves.py
+++ b/src/lentilrill/fleet/_waves.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lentilrill.fleet._actions import Withdraw
-from lentilrill.fleet._census import FleetState
+from lentilrill.fleet._fleet_state import FleetState
 from lentilrill.fleet._pool_state import HostCondition, PoolState
 from lentilrill.fleet._records import HostEntry, HostPhase
 from lentilrill.ids import PoolId, StopId
