--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -10,8 +10,8 @@
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.fleet._budget import commitments
 from lentilrill.fleet._fleet_state import FleetSnapshot, PlanningHistory
-from lentilrill.fleet._ledger import Basis, PoolRecordStore
 from lentilrill.fleet._planner import plan
+from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.fleet._records import HostEntry
 from lentilrill.fleet._report import report
 from lentilrill.ids import HostId, PoolId, RackId, Revision, StopId, ZoneId
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -11,9 +11,9 @@
 from lentilrill.fleet._actions import Action, Close, Return
 from lentilrill.fleet._coordination import ActionCoordinator, ControllerRank
 from lentilrill.fleet._fleet_state import FleetSnapshot, PlanningHistory
-from lentilrill.fleet._ledger import Basis
 from lentilrill.fleet._listing import HostListReader
 from lentilrill.fleet._planner import Decision, overspending_withdrawals, plan
+from lentilrill.fleet._record_store import Basis
 from lentilrill.fleet._records import HostPhase
 from lentilrill.fleet._report import FleetReport, report
 from lentilrill.fleet._trouble_reports import TroubleReports
--- a/src/lentilrill/fleet/_writer.py
+++ b/src/lentilrill/fleet/_writer.py
@@ -7,7 +7,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.fleet._actions import Action, Assign, Close, Drop, Return, Withdraw
-from lentilrill.fleet._ledger import Basis, PoolRecordStore
+from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.ids import HostId, PoolId, Revision
 from lentilrill.settings import Document
 from lentilrill.store import KeyValue, Mirror
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -8,7 +8,7 @@
 
 from lentilrill.fleet import FleetView, HostPhase, StopState
 from lentilrill.fleet._actions import Withdraw
-from lentilrill.fleet._ledger import Basis, PoolRecordStore
+from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.ids import HostId, PoolId, Revision, StopId, ZoneId
 from lentilrill.membership import ZoneNews
 from lentilrill.settings import Document, Objective, PlannedStop
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -7,7 +7,7 @@
 from lentilrill.fleet import HostPhase, PoolRecord
 from lentilrill.fleet._actions import Assign
 from lentilrill.fleet._coordination import ControllerRank
-from lentilrill.fleet._ledger import Basis, PoolRecordStore
+from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.ids import HostId, Incarnation, PoolId, Revision, StopId
 from lentilrill.inner import Barred, WithdrawalAck
 from lentilrill.settings import Document, PlannedStop
