--- a/src/lentilrill/fleet/_trouble_reports.py
+++ b/src/lentilrill/fleet/_trouble_reports.py
@@ -39,7 +39,7 @@
             self._report_by_sender[sender] = _Report(message, now + REPORT_TTL_S)
 
     def in_zone(self, now: float) -> tuple[HostIds, HostIds]:
-        """Return the hosts of this zone that are ejected, and those that announced to leave."""
+        """Return the hosts of this zone that are ejected, and those that announced leaving."""
         with self._lock:
             for sender in [s for s, r in self._report_by_sender.items() if r.expires < now]:
                 del self._report_by_sender[sender]
@@ -49,7 +49,7 @@
         return ejected, leaving
 
     def in_all_zones(self, now: float) -> tuple[HostIds, HostIds]:
-        """Return the hosts of all zones that are ejected, and those that announced to leave.
+        """Return the hosts of all zones that are ejected, and those that announced leaving.
 
         A host that is listed as live but fails its jobs uses budget like a stopped one. Gateways
         report it only to the controllers of its own zone, while the controller that acts on the
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -41,8 +41,8 @@
 
 class BudgetTest(TestCase):
     def test_racing_controllers_spend_a_budget_once(self) -> None:
-        # No host was available: two controllers with the same view granted stops of different
-        # hosts, each within the budget of its own view.
+        # No host is available: two controllers with the same view grant stops of different hosts,
+        # each within the budget of its own view.
         world = a_world(2, 1, 2)
         basis_of_both = world.records()
         document = world.kv.items_by_key["state/document"].revision
@@ -55,8 +55,8 @@
         self.assertEqual(["h0"], world.in_phase("ballots", WITHDRAWING))
 
     def test_a_budget_is_reduced_while_a_stop_is_granted(self) -> None:
-        # A plan got fewer hosts than owed: its budget was edited to zero at the moment when a
-        # controller granted a stop on the basis of the older document.
+        # A plan gets fewer hosts than owed: its budget is edited to zero at the moment when a
+        # controller grants a stop on the basis of the older document.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
         strict = a_plan("ballots", hosts_owed=2, availability_budget=0)
@@ -114,8 +114,8 @@
         self.assertIn("2 failed or in trouble", report.stops[0].waits[0].reason)
 
     def test_ejected_hosts_count_in_every_zone(self) -> None:
-        # No host was available: a controller of another zone granted a stop without information
-        # about the hosts that schedulers of this zone had ejected.
+        # No host is available: a controller of another zone grants a stop without information
+        # about the hosts that schedulers of this zone have ejected.
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
         news = ZoneNews(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
@@ -129,8 +129,8 @@
         self.assertEqual(0, count_withdrawn(world))
 
     def test_a_withdrawal_is_cancelled_if_failures_overspend_the_budget(self) -> None:
-        # No host was available: other hosts failed while one was draining for a stop. The
-        # draining host had not been released, so it could have served again at once.
+        # No host is available: other hosts fail while one is draining for a stop. The draining
+        # host has not been released yet, so it can serve again at once.
         world = a_world(3, 1, 3)
         world.change(stops=(a_stop(["h0"]),))
         world.run(1, acks=False)
@@ -140,7 +140,7 @@
         self.assertEqual(0, count_withdrawn(world))
 
     def test_no_stop_is_granted_by_an_old_list(self) -> None:
-        # No host was available: the host list had not been updated since before hosts failed.
+        # No host is available: the host list has not been updated since before hosts failed.
         world = a_world(2, 1, 2)
         world.controllers[0].hosts.down = True
         world.change(stops=(a_stop(["h0"]),))
@@ -178,7 +178,7 @@
         self.assertEqual(2, len(world.in_phase("ballots", SERVING)))
 
     def test_the_spare_pool_lends_within_its_own_budget(self) -> None:
-        # The spare pool had no available host: while one of its hosts was stopped, it lent its
+        # Callers of the spare pool find no host: while one of its hosts is stopped, it lends its
         # surplus host.
         world = a_world(1, 0, 1, spare=3)
         desk = a_plan("desk", hosts_owed=2, availability_budget=0)
@@ -208,7 +208,7 @@
 
 class MovesTest(TestCase):
     def test_a_flapping_list_moves_nothing(self) -> None:
-        # Hosts moved back and forth, as they were repeatedly missing from the list for seconds.
+        # Hosts move back and forth because they are repeatedly missing from the list for seconds.
         world = a_world(3, 0, 3, spare=3)
         before = world.records()
         for _ in range(10):
@@ -219,8 +219,8 @@
         self.assertEqual(before, world.records())
 
     def test_a_controller_that_starts_to_plan_waits_as_well(self) -> None:
-        # A host moved for a failure of one second: the controller had recorded another failure an
-        # hour before, and had not planned in between.
+        # A host moves for a failure of one second: the controller recorded another failure an
+        # hour ago and has not planned in between.
         world = a_world(3, 0, 3, spare=3)
         info = world.hosts.infos_by_id.pop(min(world.entries("ballots")))
         world.run()
@@ -260,7 +260,7 @@
         self.assertEqual(4, len(world.entries("desk")))
 
     def test_a_conflicting_write_is_not_retried_on_the_same_state(self) -> None:
-        # The platform was flooded with calls: a controller without state updates repeated every
+        # The platform is flooded with calls: a controller without state updates repeats every
         # conflicting write.
         world = a_world(2, 1, 2)
         world.change(stops=(a_stop(["h0"]),))
@@ -283,7 +283,7 @@
         self.assertTrue(calls[2] <= calls[0] + 16 and calls[1] == calls[3], calls)
 
     def test_hosts_go_where_their_size_is_needed(self) -> None:
-        # A pool that needs accelerators was empty: the hosts that have them went to a pool that
+        # A pool that needs accelerators is empty: the hosts that have them went to a pool that
         # any host fits.
         pools = (a_pool("any"), a_pool("large", accelerators=1), a_pool("desk", spare=True))
         plans = (a_plan("any"), a_plan("large", hosts_owed=1, availability_budget=0))
--- a/tests/fleet/test_coordination.py
+++ b/tests/fleet/test_coordination.py
@@ -22,10 +22,10 @@
         self.second = next(member for member in self.members if member != self.first)
 
     def test_a_withdrawal_is_closed_where_it_was_acknowledged(self) -> None:
-        # A host was released seconds after its last job had ended and its gateways had
-        # acknowledged. Gateways send acknowledgements only to the controllers of their own
-        # zone, but the first candidate of the pool was in another zone and never saw the action,
-        # while the other controllers waited for it.
+        # A host is released only seconds after its last job ended and its gateways acknowledged:
+        # gateways send acknowledgements only to the controllers of their own zone, but the first
+        # candidate of the pool is in another zone and never sees the action, while the other
+        # controllers wait for it.
         coordinator = ActionCoordinator(FakeRoster(self.second, self.members))
         close = Close(HostId("w1"), POOL, "all gateways acknowledged the withdrawal")
         self.assertEqual(
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -63,8 +63,8 @@
 
     def test_a_host_ejected_in_another_zone_spends_budget(self) -> None:
         # A host of another zone fails all its jobs and is ejected there, but the platform lists
-        # it as live. A controller without that information granted a planned stop of the other
-        # host of the pool, and the plan was left with no host at all.
+        # it as live. A controller without that information then grants a planned stop of the
+        # other host of the pool, and the plan is left with no host at all.
         self.world.run(2)
         ejected, other = sorted(self.world.entries("ballots"))
         news = ZoneNews(
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -41,8 +41,8 @@
         return self.world.records()[PoolId("ballots")][1]
 
     def test_silence_and_time_do_not_count_as_acknowledgements(self) -> None:
-        # A request was cut off: a gateway that was paused for an hour between its check and its
-        # send resumed and sent to a host that had been released because the gateway was silent.
+        # A request is cut off: a gateway that was paused for an hour between its check and its
+        # send resumes and sends to a host that was released because the gateway was silent.
         self.propose()
         self.world.run(3, step_s=1200, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
@@ -50,8 +50,8 @@
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
     def test_a_new_gateway_must_acknowledge_too(self) -> None:
-        # A job reached a stopped host: a gateway had registered before the stop was proposed, but
-        # the controller that closed the withdrawal had not received the new zone record yet.
+        # A job reaches a stopped host: a gateway registered before the stop was proposed, but the
+        # controller that closes the withdrawal has not received the new zone record yet.
         new_gateway = a_member("gw-new")
         self.world.change(stops=(a_stop("h1"),))
         self.world.sync()
@@ -66,8 +66,8 @@
         self.assertEqual(HostPhase.STOPPED, self.phase())
 
     def test_an_acknowledgement_of_a_cancelled_stop_does_not_count(self) -> None:
-        # A job reached a stopped host: the gateway had acknowledged, the stop was cancelled and
-        # the gateway sent again; then the stop was declared again and the old message was late.
+        # A job reaches a stopped host: the gateway acknowledged, the stop was cancelled and the
+        # gateway sent again; then the stop is declared again and the old message arrives late.
         first = self.propose()
         self.world.change(stops=())
         self.world.run(acks=False)
@@ -79,8 +79,8 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_each_incarnation_must_acknowledge(self) -> None:
-        # A job reached a stopped host: the gateway acknowledged and was restarted, and its next
-        # incarnation loaded an old state that did not contain the stop.
+        # A job reaches a stopped host: the gateway acknowledged and was restarted, and its next
+        # incarnation loaded an old state that does not contain the stop.
         self.propose()
         self.world.ack(self.gateway)
         restarted = msgspec.structs.replace(
@@ -91,7 +91,7 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_an_acknowledgement_counts_only_from_its_sender(self) -> None:
-        # A job reached a stopped host: a message of another process named this gateway.
+        # A job reaches a stopped host: a message of another process names this gateway.
         revision = self.propose()
         ack = WithdrawalAck(self.gateway, (Barred(HostId("h1"), revision),))
         self.world.send_message(a_member("stray"), ack)
@@ -99,8 +99,8 @@
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
     def test_a_host_is_assigned_once(self) -> None:
-        # One host got jobs of two pools: a controller with an old view saw the host as new and
-        # added it to another pool, whose record had not changed, so no comparison failed.
+        # One host gets jobs of two pools: a controller with an old view sees the host as new and
+        # adds it to another pool, whose record has not changed, so its comparison succeeds.
         self.world.host("h9")
         info = self.world.hosts.infos_by_id["h9"]
         records = {PoolId(p): (PoolRecord(PoolId(p)), Revision(0)) for p in ("a", "b")}
@@ -166,7 +166,7 @@
         self.assertEqual(["h1"], self.world.in_phase("ballots", HostPhase.SERVING))
 
     def test_a_new_address_is_recorded_after_a_withdrawal(self) -> None:
-        # Jobs of one pool reached a host of another: the platform gave a restarted host a new
+        # Jobs of one pool reach a host of another: the platform gave a restarted host a new
         # address, and its old address to a new host.
         self.world.relist("h1", address="10.0.0.8:8", since=self.world.now)
         self.world.run(acks=False)
@@ -175,15 +175,15 @@
         self.assertEqual("10.0.0.8:8", self.world.entries("ballots")[HostId("h1")].address)
 
     def test_a_zone_that_the_platform_does_not_see_keeps_its_hosts(self) -> None:
-        # A whole zone stopped serving after a partition healed: during the partition its hosts
-        # were missing from the list and were withdrawn one after the other.
+        # A whole zone stops serving when a partition heals: during the partition its hosts were
+        # missing from the list and were withdrawn one after the other.
         self.world.hosts.infos_by_id.clear()
         self.world.run(100, step_s=50)
         self.assertEqual(["h1", "h2"], self.world.in_phase("ballots", HostPhase.SERVING))
 
     def test_the_zone_of_the_host_closes_at_once(self) -> None:
-        # A stop took 5 s too long: acknowledgements are sent to the controllers of the host's
-        # zone only, and the first candidate of the pool was in another zone.
+        # A stop takes 5 s too long: acknowledgements are sent to the controllers of the host's
+        # zone only, and the first candidate of the pool is in another zone.
         for n in range(8):
             other = self.world.controller(f"far-{n}", f"far-{n}")
             other.roster.members.remove(other.member)
@@ -209,7 +209,7 @@
         self.assertNotIn("h1", self.world.entries("ballots"))
 
     def test_a_host_that_was_gone_is_not_stopped_again(self) -> None:
-        # A planned stop seemed to last for days: a host that had completed it failed, was dropped
+        # A planned stop seems to last for days: a host that had completed it failed, was dropped
         # and assigned again as new, and was stopped a second time.
         self.propose()
         self.world.run(2)
@@ -222,7 +222,7 @@
         self.assertEqual(HostPhase.SERVING, self.phase())
 
     def test_the_backup_controller_takes_over_from_the_primary(self) -> None:
-        # A stop never ended: the first controller of the zone was alive to its peers but cut off
+        # A stop never ends: the primary controller of the zone is alive to its peers but cut off
         # from the platform, and only controllers of that zone receive acknowledgements.
         second = self.world.controller("c2")
         self.world.controllers = [self.controller, second]
