--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions on work that waits: what is taken on, what goes first, and where it runs.
+"""Scheduling decisions: admission of jobs, their order, placement of tasks, and pool sizes.
 
-Plain functions over values: no input or output, no clock of their own.
+Pure computations without input or output; callers pass the current time.
 """
 
 from lentilrill.scheduling._admission import Pressure, may_take, outage_retry_s, retry_after_s
--- a/src/lentilrill/scheduling/_admission.py
+++ b/src/lentilrill/scheduling/_admission.py
@@ -1,30 +1,33 @@
-"""Whether a job is taken on, and when a refused caller should come back."""
+"""Admission control: whether to accept a job, and when a rejected caller should retry."""
 
 import msgspec
 
 __all__ = ["Pressure", "may_take", "outage_retry_s", "retry_after_s"]
 
 LONGEST_WAIT_S = 6.0
-"""Expected wait beyond which a job that would be late is refused: several times the objectives in
-use, so that what is taken on is still worth its room when its turn comes."""
+"""Expected wait above which a job that would miss its deadline is rejected. It is several times the
+latency objectives in use, so that an accepted job is still worth running when it starts."""
 SOON_S = 1.5
-"""Wait behind jobs that can be in time up to which a new one can be, too, whatever late work there
-is: with objectives of 1.6 times the work and 0.6 s, a job of a second or two may wait so long."""
+"""Wait behind on-time jobs up to which a new job can still meet its deadline, regardless of overdue
+work: with an objective of 1.6 times the work plus 0.6 s, a job of one or two seconds can wait this
+long."""
 LONGEST_LATE_S = 30.0
-"""Work of late jobs beyond which nothing is taken on: it must be done some day."""
+"""Overdue work above which no job is accepted, because the backlog must be finished eventually."""
 SHORTEST_RETRY_S = 0.5
 LONGEST_RETRY_S = 10.0
 SHORTEST_OUTAGE_S = 1.0
 LONGEST_OUTAGE_S = 3.0
-"""Bounds of the return to a host that can't commit: by the first the balancer has sent callers to
-hosts that can; the second is about an objective, after which the answer would come late anyway."""
+"""Bounds of the retry delay for an entry host that can't commit. After the minimum, the load
+balancer has moved callers to hosts that can commit. The maximum is about one latency objective; an
+answer after that would be late anyway."""
 
 
 class Pressure(msgspec.Struct, frozen=True):
-    """How busy a pool is.
+    """Backlog of a pool.
 
-    :param wait_s: seconds of work that goes before a new job, at the rate of the whole pool.
-    :param late_s: seconds of work of jobs that can't be in time any more, which goes after it.
+    :param wait_s: seconds that the whole pool needs for the work that runs before a new job.
+    :param late_s: seconds that it needs for jobs that can no longer meet their deadline, which run
+        after the new job.
     """
 
     wait_s: float
@@ -32,12 +35,13 @@
 
 
 def may_take(pressure: Pressure) -> bool:
-    """Return whether one more job may be taken on.
+    """Return whether a pool can accept one more job.
 
-    Load pattern: callers hand in several times what a pool can do, for longer than its objectives.
-    Without a bound the queue grows until each job is worthless before it starts, and the pool
-    still works on them after the surge. But late jobs get what is left by those that can be in
-    time, so that they are no reason to refuse a new one that can.
+    Callers may submit several times the work that a pool can do, for longer than its latency
+    objectives. Without a limit the queue grows until every job misses its deadline before it
+    starts, and the pool still works on these jobs after the surge. Overdue jobs run only on
+    capacity that on-time jobs leave free, so they are no reason to reject a job that can be on
+    time.
     """
     if pressure.wait_s <= SOON_S:
         return pressure.late_s <= LONGEST_LATE_S
@@ -45,16 +49,18 @@
 
 
 def retry_after_s(pressure: Pressure) -> float:
-    """Return the seconds after which a refused caller finds room, by the rate of the pool."""
+    """Return the seconds after which the pool will have room for a rejected caller."""
     excess_s = pressure.wait_s + pressure.late_s - LONGEST_WAIT_S / 2
     return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, excess_s))
 
 
 def outage_retry_s(silent_s: float) -> float:
-    """Return the seconds after which a caller should come back while the store is silent.
+    """Return the seconds after which a caller should retry during an outage of the store.
 
-    Load pattern: an outage of unknown length, and callers who try five times. Returning each
-    second they are through before an outage of five seconds ends. One that has lasted for a while
-    is likely to last about as long again.
+    Callers try five times, so with a retry each second they run out of attempts before an outage
+    of five seconds ends. An outage is expected to last about as long again as it has lasted so
+    far, so the delay grows with it.
+
+    :param silent_s: seconds since the store last answered.
     """
     return min(LONGEST_OUTAGE_S, max(SHORTEST_OUTAGE_S, silent_s))
--- a/src/lentilrill/scheduling/_capacity.py
+++ b/src/lentilrill/scheduling/_capacity.py
@@ -1,4 +1,4 @@
-"""How many hosts each pool should have, and which hosts move."""
+"""Target number of hosts for each pool, and the moves of hosts between pools."""
 
 import math
 
@@ -17,32 +17,33 @@
 ]
 
 FEWEST = 2
-"""Hosts that a pool keeps at least, in two zones where it can: one may be lost at any moment."""
+"""Minimum hosts of a pool, in two availability zones if possible: one can fail at any time."""
 KEPT_SHARE = 0.6
-"""Share of an even part of all hosts that an idle pool keeps: a surge doubles within two seconds,
-and a host that is moved serves after two to three. A host costs its pool about a fifteenth of what
-its work is worth, so too few cost more than too many."""
+"""Share that an idle pool keeps of an even split of all hosts. A surge doubles within two seconds,
+and a moved host runs tasks only after two to three. A host costs about a fifteenth of the value of
+its work, so too few hosts cost more than too many."""
 HEADROOM = 1.15
-"""Hosts for each host's worth of work: a surge grows by about a tenth while a move is under way."""
+"""Hosts for each host's worth of work: a surge grows by about a tenth during a move."""
 MARGIN = 0.3
-"""Share of a host that is kept free in any pool, for what comes next."""
+"""Share of a host that each pool with work keeps free for new jobs."""
 SETTLED_S = 2.5
-"""How long a host must have been too many before it leaves its pool. A move there and back costs
-about as much as this time in a pool, so waiting as long never costs more than twice the best."""
+"""Seconds for which a host must have been surplus before it leaves its pool. A move to standby and
+back costs about as much as staying in the pool for this time, so waiting this long costs at most
+twice the optimum."""
 
 
 class PoolNeed(msgspec.Struct, frozen=True):
-    """What a pool's owner says, and what the list of hosts shows.
-
-    :param need: hosts that its work needs to be done when it is due, also what is forecast.
-    :param firm: the same without the forecast.
-    :param kept: hosts that it keeps whatever its work needs.
-    :param hosts: hosts that are in the pool or on their way there.
-    :param lately: most hosts that it should have had at any moment of the last seconds.
-    :param short_s: seconds for which it has had fewer hosts than it keeps.
-    :param free: its hosts on which nothing runs.
-    :param late: its hosts on which only jobs run that can't be in time any more.
-    :param light: its hosts beyond its need whose tasks could go on elsewhere in the pool.
+    """Demand and hosts of a pool, from its owner's report and the platform's list of hosts.
+
+    :param need: hosts needed to finish current and forecast work by its deadlines.
+    :param firm: ``need`` without the forecast.
+    :param kept: minimum hosts, independent of the work.
+    :param hosts: hosts that are in the pool or moving there.
+    :param lately: highest target of the last :data:`SETTLED_S` seconds.
+    :param short_s: seconds for which the pool has had fewer than its minimum hosts.
+    :param free: its hosts without tasks.
+    :param late: its hosts that run only overdue jobs.
+    :param light: its hosts beyond its need whose tasks could continue on its other hosts.
     """
 
     pool: PoolId
@@ -59,7 +60,7 @@
 
 
 class FreeHost(msgspec.Struct, frozen=True):
-    """A host that may move at once."""
+    """A host that can be moved."""
 
     host: HostId
     zone: ZoneId
@@ -67,7 +68,7 @@
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A host that is to leave ``source`` for ``target``."""
+    """A move of a host from pool ``source`` to pool ``target``."""
 
     host: FreeHost
     source: PoolId
@@ -75,9 +76,9 @@
 
 
 def kept_hosts(all_hosts: int, pools: int, *, had_turn: bool = False) -> int:
-    """Return how many hosts an idle pool keeps, of ``all_hosts`` for ``pools`` and standby.
+    """Return the minimum hosts of an idle pool, of ``all_hosts`` shared by ``pools`` and standby.
 
-    :param had_turn: its surge is over, and other pools wait for theirs.
+    :param had_turn: whether its surge has passed and other pools still expect theirs.
     """
     if had_turn:
         return FEWEST
@@ -85,24 +86,24 @@
 
 
 def target_hosts(need: float, kept: int) -> int:
-    """Return how many hosts a pool should have for work that fills ``need`` hosts."""
+    """Return the target number of hosts for work that fills ``need`` hosts."""
     return max(kept, math.ceil(need * HEADROOM + MARGIN) if need else 0)
 
 
 def plan_moves(
     needs: tuple[PoolNeed, ...], standby: PoolId, resting: tuple[FreeHost, ...]
 ) -> list[Move]:
-    """Return the moves to begin now.
+    """Return the moves to start now.
 
-    Load pattern: queues surge by turns to several times what their pool can do, for some seconds,
-    while the other pools are almost idle. Hosts go where tasks wait: from standby, else from
-    pools that have more than they need, where also hosts are taken that only do late work, or whose
-    tasks have room on the pool's other hosts. A host that has been too many for a while goes to
-    standby, where it costs nothing.
+    Queues surge in turn to several times the capacity of their pool for some seconds, while the
+    other pools are almost idle. Hosts move to pools with waiting tasks: first from standby, then
+    from pools with a surplus, including hosts that run only overdue work and hosts whose tasks fit
+    on the pool's other hosts. A host that has been surplus for a while moves to standby, where it
+    costs nothing.
 
-    Where two pools lack hosts at once, work that is there goes before work that is forecast, and
-    the pool that has the smallest part of what it should have goes first: one large job shows as
-    a surge that it is not, and would take every host from a pool that is in its surge.
+    If several pools lack hosts, existing work goes before forecast work, and the pool with the
+    smallest share of its target goes first. Otherwise the forecast from a single large job, which
+    looks like the start of a surge, would take every host from a pool in a real surge.
 
     :param resting: hosts in standby.
     """
@@ -115,24 +116,24 @@
 
 
 def pool_targets(needs: tuple[PoolNeed, ...]) -> dict[PoolId, int]:
-    """Return how many hosts each pool should have."""
+    """Return the target number of hosts of each pool."""
     return {need.pool: target_hosts(need.need, need.kept) for need in needs}
 
 
 def _wanted(need: PoolNeed, hosts_worth: float) -> int:
-    """Return how many hosts a pool is given now.
+    """Return the number of hosts to provide now for work that fills ``hosts_worth`` hosts.
 
-    Load pattern: hosts come up one after the other, or fail and are back within seconds, in a
-    pool that has no work for them. Filled up at once from standby, it has too many soon after, and
-    each host has moved twice for nothing.
+    The minimum applies only after the pool has been below it for a while. Hosts of a pool may start
+    one after the other, or fail and return within seconds. If the pool were filled up from standby
+    at once, it would soon have a surplus, and each added host would move twice for nothing.
     """
     return target_hosts(hosts_worth, need.kept if need.short_s >= SETTLED_S else 0)
 
 
 class _Plan:
-    """Moves as they are decided on, and where that leaves each pool.
+    """Moves under construction, with the resulting state of each pool.
 
-    :ivar moves: the moves so far.
+    :ivar moves: the moves chosen so far.
     """
 
     def __init__(
@@ -149,7 +150,7 @@
         self._zones_by_pool = {need.pool: list(need.zones) for need in needs}
 
     def share_out(self, targets: dict[PoolId, int]) -> None:
-        """Give hosts to pools that lack some, one at a time."""
+        """Move hosts to pools below their target, one at a time."""
         stuck: set[PoolId] = set()
         while short := [p for p in targets if p not in stuck and self._lacks(p, targets)]:
             pool = min(short, key=lambda p: self._hosts_by_pool[p] / targets[p])
@@ -162,10 +163,10 @@
             self._zones_by_pool[pool].append(move.host.zone)
 
     def send_home(self, needs: tuple[PoolNeed, ...], targets: dict[PoolId, int]) -> None:
-        """Send hosts to standby that have been too many for a while.
+        """Move hosts to standby that have been surplus for a while.
 
-        Each host counts by itself: in a surge a pool's need rises and falls from second to second,
-        and what it needed a moment ago it is likely to need again.
+        Only hosts above the recent peak of the target count: during a surge the need of a pool
+        rises and falls from second to second, and it is likely to reach a recent level again.
         """
         for need in needs:
             wanted = max(targets[need.pool], need.lately)
@@ -198,18 +199,21 @@
         return None
 
     def _has_spare(self, pool: PoolId, targets: dict[PoolId, int], swing: float) -> bool:
-        """Return whether a pool has more hosts than it should have and than it keeps.
+        """Return whether a pool has more hosts than its target and its minimum.
 
-        The need of a pool swings by about the root of its hosts, as jobs come one by one. What is
-        within that is no surplus for which tasks should be stopped.
+        As jobs arrive one by one, the need of a pool fluctuates by about the square root of its
+        hosts. Hosts within that range are not a surplus for which tasks should be stopped.
 
-        Guard against a pool that goes into its surge with few hosts: an earlier surge asks for
-        all there are, and a pool that has its share gets no target for being idle.
+        The minimum is checked separately because a target includes it only for a pool that has been
+        below it for a while. Otherwise another pool's surge could take the minimum hosts, and the
+        pool would enter its own surge with too few.
+
+        :param swing: factor on the square root of the hosts.
         """
         hosts = self._hosts_by_pool[pool]
         return hosts - swing * math.sqrt(hosts) > max(targets[pool], self._kept_by_pool[pool])
 
 
 def _most_crowded_first(free: list[FreeHost], zones: list[ZoneId]) -> list[FreeHost]:
-    """Return free hosts so that those leave first in whose zone the pool has the most hosts."""
+    """Return free hosts sorted so that zones with the most hosts of the pool come first."""
     return sorted(free, key=lambda host: -zones.count(host.zone))
--- a/src/lentilrill/scheduling/_demand.py
+++ b/src/lentilrill/scheduling/_demand.py
@@ -1,4 +1,4 @@
-"""How many hosts a pool's work needs so that each job is done when it is due."""
+"""Number of hosts that a pool needs to finish its jobs by their deadlines."""
 
 from collections.abc import Iterable
 
@@ -7,19 +7,20 @@
 __all__ = ["Demand", "HostShares", "hosts_due"]
 
 HostShares = tuple[float, float, float]
-"""Shares of a whole host's processors, memory and accelerators."""
+"""Shares of the processors, memory and accelerators of one host."""
 
 HORIZONS_S = (0.25, 0.5, 1.0, 1.5, 2.0, 3.4, 4.5, 6.0, 9.0, 13.0, 20.0, 30.0)
-"""Spans over which work that must be done is set against hosts: from the shortest tasks to longer
-than the objectives in use. Work that may wait for longer counts once it is nearer."""
+"""Time spans for which due work is compared with hosts, from the shortest tasks to longer than the
+latency objectives in use. Work with more slack counts once its deadline is nearer."""
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """Work of one job, as seconds of whole hosts.
+    """Work of one job in host seconds.
 
-    :param host_s: shares of a host that it takes, times the seconds for which it takes them.
-    :param slack_s: seconds for which it may still wait and be done when it is due.
-    :param span_s: seconds that it takes from its start to its end.
+    :param host_s: for each resource, the share of a host that the job uses times its seconds of
+        use.
+    :param slack_s: seconds for which it can still wait and meet its deadline.
+    :param span_s: seconds from its start to its end.
     """
 
     host_s: HostShares
@@ -27,24 +28,24 @@
     span_s: float
 
     def share_within(self, seconds: float) -> float:
-        """Return the share of it that must be done within some seconds from now."""
+        """Return the share of the work that must be done within ``seconds`` from now."""
         return min(1.0, max(0.0, (seconds - self.slack_s) / self.span_s))
 
 
 def hosts_due(demands: Iterable[Demand], present: float = 0.0, lead_s: float = 0.0) -> float:
-    """Return the hosts that are needed, all in full use, so that no demand is done late.
+    """Return the number of fully used hosts that finish all demands by their deadlines.
 
-    This is the demand bound of earliest-deadline-first scheduling: the largest, over all spans, of
-    the work that must be done within a span, divided by its length. Hosts that are yet to come
-    work for a part of the span only, so more of them are needed.
+    This is the demand bound of earliest-deadline-first scheduling: the maximum, over all spans, of
+    the work due within a span divided by its length. Hosts that are still to be added work for
+    only a part of the span, so more of them are needed.
 
-    Load pattern: a second or two of a surge hands in several jobs, each of which would fill a host
-    if it started at once. Counted by the room that they could take, they ask for every host of the
-    site, which come when the work is over. But most may wait for about as long as they take, and
-    be done one after the other by a part of these hosts. A job that can't wait asks for its room.
+    In one or two seconds of a surge several jobs arrive that could each fill a host at once. Sized
+    by what they could use in parallel, they would request every host of the site, and these hosts
+    would arrive after the work is done. Most jobs can wait about as long as they take, so fewer
+    hosts finish them one after the other. A job without slack counts with all that it can use.
 
-    :param present: hosts that serve now.
-    :param lead_s: time until another one serves; 0: all that are needed count as present.
+    :param present: hosts that run tasks now.
+    :param lead_s: seconds until an additional host runs tasks; 0 counts all hosts as present.
     """
     demands = list(demands)
     needed = 0.0
@@ -58,7 +59,7 @@
 
 
 def _due_within(demands: list[Demand], span_s: float) -> float:
-    """Return the work that must be done within a span, in seconds of hosts' scarcest resource."""
+    """Return the work due within a span, in host seconds of the scarcest resource."""
     due = [0.0, 0.0, 0.0]
     for demand in demands:
         share = demand.share_within(span_s)
--- a/src/lentilrill/scheduling/_durations.py
+++ b/src/lentilrill/scheduling/_durations.py
@@ -1,26 +1,27 @@
-"""How long tasks take, learned from those that ran."""
+"""Prediction of task durations from completed tasks."""
 
 import math
 
 __all__ = ["DurationModel"]
 
 PRIOR_RUNS = 8.0
-"""Weight of what is assumed before anything ran: some runs must speak against it."""
+"""Weight of the prior, in runs: several runs must contradict it before it loses its effect."""
 PRIOR_SLOPE = 0.5
-"""Share of an estimate's deviation from the mean that is believed at first. Estimates are off by
-factors of two, as are durations themselves."""
+"""Slope of the prior: the share of an estimate's deviation from the mean that is trusted before any
+run. Estimates vary by factors of two, and so do durations."""
 PRIOR_SPREAD = 0.5
-"""Variance of the logarithm of estimates, assumed at first."""
+"""Variance of the logarithm of estimates in the prior."""
 MEMORY_RUNS = 400.0
-"""Runs after which older ones have faded to a third, so that a change shows within a surge."""
+"""Runs after which the weight of an older run has decayed to about a third, so that a change in
+durations takes effect within a surge."""
 
 
 class DurationModel:
-    """Durations of one queue's tasks, as a line through logarithms of estimates and durations.
+    """Linear regression of log duration on log estimate for the tasks of one queue.
 
-    Load pattern: callers' estimates are off by factors of two and more, so the order of jobs, what
-    can still be in time, and the work that waits are all wrong by as much. What has run tells how
-    far estimates of a queue can be believed.
+    Callers' estimates are off by factors of two and more, which would distort the order of jobs,
+    the choice of jobs that can meet their deadline, and the size of the backlog by as much.
+    Completed tasks show how reliable the estimates of a queue are.
     """
 
     def __init__(self) -> None:
@@ -31,7 +32,7 @@
         self._cov = 0.0
 
     def observe(self, estimate_ms: float, actual_ms: float) -> None:
-        """Learn from a task that is done."""
+        """Update the model with a completed task."""
         if estimate_ms <= 0 or actual_ms <= 0:
             return
         x, y = math.log(estimate_ms), math.log(actual_ms)
@@ -44,7 +45,7 @@
         self._cov += (dx * dy * (1 - share) - self._cov) * share
 
     def expected_ms(self, estimate_ms: float) -> float:
-        """Return how long a task with this estimate is expected to take."""
+        """Return the expected duration of a task with this estimate."""
         if not self._runs or estimate_ms <= 0:
             return estimate_ms
         prior = PRIOR_RUNS * PRIOR_SPREAD
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -1,23 +1,23 @@
-"""In which order jobs get room."""
+"""Order in which jobs are scheduled."""
 
 import msgspec
 
 __all__ = ["Standing", "sort_key"]
 
 DOUBT = 0.7
-"""Share of a job's slack that is counted on: it shrinks with the job if its tasks turn out to be
-shorter than expected, and durations are off by half."""
+"""Share of a job's slack that the order relies on: expected durations are off by half, and a job
+whose tasks are shorter than expected also has an earlier deadline."""
 
 
 class Standing(msgspec.Struct, frozen=True):
-    """What the order of a job depends on.
+    """Properties of a job that determine its place in the order.
 
-    :param priority: of its queue; 0 goes first.
-    :param lasts: it serves until it is cancelled.
+    :param priority: priority of its queue; 0 is the highest.
+    :param lasts: whether it runs until it is cancelled.
     :param age_s: seconds since it was accepted.
-    :param left_s: seconds that its remaining chain of steps takes at least.
-    :param allowed_s: seconds after its acceptance by which it should be done.
-    :param left_work: processor seconds that it still needs.
+    :param left_s: minimum seconds for the remaining steps of its critical path.
+    :param allowed_s: deadline, in seconds after acceptance.
+    :param left_work: remaining work in processor seconds.
     """
 
     priority: int
@@ -29,28 +29,28 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether it can still be done by then, or has no such time."""
+        """Whether the job can still meet its deadline, or has none."""
         return self.lasts or self.age_s + self.left_s <= self.allowed_s
 
     @property
     def slack_s(self) -> float:
-        """Seconds for which it may still wait; negative if it has missed its time."""
+        """Seconds for which the job can still wait; negative if it will miss its deadline."""
         return DOUBT * (self.allowed_s - self.left_s) - self.age_s
 
 
 def sort_key(standing: Standing, *, feasible: bool = False) -> tuple[int, int, float]:
-    """Return a key by which jobs sort in the order in which they get room.
+    """Return a key that sorts jobs in the order in which they are scheduled.
 
-    Load pattern: for some seconds a queue gets more work than its pool can do. In order of
-    arrival every job waits about as long, and all miss their objective together. So jobs that can
-    still meet it go first, the shortest first, which finishes the most of them; those that have
-    missed it get what is left, oldest first, so that none starves once the surge is over.
-    While a pool can do all of its work in time, the one with the least slack goes first: shortest
-    first would leave the long ones until they are late.
+    During a surge a queue gets more work than its pool can do. In order of arrival all jobs would
+    wait about equally long and miss their objective together. So jobs that can still meet their
+    deadline go first, shortest first, which completes the largest number of them. Overdue jobs use
+    the remaining capacity, oldest first, so that none starves after the surge.
+    While a pool can finish all of its work on time, the job with the least slack goes first:
+    shortest first would delay long jobs until they miss their deadline.
 
-    Tasks that last go before all: they are few, and users wait on them every moment.
+    Long-running jobs go before all others: they are few, and users wait for their responses.
 
-    :param feasible: whether all that waits can be done when it is due.
+    :param feasible: whether all waiting jobs can meet their deadlines.
     """
     if standing.lasts:
         return (0, 0, -standing.age_s)
--- a/src/lentilrill/scheduling/_pacing.py
+++ b/src/lentilrill/scheduling/_pacing.py
@@ -1,11 +1,11 @@
-"""How fast tasks that fill up an endpoint may work beside tasks that serve."""
+"""Pace control of filler tasks that share an endpoint with long-running tasks."""
 
 __all__ = ["next_pace"]
 
 HIGH = 0.8
-"""Share of a tail's target above which fillers slow down: before users notice."""
+"""Share of the tail latency target at which fillers slow down, before the target is missed."""
 LOW = 0.55
-"""Share below which they speed up again; the gap keeps the pace from swinging."""
+"""Share at which fillers speed up again; the gap to the upper threshold prevents oscillation."""
 OVER_STEP = 0
 NEAR_FACTOR = 0.5
 FASTER_STEP = 15
@@ -16,10 +16,10 @@
 def next_pace(pace: int, worst_share: float) -> int:
     """Return the next pace, in percent, of the fillers on one endpoint.
 
-    Load pattern: a filler disturbs the tails of what serves beside it by an amount that differs by
-    image and changes within seconds, so it is found by trying: down at once, up slowly.
+    How much a filler raises the tail latency of the tasks beside it differs by image and changes
+    within seconds, so the pace is adjusted by feedback: reduced at once, raised slowly.
 
-    :param worst_share: highest tail on the endpoint, as a share of its target.
+    :param worst_share: highest tail latency on the endpoint, as a share of its target.
     """
     if worst_share >= 1.0:
         return OVER_STEP
--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -1,4 +1,4 @@
-"""Where a task runs."""
+"""Placement of tasks on endpoints."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,15 +8,15 @@
 __all__ = ["EndpointRoom", "place"]
 
 GATHERED = 3
-"""Tasks that last which may gather on an endpoint before the next one is taken."""
+"""Long-running tasks to place on one endpoint before the next endpoint is preferred."""
 
 
 class EndpointRoom:
-    """Free room of one endpoint while a round of placement goes on.
+    """Free capacity of one endpoint during a planning round.
 
-    :ivar runs: tasks on it that end.
-    :ivar probing: it has failed too often and gets one task that ends at a time.
-    :ivar serving: tasks on it that last, which others disturb.
+    :ivar runs: number of tasks on it that end by themselves.
+    :ivar probing: whether its recent failures limit it to one such task at a time.
+    :ivar serving: number of long-running tasks on it, which other tasks slow down.
     """
 
     __slots__ = ("free", "id", "labels", "probing", "rack", "runs", "serving")
@@ -40,7 +40,7 @@
         self.probing = probing
 
     def take(self, needs: Resources, *, serves: bool) -> None:
-        """Count a task that is placed here."""
+        """Reserve capacity for a task placed on this endpoint."""
         self.free = self.free.minus(needs)
         self.runs += not serves
         self.serving += serves
@@ -52,19 +52,20 @@
     on_endpoint: Callable[[EndpointId], int],
     avoid: set[EndpointId],
 ) -> EndpointRoom | None:
-    """Return the endpoint for one more task of ``step``, or ``None`` if none has room.
+    """Return the endpoint for one more task of ``step``, or ``None`` if no endpoint fits.
 
-    A task goes to the rack of its data if it can, and else where it fits best: that leaves whole
-    endpoints free for large tasks.
+    A task is placed on the rack of its data if possible, and otherwise by best fit, which leaves
+    whole endpoints free for large tasks.
 
-    Load pattern: an endpoint fails all that it starts, and so is always free, while the others are
-    full. A task that failed there would come back at once and use up its attempts in a second. So
-    it rather waits for another endpoint, and is no probe for one that is unwell.
-    Tasks that last gather on few endpoints, since each endpoint that holds one is kept from
-    leaving an idle pool; but no more than a few on one, since they disturb each other, and since
-    an endpoint that is lost takes all of them with it.
+    An endpoint that fails every task is always free while the others are full. A task that failed
+    there would be placed there again and use up its attempts within a second. So a failed task
+    waits for another endpoint, and is not used to probe an unhealthy one.
 
-    :param on_endpoint: tasks of the step that have a run on an endpoint.
+    Long-running tasks are packed on few endpoints, because each endpoint that runs one can't leave
+    an idle pool. Only a few are packed on one endpoint, because they slow each other down and all
+    of them are lost with the endpoint.
+
+    :param on_endpoint: returns the number of tasks of the step that have a run on an endpoint.
     :param avoid: endpoints where the task failed before.
     """
     needs = step.reserved
@@ -100,5 +101,8 @@
 
 
 def _crowding(serving: int) -> float:
-    """Return the cost of one more lasting task beside ``serving`` others: gather up to a few."""
+    """Return the cost of adding a long-running task to an endpoint that runs ``serving`` others.
+
+    The cost falls with each task up to the preferred number and is higher beyond it.
+    """
     return float(-serving if serving < GATHERED else serving)
--- a/src/lentilrill/scheduling/_turns.py
+++ b/src/lentilrill/scheduling/_turns.py
@@ -1,4 +1,4 @@
-"""Which queues have had their turn of high demand, and may do with fewer hosts until the next."""
+"""Tracking of surges that pass from pool to pool; a pool past its surge keeps fewer hosts."""
 
 from collections.abc import Collection
 
@@ -7,17 +7,18 @@
 __all__ = ["Turns"]
 
 ENDED_S = 2.0
-"""How long a pool's work must have been low before its turn counts as over: gaps between the jobs
-of one turn are shorter."""
+"""Seconds of low demand after which a surge counts as over; gaps between the jobs of one surge are
+shorter."""
 
 
 class Turns:
-    """Follows demand that rises and falls by turns.
+    """Tracks which pools have had their surge in the current cycle.
 
-    Load pattern: each queue in its time asks several times its mean for some seconds, and almost
-    nothing until all others have had theirs. Hosts that an idle pool keeps for the beginning of
-    its turn wait in vain in pools that just had it. When all have had their turn, and when a pool
-    has another one, everything begins anew; a pool that had no turn yet counts as due.
+    Each queue in turn has several times its mean demand for some seconds, and almost none until all
+    others have had their surge. Hosts that an idle pool keeps for the start of its next surge are
+    wasted in a pool whose surge has just passed. A new cycle begins when all pools have had their
+    surge or when one pool has a second one. A pool without a surge in this cycle is expected to
+    have one.
     """
 
     def __init__(self) -> None:
@@ -26,7 +27,7 @@
         self._had_turn: set[PoolId] = set()
 
     def note(self, pool: PoolId, *, is_high: bool, now: float) -> None:
-        """Note whether a pool's work fills more than an idle pool keeps."""
+        """Record whether the demand of a pool exceeds the hosts that it keeps while idle."""
         if is_high:
             self._low_since.pop(pool, None)
             self._in_turn.add(pool)
@@ -39,5 +40,5 @@
             self._had_turn.add(pool)
 
     def past(self, pools: Collection[PoolId]) -> set[PoolId]:
-        """Return the pools that had their turn while others still wait for theirs."""
+        """Return the pools whose surge has passed; empty once all ``pools`` have had one."""
         return set() if self._had_turn >= set(pools) else set(self._had_turn)
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on work that waits, replayed on the loads that they answer."""
+"""Tests for placement, job order, admission and pace control."""
 
 from testtools import TestCase
 
@@ -39,10 +39,10 @@
         self.assertEqual("b", self.placed(rooms, near=RackId("r2")))
 
     def test_not_back_to_where_it_failed(self) -> None:
-        """Thirteen jobs failed for good on one endpoint, which failed all that it started.
+        """Thirteen jobs used up their attempts on one endpoint that failed every task.
 
-        It was always free while the others were full, so each task came back to it until its
-        attempts were used up. It waits for another endpoint, unless there is none.
+        It was always free while the others were full, so each task was placed there again. A
+        failed task must wait for another endpoint, unless there is none.
         """
         self.assertEqual("b", self.placed([a_room("a", 1000), a_room("b")], "a"))
         self.assertIsNone(self.placed([a_room("a", 1000), a_room("b", 0)], "a"))
@@ -53,22 +53,24 @@
         self.assertIsNone(self.placed([a_room("a")], label="gpu"))
 
     def test_an_unwell_endpoint_gets_one_task_at_a_time(self) -> None:
-        """Every job of a queue failed: an endpoint that failed all it started was always free,
-        and so got the next task, until the attempts of all were used up."""
+        """Every job of a queue used up its attempts on an endpoint that failed every task and was
+        therefore always free for the next one."""
         self.assertIsNone(self.placed([a_room("a", probing=True, runs=1)]))
         self.assertEqual("b", self.placed([a_room("a", probing=True), a_room("b")]))
 
 
 class OrderTest(TestCase):
     def test_in_a_surge_what_can_still_be_in_time_goes_first(self) -> None:
-        """In a surge all ballots came late together: in order of arrival each waited as long as
-        every other. What can still be in time goes before what can't, the shortest first."""
+        """In order of arrival all jobs of a surge waited equally long, and all were late.
+
+        Jobs that can meet their deadline go first, shortest first, before overdue jobs.
+        """
         late = a_standing(age_s=5.0)
         long, short = a_standing(left_work=9.0), a_standing(left_work=1.0)
         self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
 
     def test_while_all_can_be_in_time_the_tightest_goes_first(self) -> None:
-        """On calm days large plans were late: small ones that could have waited went before."""
+        """Without a surge large jobs were late, because small jobs with slack went first."""
         tight, loose = a_standing(left_work=9.0, left_s=1.9), a_standing(left_work=1.0)
         jobs = [loose, tight]
         self.assertEqual([tight, loose], sorted(jobs, key=lambda job: sort_key(job, feasible=True)))
@@ -90,10 +92,10 @@
         self.assertLess(retry_after_s(Pressure(7.0)), retry_after_s(Pressure(12.0)))
 
     def test_late_work_is_no_reason_to_refuse_what_can_be_in_time(self) -> None:
-        """Worksheets were refused for three seconds although they would have been started at once.
+        """Jobs that could have started at once were rejected for three seconds after a surge.
 
-        A surge had left a backlog that was late; what waits in it goes after all that can still
-        be in time, but counted as if it went before.
+        The backlog was overdue and runs after jobs that can be on time, but was counted as if it
+        ran before them.
         """
         self.assertTrue(may_take(Pressure(0.5, 8.0)))
         self.assertFalse(may_take(Pressure(3.0, 8.0)))
@@ -102,7 +104,7 @@
 
 class PacingTest(TestCase):
     def test_fillers_stop_when_users_notice_and_come_back_slowly(self) -> None:
-        """A textbook's readers waited: what filled up their endpoint slowed their tails down."""
+        """Fillers on an endpoint raised the tail latency of the long-running task beside them."""
         self.assertEqual(0, next_pace(100, 1.2))
         self.assertEqual(50, next_pace(100, 0.9))
         self.assertEqual(60, next_pace(60, 0.7))
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -1,4 +1,4 @@
-"""Loads replayed on the decisions about hosts and on what is learned of durations."""
+"""Tests for host moves, demand of pools and the duration model under recorded loads."""
 
 import math
 import random
@@ -42,7 +42,8 @@
             self.assertEqual(left, 8 - len(moves), lately)
 
     def test_a_surge_that_ends_leaves_to_the_next_what_it_does_not_need(self) -> None:
-        """The second queue of a day had 64 hosts for work of 265, the first 158 for work of 87."""
+        """A pool in its surge had 64 hosts and needed 265, while the pool whose surge was ending
+        kept 158 hosts and needed 87."""
         begins = PoolNeed(PoolId("notices"), 265.0, 64, firm=45.0)
         light = free("b1", "b2", "b3", "b4")
         for need, moved in ((87.0, 4), (130.0, 0)):
@@ -50,7 +51,7 @@
             self.assertEqual(moved, len(plan_moves((begins, ends), STANDBY, ())), need)
 
     def test_a_need_that_swings_stops_no_tasks(self) -> None:
-        """On a small site each job that ended sent away a host that was wanted again at once."""
+        """On a small site each completed job released a host that was needed again at once."""
         begins = PoolNeed(PoolId("notices"), 9.0, 2, firm=9.0)
         for hosts, moved in ((8, 0), (160, 4)):
             need = (hosts - 2.0) / 1.15 if hosts == 8 else 100.0
@@ -65,10 +66,10 @@
         self.assertEqual("b1", move.host.host)
 
     def test_hosts_that_come_up_one_by_one_move_none(self) -> None:
-        """Fifty hosts moved before the first caller came.
+        """Fifty hosts moved after a start, before the first request.
 
-        After a start the list showed standby's hosts first. They were sent to pools that seemed
-        to have none, whose own hosts came up a second later, and all of these then left again.
+        The list of hosts showed standby hosts first. They were moved to pools that seemed empty,
+        whose own hosts came up a second later, and then became surplus there.
         """
         for short_s, moved in ((1.0, 0), (9.0, 3)):
             pool = PoolNeed(PoolId("ballots"), 0.0, 1, kept=4, short_s=short_s)
@@ -84,7 +85,8 @@
         self.assertEqual([], plan_moves((hot, busy), STANDBY, ()))
 
     def test_a_surge_leaves_other_pools_what_they_keep(self) -> None:
-        """A pool went into its surge with 15 of the 22 hosts that it keeps: guards its share."""
+        """A pool entered its surge with 15 of its 22 minimum hosts, because another surge had taken
+        the rest."""
         hot = PoolNeed(PoolId("notices"), 200.0, 120, firm=140.0)
         names = [f"s{n}" for n in range(10)]
         for hosts, taken in ((26, 4), (22, 0), (15, 0)):
@@ -95,10 +97,11 @@
             self.assertEqual(taken, len([m for m in moves if m.source == idle.pool]), hosts)
 
     def test_a_forecast_does_not_starve_a_surge(self) -> None:
-        """Route plans were refused for four seconds while twenty hosts stood idle in another pool.
+        """Jobs of a pool in its surge were rejected for four seconds while another pool had twenty
+        idle hosts.
 
-        One large dispatch plan was handed in just as hosts came free, and its work, taken for the
-        beginning of a surge, asked for all of them; three would have done.
+        One large job arrived in the other pool just as hosts became free. The forecast took it for
+        the start of a surge and requested all of them; three would have been enough.
         """
         surge = PoolNeed(PoolId("amd"), 17.6, 5, firm=17.6)
         single = PoolNeed(PoolId("rajkot"), 25.8, 4, firm=3.3)
@@ -113,10 +116,10 @@
         self.assertEqual({PoolId("a"): 2, PoolId("b"): 2}, dict(got))
 
     def test_hosts_that_do_late_work_go_where_work_can_be_in_time(self) -> None:
-        """Worksheets were refused for four seconds beside notices that were late already.
+        """Jobs of a new surge were rejected for four seconds while another pool ran overdue jobs.
 
-        The notices' surge had left a backlog; each host of their pool worked on it and was never
-        idle, so none went to the worksheets, whose surge had begun.
+        The hosts of that pool worked on the backlog of the previous surge and were never idle, so
+        none was moved.
         """
         hot = PoolNeed(PoolId("schools"), 9.0, 3)
         busy = PoolNeed(PoolId("notices"), 2.0, 6, 6, (), (), free("n1", "n2", "n3", "n4"))
@@ -131,7 +134,7 @@
 
 class OfferedLoadTest(TestCase):
     def test_a_surge_shows_in_its_first_second(self) -> None:
-        """In its turn a queue's jobs waited three seconds for hosts that came when it was over."""
+        """Jobs of a surge waited three seconds for hosts that arrived after the surge."""
         offered = OfferedLoad()
         offered.note(10.0, a_chain(2.0), 0.0)
         self.assertGreaterEqual(offered.expected(10.5).needs_s[0], 4000)
@@ -146,9 +149,11 @@
 
 class DemandTest(TestCase):
     def test_work_that_may_wait_shares_hosts(self) -> None:
-        """Thirty hosts came for five dispatch plans of one second, when all were nearly done.
+        """Thirty hosts were moved for five jobs of one second and arrived when the jobs were nearly
+        done.
 
-        Each plan would have filled six hosts at once; in a row, three did them all in time.
+        Each job could have filled six hosts at once; three hosts could finish all jobs on time one
+        after the other.
         """
         plans = [Demand((6.0 * 2, 0.0, 0.0), 18.0, 2.0) for _ in range(5)]
         self.assertLessEqual(hosts_due(plans), 5.0)
@@ -159,9 +164,9 @@
         self.assertAlmostEqual(5.0, hosts_due(plans))
 
     def test_hosts_that_are_yet_to_come_work_for_a_part_of_the_span(self) -> None:
-        """Ferry plans were late in each surge although all hosts that they filled had come.
+        """Jobs were late in each surge although all requested hosts arrived.
 
-        The hosts were enough for the work, had they been there when it was handed in.
+        The number of hosts was computed as if they were present when the jobs were submitted.
         """
         plans = [Demand((4.5, 0.0, 0.0), 2.5, 2.0) for _ in range(4)]
         self.assertAlmostEqual(4.0, hosts_due(plans, present=1.0))
@@ -177,7 +182,7 @@
 
 class DurationModelTest(TestCase):
     def test_estimates_that_are_far_off_are_believed_less(self) -> None:
-        """Short jobs stood behind long ones: callers' estimates were off by factors of three."""
+        """Short jobs ran after long ones: callers' estimates were off by factors of three."""
         chance = random.Random(5)
         model = DurationModel()
         for _ in range(200):
--- a/tests/scheduling/test_turns.py
+++ b/tests/scheduling/test_turns.py
@@ -1,4 +1,4 @@
-"""Demand by turns, replayed on what idle pools keep."""
+"""Tests for the minimum hosts of idle pools while surges pass from pool to pool."""
 
 from testtools import TestCase
 
@@ -22,7 +22,7 @@
         return self.turns.past(POOLS)
 
     def test_a_pool_keeps_less_between_its_turns(self) -> None:
-        """Ten hosts stood idle in pools whose surge had just ended, and were paid for."""
+        """Ten paid hosts were idle in pools whose surge had just ended."""
         notices, ballots, schools = POOLS
         self.assertEqual(set(), self.play(6, notices))
         self.assertEqual({notices}, self.play(4))
