--- a/src/lentilrill/workloads/__init__.py
+++ b/src/lentilrill/workloads/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs, steps and tasks as typed values, and what operators configure for them."""
+"""Data types of jobs, steps and tasks, and of the operators' configuration."""
 
 from lentilrill.workloads._configuration import (
     Advice,
--- a/src/lentilrill/workloads/_configuration.py
+++ b/src/lentilrill/workloads/_configuration.py
@@ -1,4 +1,4 @@
-"""What operators have configured: queues, pools, limits, and waves of upkeep."""
+"""Configuration by operators: queues, pools, limits, and waves of upkeep."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
 
 
 class Advice(msgspec.Struct, frozen=True):
-    """A queue's policy service, which says which endpoints may run a step.
+    """Properties of a queue's policy service, which decides which endpoints may run a step.
 
-    :param decide_ms: time of one answer.
-    :param per_endpoint_ms: time added for each endpoint asked about.
-    :param valid_ms: how long a ticket holds.
+    :param decide_ms: time for one decision.
+    :param per_endpoint_ms: additional time for each endpoint in the request.
+    :param valid_ms: how long a ticket is valid.
     """
 
     decide_ms: int = 0
@@ -26,9 +26,9 @@
 
     :param host: value of the ``Host`` header that selects it, without a port.
     :param prefix: path prefix that selects it.
-    :param priority: 0 goes first.
-    :param objective_ms: latency objective, on top of the stretched work.
-    :param stretch: how many times its longest chain of work a job may take.
+    :param priority: 0 is the highest priority.
+    :param objective_ms: latency objective, in addition to the stretched critical path.
+    :param stretch: factor on the duration of a job's critical path that a job may take.
     """
 
     id: QueueId
@@ -46,8 +46,8 @@
 class PoolEntry(msgspec.Struct, frozen=True):
     """One pool of hosts.
 
-    :param standby: its hosts are off, and free of charge, until they are moved.
-    :param guarded: its endpoints refuse what does not fit.
+    :param standby: whether its hosts are off, and free of charge, until they are moved.
+    :param guarded: whether its endpoints reject tasks that don't fit.
     """
 
     id: PoolId
@@ -67,7 +67,7 @@
 class Configuration(msgspec.Struct, frozen=True):
     """One version of the configuration, in full.
 
-    :param version: rises with each change, in uneven steps.
+    :param version: increases with each change, not necessarily by one.
     """
 
     version: int
@@ -76,7 +76,7 @@
     limits: Limits = Limits()
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue of a request: same host, longest prefix of ``path``."""
+        """Return the queue with this host and the longest matching prefix of ``path``."""
         found: Queue | None = None
         for queue in self.queues:
             if queue.host != host or not path.startswith(queue.prefix):
@@ -86,21 +86,22 @@
         return found
 
     def queue(self, queue_id: QueueId) -> Queue | None:
-        """Return a queue by its id."""
+        """Return the queue with this id, or ``None``."""
         return next((queue for queue in self.queues if queue.id == queue_id), None)
 
     def pool(self, pool_id: PoolId) -> PoolEntry | None:
-        """Return a pool by its id."""
+        """Return the pool with this id, or ``None``."""
         return next((pool for pool in self.pools if pool.id == pool_id), None)
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """What an endpoint says of itself in the store.
+    """Record that an endpoint registers in the store.
 
-    :param draining: it leaves soon and takes no new task.
-    :param host: host on which it lives; empty if it does not say.
-    :param born_ms: start of this life, in milliseconds since the epoch; 0 if it does not say.
-    :param leaves_in_ms: least time left while it drains; 0 if it does not say.
+    :param room: total capacity for tasks.
+    :param draining: whether it will leave soon and accepts no new tasks.
+    :param host: host that it runs on; empty if not reported.
+    :param born_ms: time of its last start, in milliseconds since the epoch; 0 if not reported.
+    :param leaves_in_ms: minimum time until it leaves while draining; 0 if not reported.
     """
 
     id: EndpointId
@@ -116,15 +117,15 @@
 
     @property
     def rack(self) -> RackId:
-        """The rack's label, which comes last."""
+        """The rack of the endpoint, which is its last label."""
         return RackId(self.labels[-1] if self.labels else "")
 
 
 class Wave(msgspec.Struct, frozen=True):
-    """Hosts that are due for upkeep.
+    """Hosts scheduled for upkeep together.
 
-    :param within_s: seconds in which the wave is to be through.
-    :param most_at_once: hosts that may be down for this wave at the same time.
+    :param within_s: seconds within which the wave should be completed.
+    :param most_at_once: maximum hosts that may be down for this wave at the same time.
     """
 
     number: int
--- a/src/lentilrill/workloads/_job.py
+++ b/src/lentilrill/workloads/_job.py
@@ -1,4 +1,4 @@
-"""A job as its caller handed it in: steps of tasks and what they need."""
+"""Jobs as submitted by callers: steps of tasks and the resources that they need."""
 
 import math
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, omit_defaults=True, array_like=True):
-    """Room on an endpoint, or what a task takes of it.
+    """Resources of an endpoint, or resources that a task needs.
 
     :param cpu: thousandths of a core.
     :param memory_mb: memory in megabytes.
@@ -24,7 +24,7 @@
     accelerators: int = 0
 
     def fits(self, room: "Resources") -> bool:
-        """Return whether ``room`` holds all of this."""
+        """Return whether these resources fit into ``room``."""
         return (
             self.cpu <= room.cpu
             and self.memory_mb <= room.memory_mb
@@ -32,7 +32,7 @@
         )
 
     def plus(self, other: "Resources") -> "Resources":
-        """Return the sum."""
+        """Return the sum of both."""
         return Resources(
             self.cpu + other.cpu,
             self.memory_mb + other.memory_mb,
@@ -40,7 +40,7 @@
         )
 
     def scaled(self, share: float) -> "Resources":
-        """Return a share of this, rounded up."""
+        """Return these resources multiplied by ``share`` and rounded up."""
         return Resources(
             math.ceil(self.cpu * share),
             math.ceil(self.memory_mb * share),
@@ -57,23 +57,23 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Equal tasks of a job.
-
-    :param needs: what each task takes.
-    :param estimate_ms: the caller's guess at a task's duration; may be far off.
-    :param after: earlier steps whose tasks must all be done before a task of this one starts.
-    :param gang: all tasks work together or not at all, under one run number.
-    :param same_rack: the tasks are slower if they run on more than one rack.
-    :param label: label that an endpoint must have; empty: any.
-    :param near: rack where the data is; slower elsewhere; empty: anywhere.
-    :param most_per_endpoint: tasks of the step that may run on one endpoint; 0: no limit.
-    :param speculative: several copies of a task may run at once.
-    :param lasting: tasks serve until the job is cancelled.
-    :param image: what the tasks run; tasks of one image behave alike.
-    :param target_ms: bound of the tail of a lasting task's response times; 0: none.
-    :param filler: the tasks take processor time that others leave unused; their ``cpu`` is not
-        counted against an endpoint's room.
-    :param may_be_away: tasks of a lasting step that may be away at once by our doing.
+    """Group of identical tasks of a job.
+
+    :param needs: resources of each task.
+    :param estimate_ms: the caller's estimate of a task's duration, which may be far off.
+    :param after: indexes of earlier steps that must be done before a task of this step starts.
+    :param gang: whether all tasks start together or not at all, under one run number.
+    :param same_rack: whether the tasks are slower if they run on more than one rack.
+    :param label: label that an endpoint must have; empty for any endpoint.
+    :param near: rack of the data; tasks are slower on other racks; empty for no preference.
+    :param most_per_endpoint: maximum tasks of the step on one endpoint; 0 for no limit.
+    :param speculative: whether several copies of a task may run at once.
+    :param lasting: whether the tasks are long-running, that is, run until the job is cancelled.
+    :param image: image that the tasks run; tasks with the same image behave alike.
+    :param target_ms: target for the tail latency of a long-running task; 0 for none.
+    :param filler: whether the tasks use only processor time that others leave unused; their ``cpu``
+        isn't counted against an endpoint's capacity.
+    :param may_be_away: maximum tasks of a long-running step that the system may interrupt at once.
     """
 
     count: int
@@ -95,23 +95,23 @@
 
     @property
     def reserved(self) -> Resources:
-        """What a task counts for against an endpoint's room."""
+        """Resources that a task reserves on an endpoint."""
         if not self.filler:
             return self.needs
         return Resources(0, self.needs.memory_mb, self.needs.accelerators)
 
 
 class Job(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One accepted job, as kept in the store.
+    """One accepted job, as stored.
 
-    :param spec: the caller's text, passed to endpoints unchanged.
-    :param queue: queue through which it came.
+    :param spec: the caller's specification, passed to endpoints unchanged.
+    :param queue: queue that it was submitted to.
     :param pool: pool whose endpoints run it; fixed at acceptance.
-    :param attempts: failed runs after which a task was given up by the configuration at
-        acceptance; counts once its queue is configured no more.
-    :param accepted_ms: when it was accepted, in milliseconds since the epoch.
-    :param first_due_ms: when its first occurrence is due, in milliseconds since the epoch.
-    :param occurrences: how many times the steps run; 0: once, at once.
+    :param attempts: maximum attempts for a task by the configuration at acceptance; used once its
+        queue is no longer configured.
+    :param accepted_ms: time of acceptance, in milliseconds since the epoch.
+    :param first_due_ms: due time of its first occurrence, in milliseconds since the epoch.
+    :param occurrences: number of times that the steps run; 0 runs them once, immediately.
     """
 
     id: JobId
@@ -126,7 +126,7 @@
     attempts: int = 1
 
     def due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence is due, in milliseconds since the epoch; 0: at once."""
+        """Return the due time of an occurrence in milliseconds since the epoch; 0 if immediate."""
         if not self.occurrences:
             return 0
         return self.first_due_ms + occurrence * self.interval_ms
@@ -150,7 +150,7 @@
 
 
 class JobState(Enum):
-    """What callers are told of a job."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -160,20 +160,20 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of the job runs any more, for good."""
+        """Whether the job has ended and won't run again."""
         return self in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
 
 class JobAnswer(Enum):
-    """What became of handing a job in, or of cancelling it."""
+    """Result of submitting or cancelling a job."""
 
     ACCEPTED = "accepted"
-    """It is stored, or was so before."""
+    """The request is stored, now or by an earlier attempt."""
     OVERLOADED = "overloaded"
-    """It was not taken and never runs; the caller may come back later."""
+    """The job was rejected and will never run; the caller may retry later."""
     UNAVAILABLE = "unavailable"
-    """It was not taken and never runs; this host can't commit now."""
+    """The job was rejected and will never run; this entry host can't commit now."""
     UNKNOWN = "unknown"
-    """The commit's answer was lost: the job may run. The caller must ask again."""
+    """The result of the commit is unknown: the job may run. The caller must ask again."""
     ABSENT = "absent"
     """There is no such job."""
--- a/src/lentilrill/workloads/_progress.py
+++ b/src/lentilrill/workloads/_progress.py
@@ -1,4 +1,4 @@
-"""How far a job is, as kept in the store."""
+"""Stored progress of jobs."""
 
 import msgspec
 
@@ -8,11 +8,12 @@
 
 
 class StepProgress(msgspec.Struct, omit_defaults=True):
-    """How far a step of one occurrence is.
+    """Progress of a step of one occurrence.
 
-    :param done: hexadecimal number whose bit ``i`` says that task ``i`` is done.
-    :param failed_runs_by_index: numbers of failed runs, by task. Numbers and not a count: the next
-        owner is told of the same end again if it was not acknowledged, and must not count it twice.
+    :param done: hexadecimal bit mask; bit ``i`` is set if task ``i`` is done.
+    :param failed_runs_by_index: run numbers of failed runs, by task. Run numbers instead of a
+        count, because an end that was not acknowledged is reported again to the next owner, which
+        must not count it twice.
     :param saved_by_index: newest checkpoint, by task.
     """
 
@@ -22,10 +23,10 @@
 
 
 class JobProgress(msgspec.Struct, omit_defaults=True):
-    """How far a job is.
+    """Progress of a job.
 
-    :param ended_ms: when it became final, in milliseconds since the epoch.
-    :param steps_by_key: by ``occurrence.step``; steps without news are left out.
+    :param ended_ms: time at which its state became final, in milliseconds since the epoch.
+    :param steps_by_key: progress by ``occurrence.step``; steps without progress are left out.
     """
 
     state: JobState = JobState.QUEUED
