--- a/src/lentilrill/upkeep/__init__.py
+++ b/src/lentilrill/upkeep/__init__.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: hosts are emptied, go down, and come back, a few at a time."""
+"""Orders to hosts: waves of upkeep, and moves of hosts between pools."""
 
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
 from lentilrill.upkeep._emptying import Emptying
--- a/src/lentilrill/upkeep/_contract.py
+++ b/src/lentilrill/upkeep/_contract.py
@@ -1,4 +1,4 @@
-"""What the system needs of the platform's list of hosts."""
+"""Interface to the platform's list of hosts."""
 
 from enum import Enum
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 
 class HostState(Enum):
-    """What the platform says of a host."""
+    """State of a host as reported by the platform."""
 
     UP = "up"
     MOVING = "moving"
@@ -22,9 +22,9 @@
 
 
 class HostRow(msgspec.Struct, frozen=True):
-    """One host.
+    """One host in the platform's list.
 
-    :param endpoint: the endpoint that lives on it; empty if there is none now.
+    :param endpoint: the endpoint that runs on it; empty if there is none now.
     """
 
     id: HostId
@@ -35,28 +35,28 @@
 
 
 class HostOrder(Enum):
-    """What became of an order to a host."""
+    """Result of an order to a host."""
 
     DONE = "done"
     FENCED = "fenced"
     BUSY = "busy"
-    """It is not up, or is leaving."""
+    """The host isn't up, or is leaving."""
     REFUSED = "refused"
-    """It can't be: no such host, or not of that wave."""
+    """The order is invalid: there is no such host, or it isn't part of that wave."""
     LATER = "later"
-    """Too many calls; nothing was done."""
+    """The platform's rate limit was exceeded; nothing was done."""
     UNKNOWN = "unknown"
-    """No answer: it may have been carried out, or may be yet."""
+    """No answer: the order may have been carried out, or may still be."""
 
 
 class HostCalls(Protocol):
     """Calls to the platform's list of hosts."""
 
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
-        """Read the whole list."""
+        """Return the whole list of hosts."""
 
     def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrder:
-        """Move a host into another pool; everything on it ends at once."""
+        """Move a host to another pool; everything on it ends at once."""
 
     def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
-        """Send a host into upkeep; everything on it ends at once."""
+        """Start the upkeep of a host; everything on it ends at once."""
--- a/src/lentilrill/upkeep/_emptying.py
+++ b/src/lentilrill/upkeep/_emptying.py
@@ -1,4 +1,4 @@
-"""Asking pools' owners to empty endpoints whose hosts are wanted."""
+"""Requests to pool owners to drain endpoints whose hosts are needed elsewhere."""
 
 import itertools
 import time
@@ -11,21 +11,23 @@
 __all__ = ["Emptying", "Peers"]
 
 FRESH_S = 1.5
-"""How long an answer counts after its question: half of the time for which an owner keeps tasks
-off an endpoint that nobody asks for any more."""
+"""Seconds for which an answer is valid after its request was sent: half of the time for which an
+owner keeps new tasks off an endpoint after the last request."""
 
 
 class Peers(Protocol):
-    """Sends messages to other entry hosts."""
+    """Interface for messages to other entry hosts."""
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message, which may be lost."""
+        """Send a message; delivery isn't guaranteed."""
 
 
 class Emptying:
-    """Asks again each round until an endpoint is free; whoever stops asking gives it back.
+    """Drains endpoints by requests that are repeated each round until the endpoint is free.
 
-    :param owner_address: inner address of a pool's owner; empty if there is none.
+    An endpoint returns to normal use when its requests stop.
+
+    :param owner_address: returns the inner address of a pool's owner; empty if there is none.
     """
 
     def __init__(self, peers: Peers, owner_address: Callable[[PoolId], str]) -> None:
@@ -36,15 +38,15 @@
         self._last_ask: dict[EndpointId, tuple[int, float]] = {}
 
     def told(self, message: ReleaseTold) -> None:
-        """Take the answer of a pool's owner."""
+        """Handle the answer of a pool's owner."""
         self._told_by_endpoint[message.endpoint] = message
 
     def ask(self, pool: PoolId, endpoint: EndpointId) -> tuple[bool, str]:
-        """Ask for an endpoint; return whether it is free, and what it waits for.
+        """Request an endpoint; return whether it is free, and the reason if it isn't.
 
-        Guard against a host that is taken from under its tasks: only the answer to the last ask
-        counts, and only for as long as the owner surely keeps new tasks off. An older one may
-        stem from an attempt that was given up, after which the endpoint got tasks again.
+        Only the answer to the previous request counts, and only while its owner is sure to keep new
+        tasks off the endpoint. An older answer may belong to an attempt that was given up, after
+        which the endpoint got tasks again; these would be lost if the host were taken.
         """
         address = self._owner_address(pool)
         if not address:
@@ -56,5 +58,5 @@
         self._last_ask[endpoint] = (ask, now)
         self._peers.send(address, ReleaseAsk(ask, pool, endpoint))
         if told is None or told.ask != last or now - asked_at > FRESH_S:
-            return False, "its owner has not answered"
+            return False, "the owner of the pool has not answered"
         return told.state == ReleaseState.FREE, told.reason
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -1,4 +1,4 @@
-"""The owner of the fleet: waves of upkeep, and hosts that move to where work waits."""
+"""The owner of the fleet, which runs waves of upkeep and moves hosts to pools that need them."""
 
 import threading
 from collections.abc import Callable
@@ -18,19 +18,20 @@
 __all__ = ["FLEET", "FleetOwner"]
 
 FLEET = Shard("@fleet")
-"""The shard whose owner gives orders to hosts: one for all pools, since waves and moves span
-them, and since each host takes orders from one holder at a time."""
+"""The shard whose owner sends orders to hosts. There is one for all pools, because waves and moves
+span pools and a host accepts orders from only one holder at a time."""
 ROUND_S = 0.3
-"""Pause between two rounds, each of which is one call to the list of hosts: a host that is wanted
-is found within it."""
+"""Maximum pause between two rounds. Each round is one call to the list of hosts, and a needed host
+that becomes available is noticed within this time."""
 SHORTEST_ROUND_S = 0.05
-"""Pause before a round that is begun early, in which news that come together are gathered."""
+"""Pause before a round that is started early, so that one round covers notifications that arrive
+together."""
 
 
 class FleetOwner(threading.Thread):
     """Runs waves and moves while this process owns the fleet.
 
-    :param may_order: whether the lease behind the ownership still holds.
+    :param may_order: returns whether the ownership lease is still valid.
     """
 
     def __init__(
@@ -52,18 +53,18 @@
         self._list = Dependency("list of hosts")
 
     def close(self) -> None:
-        """Stop ordering at once."""
+        """Stop sending orders at once."""
         self._ended.set()
         self._early.set()
 
     def told(self, message: ReleaseTold) -> None:
-        """Take the answer of a pool's owner."""
+        """Handle the answer of a pool's owner."""
         self._emptying.told(message)
         if message.state == ReleaseState.FREE:
             self.hurry()
 
     def hurry(self) -> None:
-        """Begin the next round at once: a pool needs hosts, or a host that is wanted is free."""
+        """Start the next round early: a pool needs hosts, or a requested endpoint is free."""
         self._early.set()
 
     def run(self) -> None:
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -1,4 +1,4 @@
-"""Moving hosts between pools and standby, as work comes and goes."""
+"""Moves of hosts between pools and standby as the demand changes."""
 
 import time
 from collections import deque
@@ -26,17 +26,18 @@
 __all__ = ["Mover"]
 
 GIVE_UP_S = 3.0
-"""Time in which an endpoint must be free; else its move is given up. Tasks of late jobs may finish
-for 2.5 s of it."""
+"""Seconds after which a move is given up if its endpoint isn't free yet. Tasks of overdue jobs may
+run on for 2.5 s of this time."""
 
 
 class Mover:
-    """Carries out the moves that :func:`~lentilrill.scheduling.plan_moves` decides on.
+    """Carries out the moves that :func:`~lentilrill.scheduling.plan_moves` returns.
 
-    :param pools: the pools that are configured.
-    :param pressure_of: what a pool's owner says; ``None`` if nobody says anything fresh.
-    :param may_order: whether the lease behind the token still holds.
-    :param orders: sends the orders of a round, those of waves too.
+    :param pools: returns the configured pools.
+    :param pressure_of: returns the last report of a pool's owner; ``None`` if none is recent.
+    :param refused: called with a reason when a host reports a newer owner of the fleet.
+    :param may_order: returns whether the ownership lease is still valid.
+    :param orders: sends the orders of a round; shared with the waves.
     """
 
     def __init__(
@@ -67,9 +68,9 @@
         self._turns = Turns()
 
     def round(self, rows: dict[HostId, HostRow], busy: set[HostId]) -> None:
-        """Begin moves, and go on with those that wait for their endpoint.
+        """Start new moves, and continue those that wait for their endpoint to be free.
 
-        :param busy: hosts that a wave of upkeep wants now.
+        :param busy: hosts in use by a wave of upkeep.
         """
         standby = [pool.id for pool in self._pools() if pool.standby]
         if not standby:
@@ -120,10 +121,10 @@
     def _kept(
         self, pools: list[PoolId], rows: dict[HostId, HostRow], now: float
     ) -> dict[PoolId, int]:
-        """Return how many hosts each pool keeps while it is idle.
+        """Return the minimum hosts of each pool.
 
-        Also hosts on their way count: counted without them, each host that leaves a pool makes the
-        others keep fewer, and all come back when it has arrived.
+        Hosts that are moving count too. Otherwise each host that leaves a pool would lower the
+        minimum of the others, which would release hosts and get them back after its arrival.
         """
         all_hosts = sum(1 for row in rows.values() if row.state is not HostState.DOWN)
         self._note_turns(pools, kept_hosts(all_hosts, len(pools)), now)
@@ -150,8 +151,8 @@
             self._short_since.pop(pool, None)
             return None
         moves = [move for move, _ in self._begun_by_host.values()]
-        # A host that is down serves nobody, for seconds or for good; if it comes back it is one too
-        # many, and goes where hosts are short.
+        # A host that is down, for seconds or permanently, runs no tasks. If it comes back, it is
+        # surplus and can move to a pool that needs it.
         members = [
             row for row in rows.values() if row.pool == pool and row.state is not HostState.DOWN
         ]
@@ -181,9 +182,9 @@
         )
 
     def _most_lately(self, pool: PoolId, target: int, hosts: int, now: float) -> int:
-        """Return the most hosts that a pool should have had in the last seconds.
+        """Return the highest target of a pool in the last :data:`SETTLED_S` seconds.
 
-        One that was not followed for as long may have needed all that it has.
+        A pool that has been tracked for a shorter time may have needed all of its hosts.
         """
         targets = self._targets_by_pool.setdefault(pool, deque([(now, hosts)]))
         targets.append((now, target))
@@ -200,7 +201,7 @@
         row: HostRow | None,
         is_resting: bool,
     ) -> bool:
-        """Whether a host that is to move can be ordered now; give its move up if it never can."""
+        """Return whether the order for a move can be sent now; drop a move that can't complete."""
         if row is None or row.pool != move.source or row.state is not HostState.UP:
             del self._begun_by_host[host]
             return False
@@ -213,7 +214,7 @@
         return is_free
 
     def _order(self, move: Move) -> HostOrder | None:
-        # A round of a late host lasts: its right may have ended since it began.
+        # On a slow entry host a round takes long: the lease may have ended since it began.
         if not self._may_order():
             return None
         return self._hosts.move(move.host.host, move.target, self._process, int(self._token))
@@ -228,13 +229,13 @@
             answer=answer.value,
         )
         if answer is HostOrder.FENCED:
-            self._refused(f"host {host} knows a newer owner of the fleet")
+            self._refused(f"host {host} has accepted a newer owner of the fleet")
         if answer not in (HostOrder.LATER, HostOrder.UNKNOWN):
             del self._begun_by_host[host]
 
 
 def _hosts_of(rows: list[HostRow], endpoints: tuple[EndpointId, ...]) -> tuple[FreeHost, ...]:
-    """Return the hosts on which some endpoints live, in the order of these."""
+    """Return the hosts of ``endpoints``, in the same order."""
     row_by_endpoint = {row.endpoint: row for row in rows}
     found = [row_by_endpoint[endpoint] for endpoint in endpoints if endpoint in row_by_endpoint]
     return tuple(FreeHost(row.id, row.zone, row.endpoint) for row in found)
--- a/src/lentilrill/upkeep/_orders.py
+++ b/src/lentilrill/upkeep/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to hosts, side by side and within the platform's rate."""
+"""Sending of orders to hosts, concurrently and within the platform's rate limit."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -13,7 +13,8 @@
 AT_ONCE = 12
 SUSTAINED_SHARE = 0.8
 BURST_SHARE = 0.2
-"""Shares of the platform's rate: together one second takes no more than it allows."""
+"""Shares of the platform's rate limit for the refill and the size of the token bucket: they add up
+to one, so no second exceeds the limit."""
 
 T = TypeVar("T")
 
@@ -21,12 +22,12 @@
 class HostOrders:
     """Sends the orders of one round.
 
-    Load pattern: a surge or a wave at a site of hundreds of hosts asks for a hundred orders at
-    once, each a call of its own. One after the other the last of them go out seconds later, and
-    their hosts serve when the surge is over.
+    At a site of hundreds of hosts a surge or a wave can need a hundred orders at once, each a call
+    of its own. If they were sent one after the other, the last would go out seconds later, and
+    their hosts would run tasks only after the surge.
 
-    :param per_s: orders that the platform takes a second, from all entry hosts.
-    :param at_once: most orders that are on their way at a time.
+    :param per_s: the platform's rate limit for orders of all entry hosts, per second.
+    :param at_once: maximum number of concurrent orders.
     """
 
     def __init__(
@@ -39,11 +40,12 @@
     def send(
         self, targets: Sequence[T], order: Callable[[T], HostOrder | None]
     ) -> list[tuple[T, HostOrder]]:
-        """Order each target that the rate allows; return what became of those that were ordered.
+        """Send orders to as many targets as the rate limit allows; return those with their results.
 
-        Those that are left out are ordered in a later round.
+        The remaining targets are left to a later round.
 
-        :param order: sends one order; ``None`` if it was not sent. Called side by side.
+        :param order: sends one order and returns its result, or ``None`` if it wasn't sent. Called
+            from several threads.
         """
         now = self._clock()
         allowed = [target for target in targets if self._bucket.take(now)]
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: hosts go down a few at a time, each once it is empty."""
+"""Waves of upkeep: hosts go down a few at a time, each after its endpoint is drained."""
 
 import math
 import time
@@ -19,34 +19,35 @@
 __all__ = ["Waves"]
 
 HOST_DOWN_S = 4.0
-"""Time that a host takes in a wave: emptied, down for two seconds, and seen up again."""
+"""Expected time for one host of a wave: drain, two seconds of downtime, and detection that it is up
+again."""
 SAFETY = 1.6
-"""Factor on the time that the rest of a wave needs, for hosts that can't be emptied at once."""
+"""Factor on the expected time for the rest of a wave, for hosts that can't be drained at once."""
 BUSY_SHARE = 0.7
-"""Share of its hosts that a pool's work fills, from which on a wave leaves it alone if it can."""
+"""Load of a pool, as a share of its hosts, from which a wave avoids its hosts while it can."""
 UNTOUCHED_S = 1.2
-"""Time in which the list shows a host down after its order; one that still shows up as before then,
-with no answer to its order, was not reached by it."""
+"""Seconds within which the list shows a host as down after its order. If it is still shown as up
+after that and its order has no answer, the order was lost."""
 CONFIRMED_S = 3.0
-"""Time after which a host that shows up as before, although its order was confirmed, has had its
-upkeep: longer than an upkeep takes, in case the list lags behind."""
+"""Seconds after which a host with a confirmed order that is still shown as up counts as done. This
+is longer than an upkeep takes, because the list may lag behind."""
 NOBODY = EndpointId("")
 GONE_S = 2.4
-"""Time for which a host must be missing from the list to count as gone for good."""
+"""Seconds for which a host must be missing from the list to count as permanently gone."""
 
 
 class Stage(Enum):
-    """Where a host of a wave is."""
+    """Stage of a host in a wave."""
 
     WAITING = "waiting"
     EMPTYING = "emptying"
     ORDERED = "ordered"
-    """Its order was sent; it counts as down until the list shows it up again."""
+    """Its order may have been sent; it counts as down until the list shows it as up again."""
     DONE = "done"
 
 
 _Kept = tuple[Stage, EndpointId]
-"""What is stored of a host: its stage, and the endpoint that lived on it when it was ordered."""
+"""Stored state of a host: its stage, and the endpoint that ran on it when it was ordered."""
 
 
 class _HostInWave:
@@ -71,13 +72,15 @@
 
 
 class Waves:
-    """All waves of upkeep, while this process owns the fleet.
-
-    :param waves: waves that operators have declared, by number.
-    :param load_of: share of a pool's hosts that its work fills; 0 in standby.
-    :param state_key: key under which operators read a wave's state.
-    :param state_value: that state's value, by whether the wave is through.
-    :param orders: sends the orders of a round, those of moves too.
+    """Runs all waves of upkeep while this process owns the fleet.
+
+    :param waves: returns the waves declared by operators, by number.
+    :param load_of: returns the load of a pool as a share of its hosts; 0 in standby.
+    :param may_order: returns whether the ownership lease is still valid.
+    :param refused: called with a reason when a host or the store reports a newer owner.
+    :param state_key: returns the key under which operators read a wave's state.
+    :param state_value: returns the value of that state for a completed or a running wave.
+    :param orders: sends the orders of a round; shared with the moves of hosts.
     """
 
     def __init__(
@@ -120,12 +123,12 @@
 
     @property
     def open(self) -> list[Wave]:
-        """Waves that are not through, the oldest first."""
+        """Waves that aren't completed, in the order of their numbers."""
         return [w for number, w in sorted(self._waves().items()) if number not in self._completed]
 
     @property
     def busy(self) -> set[HostId]:
-        """Hosts that are being emptied or are down for a wave."""
+        """Hosts that are being drained or are down for a wave."""
         return {
             host
             for hosts in self._hosts_by_wave.values()
@@ -134,7 +137,7 @@
         }
 
     def load(self) -> bool:
-        """Read how far a former owner of the fleet came."""
+        """Load the state stored by the previous owner of the fleet; return whether that worked."""
         read = self._kv.read("w/")
         if isinstance(read, Failure):
             self._records.failed(read.failure().reason)
@@ -154,9 +157,9 @@
         return True
 
     def round(self, rows: dict[HostId, HostRow]) -> None:
-        """Take each open wave a step further.
+        """Advance each open wave.
 
-        :param rows: the list of hosts, read a moment ago.
+        :param rows: the current list of hosts.
         """
         for wave in self.open:
             hosts = self._hosts_by_wave.setdefault(wave.number, {})
@@ -203,23 +206,24 @@
             self._follow_untouched(wave, host, state, now)
 
     def _follow_untouched(self, wave: Wave, host: HostId, state: _HostInWave, now: float) -> None:
-        """Judge an ordered host that the list shows up as before.
+        """Handle an ordered host that the list still shows as up.
 
-        By time, not by rounds, which follow each other at once in a surge: an order that is still
-        on its way would count as lost, and its host not as down, so that one too many goes down.
+        The decision depends on time and not on the number of rounds, which follow each other
+        quickly during a surge. Counting rounds, an order in transit would count as lost and its
+        host as up, so that one host too many would go down.
         """
         state.up_since = state.up_since or now
         up_s = now - state.up_since
         if state.confirmed:
             if up_s >= CONFIRMED_S:
-                # Guard against a wave that orders the same hosts for ever: their upkeep passed
-                # under a former owner, or between two looks, and in standby no new endpoint shows
-                # it. The platform confirms what is under way, which the list shows by now, or what
-                # has been carried out.
+                # The upkeep took place under a previous owner or between two reads of the list, and
+                # in standby no new endpoint shows it. The platform confirms an order whose upkeep
+                # is under way, which the list shows by now, or is complete. Without this rule the
+                # wave would order the same hosts forever.
                 self._finish(wave, host, state, "confirmed")
         elif up_s >= UNTOUCHED_S:
-            # Its order was lost, maybe with the owner that sent it: it is emptied and ordered
-            # again. If the first order comes after all, the second one changes nothing.
+            # The order was lost, perhaps with the owner that sent it, so the host is drained and
+            # ordered again. If the first order still arrives, the second one changes nothing.
             state.stage = Stage.EMPTYING
 
     def _finish(self, wave: Wave, host: HostId, state: _HostInWave, how: str) -> None:
@@ -230,9 +234,9 @@
     def _advance(
         self, wave: Wave, hosts: dict[HostId, _HostInWave], rows: dict[HostId, HostRow]
     ) -> None:
-        """Empty hosts and send them down, never more than the wave allows at once.
+        """Drain hosts and order their upkeep, within the wave's limit of hosts that are down.
 
-        One host more than may go down is emptied ahead, so that it is free when its turn comes.
+        One more host than the limit is drained in advance, so that it is free when its turn comes.
         """
         asked_at = self._clock()
         down = sum(1 for host, state in hosts.items() if _is_down(state, rows.get(host)))
@@ -256,11 +260,11 @@
         hosts: dict[HostId, _HostInWave],
         rows: dict[HostId, HostRow],
     ) -> list[tuple[HostId, _HostInWave]]:
-        """Return hosts that are up, those of idle pools first; those of busy pools only once the
-        wave could otherwise come late.
+        """Return hosts that are up, with draining hosts first and then by increasing load of their
+        pool. Hosts of busy pools are left out while the wave can still be completed in time.
 
-        Load pattern: a wave takes a quarter of all hosts at once, for about as long as a surge
-        lasts. A pool in its surge needs all of its hosts, and an idle one none of them.
+        A wave takes a quarter of all hosts at once, for about as long as a surge lasts. A pool in
+        its surge needs all of its hosts, and an idle pool needs none of them.
         """
         waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.EMPTYING))
         needed_s = HOST_DOWN_S * math.ceil(waiting / wave.most_at_once) * SAFETY
@@ -285,12 +289,13 @@
         chosen: list[tuple[HostId, _HostInWave]],
         asked_at: float,
     ) -> None:
-        """Send hosts down, once it is stored that they may be down.
+        """Store that the chosen hosts may be down, then order their upkeep.
 
-        Guard against a wave that takes down more hosts than it may: the next owner of the fleet
-        must count those that this one ordered last, before the list of hosts shows them.
+        They are stored first because the next owner of the fleet must count the hosts that this one
+        ordered last, before the list of hosts shows them as down. Otherwise more hosts than the
+        limit could be down at once.
 
-        :param asked_at: from when on it was asked whether they are free, which holds for a while.
+        :param asked_at: time of the drain requests, whose answers are valid only for a while.
         """
         if not chosen:
             return
@@ -330,7 +335,7 @@
         log(Event.HOST_ORDERED, host=host, wave=wave.number, answer=answer.value)
         state.confirmed = answer is HostOrder.DONE
         if answer is HostOrder.FENCED:
-            self._refused(f"host {host} knows a newer owner of the fleet")
+            self._refused(f"host {host} has accepted a newer owner of the fleet")
         elif answer is HostOrder.REFUSED:
             self._finish(wave, host, state, "refused")
         elif answer in (HostOrder.BUSY, HostOrder.LATER):
@@ -349,13 +354,16 @@
         record = self._records_by_key.setdefault(key, FencedRecord(self._kv, key, owner))
         written = record.write(value)
         if written is Written.NOT_OWNER:
-            self._refused("the store knows a newer owner of the fleet")
+            self._refused("the store records a newer owner of the fleet")
         return written is Written.DONE
 
 
 def _is_down(state: _HostInWave, row: HostRow | None) -> bool:
-    """Whether a host counts as down: by its order, or by the list of hosts, which shows it later
-    and also tells of orders that were given up and carried out after all."""
+    """Return whether a host counts as down, by its order or by the list of hosts.
+
+    The list shows an ordered host as down only after a delay, but it also shows hosts whose order
+    was given up and carried out nevertheless.
+    """
     if state.stage is Stage.ORDERED:
         return True
     return row is not None and row.state in (HostState.UPKEEP, HostState.DOWN)
--- a/tests/upkeep/test_orders.py
+++ b/tests/upkeep/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to many hosts at once."""
+"""Tests for sending orders to many hosts at once."""
 
 import threading
 
@@ -21,7 +21,7 @@
         return HostOrder.DONE
 
     def test_orders_do_not_wait_for_each_other(self) -> None:
-        """Hosts came to a surge seconds late: each order waited for the one before."""
+        """Hosts arrived seconds late for a surge, because orders were sent one after the other."""
         together = threading.Barrier(4)
 
         def order(host: int) -> HostOrder:
@@ -32,7 +32,7 @@
         self.assertEqual([(host, HostOrder.DONE) for host in range(4)], answers)
 
     def test_no_second_takes_more_than_the_platform_allows(self) -> None:
-        """The platform refused orders beyond its rate, and each refusal was a call that costs."""
+        """The platform rejected orders beyond its rate limit, and each rejected call has a cost."""
         orders = HostOrders(PER_S, clock=lambda: self.now)
         for _ in range(10):
             orders.send(range(200), self.order)
@@ -41,7 +41,7 @@
         self.assertGreater(len(self.sent), PER_S / 2)
 
     def test_what_is_left_out_is_told_as_not_ordered(self) -> None:
-        """A host counted as down in its wave, though its order had never been sent."""
+        """A host counted as down in its wave although its order was never sent."""
         orders = HostOrders(PER_S, clock=lambda: self.now)
         answers = orders.send(range(200), self.order)
         self.assertEqual(sorted(self.sent), [host for host, _ in answers])
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep, moves, and the asking for empty endpoints."""
+"""Tests for waves of upkeep, moves of hosts, and draining of endpoints."""
 
 import time
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Peers:
-    """Answers each ask at once if it is told to."""
+    """Fake of a pool's owner that answers each request at once while ``answers`` is set."""
 
     def __init__(self) -> None:
         self.emptying: Emptying | None = None
@@ -37,7 +37,7 @@
 
 
 class Hosts:
-    """The platform's list of hosts; orders are noted."""
+    """Fake of the platform's list of hosts that records orders."""
 
     def __init__(self) -> None:
         self.answer = HostOrder.DONE
@@ -69,10 +69,10 @@
         self.assertTrue(self.emptying.ask(NOTICES, EndpointId("i-a"))[0])
 
     def test_an_answer_to_an_earlier_attempt_does_not_count(self) -> None:
-        """Seven runs of a worksheet queue were lost with their host.
+        """Seven runs were lost with their host.
 
-        A move had been given up, and its endpoint got tasks again; then the answer to its last
-        ask came, and the next attempt took it for its own.
+        A move was given up and its endpoint got tasks again. Then the answer to the last request of
+        that move arrived, and the next attempt accepted it as its own.
         """
         self.peers.answers = False
         self.emptying.ask(NOTICES, EndpointId("i-a"))
@@ -124,10 +124,10 @@
             waves.round(self.rows)
 
     def test_a_new_owner_counts_what_the_former_one_ordered_last(self) -> None:
-        """Eight hosts of a wave were down at once, and seven may be.
+        """Eight hosts of a wave were down at once, with a limit of seven.
 
-        The fleet's owner changed between an order and the moment at which the list of hosts showed
-        it; the new owner did not know of it and ordered one more.
+        The owner of the fleet changed after an order was sent and before the list of hosts showed
+        its effect. The new owner didn't count that host and ordered one more.
         """
         self.rounds(self.owner(), 3)
         self.assertEqual(1, len(self.hosts.orders))
@@ -142,10 +142,10 @@
         self.assertEqual([], self.hosts.orders)
 
     def test_a_record_that_is_written_late_does_not_undo_a_newer_one(self) -> None:
-        """More hosts of a wave were down than may be, after the fleet's owner had changed.
+        """More hosts of a wave than its limit were down after a change of the fleet's owner.
 
-        The answer to the wave's first record was lost, and the store carried that write out
-        seconds later, over the one that named the host on its way down.
+        The answer to the first write of the wave's record was lost, and the store applied that
+        write seconds later, over a newer one that contained an ordered host.
         """
         late: list[Callable[[], Result]] = []
 
@@ -166,11 +166,11 @@
         self.assertEqual([], self.hosts.orders)
 
     def test_upkeep_that_passed_under_a_former_owner_is_not_ordered_for_ever(self) -> None:
-        """A wave stood at seven of seventeen hosts for the rest of the day.
+        """A wave got stuck at seven of seventeen hosts for the rest of the day.
 
-        The fleet's owner was lost while the seven were down. They rested in standby, without an
-        endpoint before and after, so its successor could not tell that they had been down: it
-        ordered them again and again, which the platform confirmed as done, and no other host.
+        The owner of the fleet was lost while the seven hosts were down. They were in standby and
+        had no endpoint before or after, so the next owner couldn't detect that they had been down.
+        It ordered them repeatedly, which the platform confirmed as done, and no other host.
         """
         for name in self.names:
             self.rows[name] = HostRow(name, STANDBY, HostState.UP)
@@ -187,11 +187,11 @@
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
     def test_rounds_that_follow_each_other_at_once_are_no_time(self) -> None:
-        """Two hosts of a wave were down at once, and one may be.
+        """Two hosts of a wave were down at once, with a limit of one.
 
-        Its answer was lost, and a surge made round follow round at once. After a few of them, half
-        a second later, the order counted as lost although it was still on its way, and its host no
-        longer counted as down: another one was ordered.
+        The answer to an order was lost, and during a surge rounds followed each other quickly.
+        After a few rounds, half a second later, the order counted as lost although it was still in
+        transit. Its host no longer counted as down, and another one was ordered.
         """
         self.hosts.answer = HostOrder.UNKNOWN
         waves = self.owner()
@@ -200,7 +200,7 @@
         self.assertEqual(1, len(self.hosts.orders))
 
     def test_a_confirmed_order_is_not_over_at_once(self) -> None:
-        """A wave was told to be through while its last host was still on its way down."""
+        """A wave was reported as completed while its last host was still going down."""
         self.names = self.names[:1]
         waves = self.owner()
         self.rounds(waves, 2)
@@ -208,7 +208,7 @@
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
     def test_a_host_that_the_list_left_out_a_moment_ago_is_not_gone(self) -> None:
-        """A wave was told to be through without a host that the list left out for an instant."""
+        """A wave was reported as completed while one host was briefly missing from the list."""
         self.names = self.names[:1]
         waves = self.owner()
         self.rows = {}
@@ -216,7 +216,7 @@
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
     def test_busy_pools_are_left_alone_while_there_is_time(self) -> None:
-        """In the middle of a surge a wave took a quarter of its pool's hosts."""
+        """A wave took a quarter of the hosts of a pool in the middle of its surge."""
         self.load = 2.0
         waves = self.owner()
         self.rounds(waves, 3)
@@ -226,7 +226,8 @@
         self.assertEqual(1, len(self.hosts.orders))
 
     def test_a_host_is_not_sent_down_on_an_answer_that_is_old(self) -> None:
-        """In a late host's long round endpoints had got tasks again before their turn."""
+        """In a long round of a slow entry host, endpoints got tasks again before their order was
+        sent."""
         waves = self.owner(most_at_once=3)
         self.hosts.ordered = lambda: self.rounds_pass(2.0)
         self.rounds(waves, 2)
@@ -276,7 +277,8 @@
         )
 
     def test_no_host_is_moved_once_the_right_is_gone(self) -> None:
-        """A late owner of the fleet ordered on in its round, beside the next owner."""
+        """A slow owner of the fleet kept sending orders of its round after the next owner had
+        started."""
         self.need = 3.5
         self.right_for = 1
         self.mover.round(self.rows, set())
@@ -288,7 +290,8 @@
         self.assertEqual([NOTICES] * 3, [pool for _, pool in self.hosts.orders])
 
     def test_hosts_on_their_way_count(self) -> None:
-        """A surge of one pool took every host of the site: each round asked for as many again."""
+        """A surge of one pool took every host of the site, because each round requested the same
+        number again."""
         self.need = 3.5
         self.mover.round(self.rows, set())
         for host, pool in self.hosts.orders:
@@ -297,9 +300,9 @@
         self.assertEqual(3, len(self.hosts.orders))
 
     def test_what_a_pool_needed_a_moment_ago_is_not_sent_away(self) -> None:
-        """In a surge hosts left a pool and came back a second later, each time for two moves.
+        """During a surge hosts left a pool and came back a second later, at the cost of two moves.
 
-        Its need rises and falls with each plan that is handed in and done.
+        The need of a pool rises and falls with each job that is submitted and completed.
         """
         now = 100.0
         most = [
@@ -309,7 +312,7 @@
         self.assertEqual([6, 6, 6, 5, 2, 2], most)
 
     def test_hosts_that_are_down_are_replaced(self) -> None:
-        """A pool in its surge lost a rack and stood with half of its hosts until that was back."""
+        """A pool that lost a rack in its surge kept half of its hosts until the rack was back."""
         self.need = 1.0
         for name in ("n0", "n1"):
             self.rows[HostId(name)] = a_row(name, state=HostState.DOWN)
