--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -5,11 +5,11 @@
 
 from lentilrill.scheduling._admission import Pressure, may_take, outage_retry_s, retry_after_s
 from lentilrill.scheduling._capacity import (
-    SETTLED_S,
-    FreeHost,
+    SURPLUS_DELAY_S,
+    MovableHost,
     Move,
     PoolNeed,
-    kept_hosts,
+    minimum_hosts,
     plan_moves,
     pool_targets,
     target_hosts,
@@ -19,23 +19,23 @@
 from lentilrill.scheduling._order import Standing, sort_key
 from lentilrill.scheduling._pacing import next_pace
 from lentilrill.scheduling._placement import EndpointRoom, place
-from lentilrill.scheduling._turns import Turns
+from lentilrill.scheduling._surges import SurgeTracker
 
 __all__ = [
-    "SETTLED_S",
+    "SURPLUS_DELAY_S",
     "Demand",
     "DurationModel",
     "EndpointRoom",
-    "FreeHost",
     "HostShares",
+    "MovableHost",
     "Move",
     "PoolNeed",
     "Pressure",
     "Standing",
-    "Turns",
+    "SurgeTracker",
     "hosts_due",
-    "kept_hosts",
     "may_take",
+    "minimum_hosts",
     "next_pace",
     "outage_retry_s",
     "place",
--- a/src/lentilrill/scheduling/_admission.py
+++ b/src/lentilrill/scheduling/_admission.py
@@ -4,19 +4,19 @@
 
 __all__ = ["Pressure", "may_take", "outage_retry_s", "retry_after_s"]
 
-LONGEST_WAIT_S = 6.0
+MAX_WAIT_S = 6.0
 """Expected wait above which a job that would miss its deadline is rejected. It is several times the
 latency objectives in use, so that an accepted job is still worth running when it starts."""
-SOON_S = 1.5
+MAX_ON_TIME_WAIT_S = 1.5
 """Wait behind on-time jobs up to which a new job can still meet its deadline, regardless of overdue
 work: with an objective of 1.6 times the work plus 0.6 s, a job of one or two seconds can wait this
 long."""
-LONGEST_LATE_S = 30.0
+MAX_OVERDUE_S = 30.0
 """Overdue work above which no job is accepted, because the backlog must be finished eventually."""
-SHORTEST_RETRY_S = 0.5
-LONGEST_RETRY_S = 10.0
-SHORTEST_OUTAGE_S = 1.0
-LONGEST_OUTAGE_S = 3.0
+MIN_RETRY_S = 0.5
+MAX_RETRY_S = 10.0
+MIN_OUTAGE_RETRY_S = 1.0
+MAX_OUTAGE_RETRY_S = 3.0
 """Bounds of the retry delay for an entry host that can't commit. After the minimum, the load
 balancer has moved callers to hosts that can commit. The maximum is about one latency objective; an
 answer after that would be late anyway."""
@@ -43,15 +43,15 @@
     capacity that on-time jobs leave free, so they are no reason to reject a job that can be on
     time.
     """
-    if pressure.wait_s <= SOON_S:
-        return pressure.late_s <= LONGEST_LATE_S
-    return pressure.wait_s + pressure.late_s <= LONGEST_WAIT_S
+    if pressure.wait_s <= MAX_ON_TIME_WAIT_S:
+        return pressure.late_s <= MAX_OVERDUE_S
+    return pressure.wait_s + pressure.late_s <= MAX_WAIT_S
 
 
 def retry_after_s(pressure: Pressure) -> float:
     """Return the seconds after which the pool will have room for a rejected caller."""
-    excess_s = pressure.wait_s + pressure.late_s - LONGEST_WAIT_S / 2
-    return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, excess_s))
+    excess_s = pressure.wait_s + pressure.late_s - MAX_WAIT_S / 2
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, excess_s))
 
 
 def outage_retry_s(silent_s: float) -> float:
@@ -63,4 +63,4 @@
 
     :param silent_s: seconds since the store last answered.
     """
-    return min(LONGEST_OUTAGE_S, max(SHORTEST_OUTAGE_S, silent_s))
+    return min(MAX_OUTAGE_RETRY_S, max(MIN_OUTAGE_RETRY_S, silent_s))
--- a/src/lentilrill/scheduling/_capacity.py
+++ b/src/lentilrill/scheduling/_capacity.py
@@ -7,26 +7,26 @@
 from lentilrill.ids import EndpointId, HostId, PoolId, ZoneId
 
 __all__ = [
-    "FreeHost",
+    "MovableHost",
     "Move",
     "PoolNeed",
-    "kept_hosts",
+    "minimum_hosts",
     "plan_moves",
     "pool_targets",
     "target_hosts",
 ]
 
-FEWEST = 2
+MIN_HOSTS = 2
 """Minimum hosts of a pool, in two availability zones if possible: one can fail at any time."""
-KEPT_SHARE = 0.6
+MIN_HOSTS_SHARE = 0.6
 """Share that an idle pool keeps of an even split of all hosts. A surge doubles within two seconds,
 and a moved host runs tasks only after two to three. A host costs about a fifteenth of the value of
 its work, so too few hosts cost more than too many."""
-HEADROOM = 1.15
+HEADROOM_FACTOR = 1.15
 """Hosts for each host's worth of work: a surge grows by about a tenth during a move."""
-MARGIN = 0.3
+HEADROOM_HOSTS = 0.3
 """Share of a host that each pool with work keeps free for new jobs."""
-SETTLED_S = 2.5
+SURPLUS_DELAY_S = 2.5
 """Seconds for which a host must have been surplus before it leaves its pool. A move to standby and
 back costs about as much as staying in the pool for this time, so waiting this long costs at most
 twice the optimum."""
@@ -36,33 +36,33 @@
     """Demand and hosts of a pool, from its owner's report and the platform's list of hosts.
 
     :param need: hosts needed to finish current and forecast work by its deadlines.
-    :param firm: ``need`` without the forecast.
-    :param kept: minimum hosts, independent of the work.
+    :param need_without_forecast: hosts needed for current work only.
+    :param min_hosts: minimum hosts, independent of the work.
     :param hosts: hosts that are in the pool or moving there.
-    :param lately: highest target of the last :data:`SETTLED_S` seconds.
-    :param short_s: seconds for which the pool has had fewer than its minimum hosts.
+    :param recent_peak: highest target of the last :data:`SURPLUS_DELAY_S` seconds.
+    :param below_min_s: seconds for which the pool has had fewer than its minimum hosts.
     :param free: its hosts without tasks.
-    :param late: its hosts that run only overdue jobs.
-    :param light: its hosts beyond its need whose tasks could continue on its other hosts.
+    :param overdue: its hosts that run only overdue jobs.
+    :param drainable: its hosts beyond its need whose tasks could continue on its other hosts.
     """
 
     pool: PoolId
     need: float
     hosts: int
-    lately: int = 0
-    free: tuple["FreeHost", ...] = ()
+    recent_peak: int = 0
+    free: tuple["MovableHost", ...] = ()
     zones: tuple[ZoneId, ...] = ()
-    late: tuple["FreeHost", ...] = ()
-    firm: float = math.inf
-    kept: int = FEWEST
-    short_s: float = math.inf
-    light: tuple["FreeHost", ...] = ()
+    overdue: tuple["MovableHost", ...] = ()
+    need_without_forecast: float = math.inf
+    min_hosts: int = MIN_HOSTS
+    below_min_s: float = math.inf
+    drainable: tuple["MovableHost", ...] = ()
 
 
-class FreeHost(msgspec.Struct, frozen=True):
+class MovableHost(msgspec.Struct, frozen=True):
     """A host that can be moved."""
 
-    host: HostId
+    id: HostId
     zone: ZoneId
     endpoint: EndpointId = EndpointId("")
 
@@ -70,28 +70,28 @@
 class Move(msgspec.Struct, frozen=True):
     """A move of a host from pool ``source`` to pool ``target``."""
 
-    host: FreeHost
+    host: MovableHost
     source: PoolId
     target: PoolId
 
 
-def kept_hosts(all_hosts: int, pools: int, *, had_turn: bool = False) -> int:
+def minimum_hosts(all_hosts: int, pools: int, *, surge_passed: bool = False) -> int:
     """Return the minimum hosts of an idle pool, of ``all_hosts`` shared by ``pools`` and standby.
 
-    :param had_turn: whether its surge has passed and other pools still expect theirs.
+    :param surge_passed: whether its surge has passed and other pools still expect theirs.
     """
-    if had_turn:
-        return FEWEST
-    return max(FEWEST, math.ceil(KEPT_SHARE * all_hosts / (pools + 1)))
+    if surge_passed:
+        return MIN_HOSTS
+    return max(MIN_HOSTS, math.ceil(MIN_HOSTS_SHARE * all_hosts / (pools + 1)))
 
 
-def target_hosts(need: float, kept: int) -> int:
+def target_hosts(need: float, min_hosts: int) -> int:
     """Return the target number of hosts for work that fills ``need`` hosts."""
-    return max(kept, math.ceil(need * HEADROOM + MARGIN) if need else 0)
+    return max(min_hosts, math.ceil(need * HEADROOM_FACTOR + HEADROOM_HOSTS) if need else 0)
 
 
 def plan_moves(
-    needs: tuple[PoolNeed, ...], standby: PoolId, resting: tuple[FreeHost, ...]
+    needs: tuple[PoolNeed, ...], standby: PoolId, standby_hosts: tuple[MovableHost, ...]
 ) -> list[Move]:
     """Return the moves to start now.
 
@@ -105,100 +105,106 @@
     smallest share of its target goes first. Otherwise the forecast from a single large job, which
     looks like the start of a surge, would take every host from a pool in a real surge.
 
-    :param resting: hosts in standby.
+    :param standby_hosts: hosts in standby.
     """
     targets = pool_targets(needs)
-    plan = _Plan(needs, standby, resting)
-    plan.share_out({n.pool: _wanted(n, min(n.firm, n.need)) for n in needs})
-    plan.share_out({n.pool: _wanted(n, n.need) for n in needs})
-    plan.send_home(needs, targets)
+    plan = _MovePlan(needs, standby, standby_hosts)
+    plan.fill_shortfalls(
+        {n.pool: _immediate_target(n, min(n.need_without_forecast, n.need)) for n in needs}
+    )
+    plan.fill_shortfalls({n.pool: _immediate_target(n, n.need) for n in needs})
+    plan.return_surplus(needs, targets)
     return plan.moves
 
 
 def pool_targets(needs: tuple[PoolNeed, ...]) -> dict[PoolId, int]:
     """Return the target number of hosts of each pool."""
-    return {need.pool: target_hosts(need.need, need.kept) for need in needs}
+    return {need.pool: target_hosts(need.need, need.min_hosts) for need in needs}
 
 
-def _wanted(need: PoolNeed, hosts_worth: float) -> int:
-    """Return the number of hosts to provide now for work that fills ``hosts_worth`` hosts.
+def _immediate_target(need: PoolNeed, needed_hosts: float) -> int:
+    """Return the number of hosts to provide now for work that fills ``needed_hosts`` hosts.
 
     The minimum applies only after the pool has been below it for a while. Hosts of a pool may start
     one after the other, or fail and return within seconds. If the pool were filled up from standby
     at once, it would soon have a surplus, and each added host would move twice for nothing.
     """
-    return target_hosts(hosts_worth, need.kept if need.short_s >= SETTLED_S else 0)
+    return target_hosts(needed_hosts, need.min_hosts if need.below_min_s >= SURPLUS_DELAY_S else 0)
 
 
-class _Plan:
+class _MovePlan:
     """Moves under construction, with the resulting state of each pool.
 
     :ivar moves: the moves chosen so far.
     """
 
     def __init__(
-        self, needs: tuple[PoolNeed, ...], standby: PoolId, resting: tuple[FreeHost, ...]
+        self, needs: tuple[PoolNeed, ...], standby: PoolId, standby_hosts: tuple[MovableHost, ...]
     ) -> None:
         self.moves: list[Move] = []
         self._standby = standby
-        self._resting = list(resting)
+        self._standby_hosts = list(standby_hosts)
         self._free_by_pool = {need.pool: list(need.free) for need in needs}
-        self._late_by_pool = {need.pool: list(need.late) for need in needs}
-        self._light_by_pool = {need.pool: list(need.light) for need in needs}
+        self._overdue_by_pool = {need.pool: list(need.overdue) for need in needs}
+        self._drainable_by_pool = {need.pool: list(need.drainable) for need in needs}
         self._hosts_by_pool = {need.pool: need.hosts for need in needs}
-        self._kept_by_pool = {need.pool: need.kept for need in needs}
+        self._min_hosts_by_pool = {need.pool: need.min_hosts for need in needs}
         self._zones_by_pool = {need.pool: list(need.zones) for need in needs}
 
-    def share_out(self, targets: dict[PoolId, int]) -> None:
+    def fill_shortfalls(self, targets: dict[PoolId, int]) -> None:
         """Move hosts to pools below their target, one at a time."""
-        stuck: set[PoolId] = set()
-        while short := [p for p in targets if p not in stuck and self._lacks(p, targets)]:
+        unfilled: set[PoolId] = set()
+        while short := [p for p in targets if p not in unfilled and self._is_short(p, targets)]:
             pool = min(short, key=lambda p: self._hosts_by_pool[p] / targets[p])
-            move = self._from_standby(pool) or self._from_pools(pool, targets)
+            move = self._take_from_standby(pool) or self._take_from_pools(pool, targets)
             if move is None:
-                stuck.add(pool)
+                unfilled.add(pool)
                 continue
             self.moves.append(move)
             self._hosts_by_pool[pool] += 1
             self._zones_by_pool[pool].append(move.host.zone)
 
-    def send_home(self, needs: tuple[PoolNeed, ...], targets: dict[PoolId, int]) -> None:
+    def return_surplus(self, needs: tuple[PoolNeed, ...], targets: dict[PoolId, int]) -> None:
         """Move hosts to standby that have been surplus for a while.
 
         Only hosts above the recent peak of the target count: during a surge the need of a pool
         rises and falls from second to second, and it is likely to reach a recent level again.
         """
         for need in needs:
-            wanted = max(targets[need.pool], need.lately)
-            spare = max(0, self._hosts_by_pool[need.pool] - wanted)
+            retained = max(targets[need.pool], need.recent_peak)
+            surplus = max(0, self._hosts_by_pool[need.pool] - retained)
             zones = self._zones_by_pool[need.pool]
-            for host in _most_crowded_first(self._free_by_pool[need.pool], zones)[:spare]:
+            for host in _most_crowded_first(self._free_by_pool[need.pool], zones)[:surplus]:
                 self.moves.append(Move(host, need.pool, self._standby))
 
-    def _lacks(self, pool: PoolId, targets: dict[PoolId, int]) -> bool:
+    def _is_short(self, pool: PoolId, targets: dict[PoolId, int]) -> bool:
         return self._hosts_by_pool[pool] < targets[pool]
 
-    def _from_standby(self, pool: PoolId) -> Move | None:
-        if not self._resting:
+    def _take_from_standby(self, pool: PoolId) -> Move | None:
+        if not self._standby_hosts:
             return None
         zones = self._zones_by_pool[pool]
-        host = min(self._resting, key=lambda h: zones.count(h.zone))
-        self._resting.remove(host)
+        host = min(self._standby_hosts, key=lambda h: zones.count(h.zone))
+        self._standby_hosts.remove(host)
         return Move(host, self._standby, pool)
 
-    def _from_pools(self, pool: PoolId, targets: dict[PoolId, int]) -> Move | None:
-        for left_by_pool, swing in (
+    def _take_from_pools(self, pool: PoolId, targets: dict[PoolId, int]) -> Move | None:
+        for candidates_by_pool, fluctuation in (
             (self._free_by_pool, 0.0),
-            (self._late_by_pool, 0.0),
-            (self._light_by_pool, 1.0),
+            (self._overdue_by_pool, 0.0),
+            (self._drainable_by_pool, 1.0),
         ):
-            for source, left in left_by_pool.items():
-                if source != pool and left and self._has_spare(source, targets, swing):
+            for source, candidates in candidates_by_pool.items():
+                if (
+                    source != pool
+                    and candidates
+                    and self._has_surplus(source, targets, fluctuation)
+                ):
                     self._hosts_by_pool[source] -= 1
-                    return Move(left.pop(0), source, pool)
+                    return Move(candidates.pop(0), source, pool)
         return None
 
-    def _has_spare(self, pool: PoolId, targets: dict[PoolId, int], swing: float) -> bool:
+    def _has_surplus(self, pool: PoolId, targets: dict[PoolId, int], fluctuation: float) -> bool:
         """Return whether a pool has more hosts than its target and its minimum.
 
         As jobs arrive one by one, the need of a pool fluctuates by about the square root of its
@@ -208,12 +214,14 @@
         below it for a while. Otherwise another pool's surge could take the minimum hosts, and the
         pool would enter its own surge with too few.
 
-        :param swing: factor on the square root of the hosts.
+        :param fluctuation: factor on the square root of the hosts.
         """
         hosts = self._hosts_by_pool[pool]
-        return hosts - swing * math.sqrt(hosts) > max(targets[pool], self._kept_by_pool[pool])
+        return hosts - fluctuation * math.sqrt(hosts) > max(
+            targets[pool], self._min_hosts_by_pool[pool]
+        )
 
 
-def _most_crowded_first(free: list[FreeHost], zones: list[ZoneId]) -> list[FreeHost]:
+def _most_crowded_first(free: list[MovableHost], zones: list[ZoneId]) -> list[MovableHost]:
     """Return free hosts sorted so that zones with the most hosts of the pool come first."""
     return sorted(free, key=lambda host: -zones.count(host.zone))
--- a/src/lentilrill/scheduling/_durations.py
+++ b/src/lentilrill/scheduling/_durations.py
@@ -9,9 +9,9 @@
 PRIOR_SLOPE = 0.5
 """Slope of the prior: the share of an estimate's deviation from the mean that is trusted before any
 run. Estimates vary by factors of two, and so do durations."""
-PRIOR_SPREAD = 0.5
+PRIOR_VARIANCE = 0.5
 """Variance of the logarithm of estimates in the prior."""
-MEMORY_RUNS = 400.0
+WINDOW_RUNS = 400.0
 """Runs after which the weight of an older run has decayed to about a third, so that a change in
 durations takes effect within a surge."""
 
@@ -36,21 +36,21 @@
         if estimate_ms <= 0 or actual_ms <= 0:
             return
         x, y = math.log(estimate_ms), math.log(actual_ms)
-        self._runs = min(MEMORY_RUNS, self._runs + 1)
-        share = 1.0 / self._runs
+        self._runs = min(WINDOW_RUNS, self._runs + 1)
+        weight = 1.0 / self._runs
         dx, dy = x - self._mean_x, y - self._mean_y
-        self._mean_x += dx * share
-        self._mean_y += dy * share
-        self._var_x += (dx * dx * (1 - share) - self._var_x) * share
-        self._cov += (dx * dy * (1 - share) - self._cov) * share
+        self._mean_x += dx * weight
+        self._mean_y += dy * weight
+        self._var_x += (dx * dx * (1 - weight) - self._var_x) * weight
+        self._cov += (dx * dy * (1 - weight) - self._cov) * weight
 
     def expected_ms(self, estimate_ms: float) -> float:
         """Return the expected duration of a task with this estimate."""
         if not self._runs or estimate_ms <= 0:
             return estimate_ms
-        prior = PRIOR_RUNS * PRIOR_SPREAD
+        prior = PRIOR_RUNS * PRIOR_VARIANCE
         slope = (self._cov * self._runs + PRIOR_SLOPE * prior) / (self._var_x * self._runs + prior)
         slope = min(1.0, max(0.0, slope))
         y = self._mean_y + slope * (math.log(estimate_ms) - self._mean_x)
-        trust = self._runs / (self._runs + PRIOR_RUNS / 2)
-        return math.exp(trust * y + (1 - trust) * math.log(estimate_ms))
+        weight = self._runs / (self._runs + PRIOR_RUNS / 2)
+        return math.exp(weight * y + (1 - weight) * math.log(estimate_ms))
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -4,7 +4,7 @@
 
 __all__ = ["Standing", "sort_key"]
 
-DOUBT = 0.7
+SLACK_FACTOR = 0.7
 """Share of a job's slack that the order relies on: expected durations are off by half, and a job
 whose tasks are shorter than expected also has an earlier deadline."""
 
@@ -35,7 +35,7 @@
     @property
     def slack_s(self) -> float:
         """Seconds for which the job can still wait; negative if it will miss its deadline."""
-        return DOUBT * (self.allowed_s - self.left_s) - self.age_s
+        return SLACK_FACTOR * (self.allowed_s - self.left_s) - self.age_s
 
 
 def sort_key(standing: Standing, *, feasible: bool = False) -> tuple[int, int, float]:
--- a/src/lentilrill/scheduling/_pacing.py
+++ b/src/lentilrill/scheduling/_pacing.py
@@ -2,15 +2,15 @@
 
 __all__ = ["next_pace"]
 
-HIGH = 0.8
+SLOW_DOWN_SHARE = 0.8
 """Share of the tail latency target at which fillers slow down, before the target is missed."""
-LOW = 0.55
+SPEED_UP_SHARE = 0.55
 """Share at which fillers speed up again; the gap to the upper threshold prevents oscillation."""
-OVER_STEP = 0
-NEAR_FACTOR = 0.5
-FASTER_STEP = 15
-LEAST_PACE = 10
-FULL_PACE = 100
+STOPPED_PERCENT = 0
+SLOW_DOWN_FACTOR = 0.5
+SPEED_UP_STEP_PERCENT = 15
+MIN_PACE_PERCENT = 10
+MAX_PACE_PERCENT = 100
 
 
 def next_pace(pace: int, worst_share: float) -> int:
@@ -22,9 +22,9 @@
     :param worst_share: highest tail latency on the endpoint, as a share of its target.
     """
     if worst_share >= 1.0:
-        return OVER_STEP
-    if worst_share >= HIGH:
-        return max(LEAST_PACE, int(pace * NEAR_FACTOR)) if pace else 0
-    if worst_share <= LOW:
-        return min(FULL_PACE, pace + FASTER_STEP)
+        return STOPPED_PERCENT
+    if worst_share >= SLOW_DOWN_SHARE:
+        return max(MIN_PACE_PERCENT, int(pace * SLOW_DOWN_FACTOR)) if pace else 0
+    if worst_share <= SPEED_UP_SHARE:
+        return min(MAX_PACE_PERCENT, pace + SPEED_UP_STEP_PERCENT)
     return pace
--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -7,7 +7,7 @@
 
 __all__ = ["EndpointRoom", "place"]
 
-GATHERED = 3
+PREFERRED_COLOCATION = 3
 """Long-running tasks to place on one endpoint before the next endpoint is preferred."""
 
 
@@ -72,24 +72,24 @@
     rooms = list(rooms)
     best: EndpointRoom | None = None
     best_cost: tuple[float, ...] = ()
-    others = any(room.id not in avoid and _has_label(step, room) for room in rooms)
-    lasts = step.lasting or step.filler
+    has_others = any(room.id not in avoid and _has_label(step, room) for room in rooms)
+    is_long_running = step.lasting or step.filler
     for room in rooms:
-        if not needs.fits(room.free) or (room.probing and room.runs and not lasts):
+        if not needs.fits(room.free) or (room.probing and room.runs and not is_long_running):
             continue
         if not _has_label(step, room):
             continue
-        if others and avoid and (room.id in avoid or room.probing):
+        if has_others and avoid and (room.id in avoid or room.probing):
             continue
         if step.most_per_endpoint and on_endpoint(room.id) >= step.most_per_endpoint:
             continue
-        far = bool(step.near) and room.rack != step.near
-        left = room.free.cpu - needs.cpu
+        is_remote = bool(step.near) and room.rack != step.near
+        left_cpu = room.free.cpu - needs.cpu
         cost = (
-            float(far),
+            float(is_remote),
             float(room.probing),
-            _crowding(room.serving) if lasts else 0.0,
-            float(left),
+            _colocation_cost(room.serving) if is_long_running else 0.0,
+            float(left_cpu),
         )
         if best is None or cost < best_cost:
             best, best_cost = room, cost
@@ -100,9 +100,9 @@
     return not step.label or step.label in room.labels
 
 
-def _crowding(serving: int) -> float:
+def _colocation_cost(serving: int) -> float:
     """Return the cost of adding a long-running task to an endpoint that runs ``serving`` others.
 
     The cost falls with each task up to the preferred number and is higher beyond it.
     """
-    return float(-serving if serving < GATHERED else serving)
+    return float(-serving if serving < PREFERRED_COLOCATION else serving)
--- a/src/lentilrill/scheduling/_turns.py
+++ b/src/lentilrill/scheduling/_surges.py
@@ -1,17 +1,17 @@
-"""Tracking of surges that pass from pool to pool; a pool past its surge keeps fewer hosts."""
+"""Tracking of surges that pass from pool to pool; a pool keeps fewer hosts after its surge."""
 
 from collections.abc import Collection
 
 from lentilrill.ids import PoolId
 
-__all__ = ["Turns"]
+__all__ = ["SurgeTracker"]
 
-ENDED_S = 2.0
+SURGE_END_S = 2.0
 """Seconds of low demand after which a surge counts as over; gaps between the jobs of one surge are
 shorter."""
 
 
-class Turns:
+class SurgeTracker:
     """Tracks which pools have had their surge in the current cycle.
 
     Each queue in turn has several times its mean demand for some seconds, and almost none until all
@@ -23,22 +23,22 @@
 
     def __init__(self) -> None:
         self._low_since: dict[PoolId, float] = {}
-        self._in_turn: set[PoolId] = set()
-        self._had_turn: set[PoolId] = set()
+        self._surging: set[PoolId] = set()
+        self._passed: set[PoolId] = set()
 
-    def note(self, pool: PoolId, *, is_high: bool, now: float) -> None:
+    def observe(self, pool: PoolId, *, is_surging: bool, now: float) -> None:
         """Record whether the demand of a pool exceeds the hosts that it keeps while idle."""
-        if is_high:
+        if is_surging:
             self._low_since.pop(pool, None)
-            self._in_turn.add(pool)
-            if pool in self._had_turn:
-                self._had_turn.clear()
+            self._surging.add(pool)
+            if pool in self._passed:
+                self._passed.clear()
             return
         since = self._low_since.setdefault(pool, now)
-        if pool in self._in_turn and now - since >= ENDED_S:
-            self._in_turn.discard(pool)
-            self._had_turn.add(pool)
+        if pool in self._surging and now - since >= SURGE_END_S:
+            self._surging.discard(pool)
+            self._passed.add(pool)
 
-    def past(self, pools: Collection[PoolId]) -> set[PoolId]:
+    def passed(self, pools: Collection[PoolId]) -> set[PoolId]:
         """Return the pools whose surge has passed; empty once all ``pools`` have had one."""
-        return set() if self._had_turn >= set(pools) else set(self._had_turn)
+        return set() if self._passed >= set(pools) else set(self._passed)
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -7,12 +7,12 @@
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision
 from lentilrill.inner import PoolPressure
 from lentilrill.scheduling import (
-    SETTLED_S,
-    FreeHost,
+    SURPLUS_DELAY_S,
+    MovableHost,
     Move,
     PoolNeed,
-    Turns,
-    kept_hosts,
+    SurgeTracker,
+    minimum_hosts,
     plan_moves,
     pool_targets,
     target_hosts,
@@ -65,7 +65,7 @@
         self._short_since: dict[PoolId, float] = {}
         self._begun_by_host: dict[HostId, tuple[Move, float]] = {}
         self._target_by_pool: dict[PoolId, int] = {}
-        self._turns = Turns()
+        self._surges = SurgeTracker()
 
     def round(self, rows: dict[HostId, HostRow], busy: set[HostId]) -> None:
         """Start new moves, and continue those that wait for their endpoint to be free.
@@ -85,13 +85,13 @@
             if (need := self._need(pool, rows, taken, now, kept_by_pool[pool])) is not None
         )
         resting = tuple(
-            FreeHost(row.id, row.zone, row.endpoint)
+            MovableHost(row.id, row.zone, row.endpoint)
             for row in rows.values()
             if row.pool in standby and row.state is HostState.UP and row.id not in taken
         )
         self._log_targets(needs, resting)
         for move in plan_moves(needs, standby[0], resting):
-            self._begun_by_host[move.host.host] = (move, now)
+            self._begun_by_host[move.host.id] = (move, now)
         due = [
             move
             for host, (move, began) in list(self._begun_by_host.items())
@@ -100,7 +100,7 @@
         for move, answer in self._orders.send(due, self._order):
             self._ordered(move, answer)
 
-    def _log_targets(self, needs: tuple[PoolNeed, ...], resting: tuple[FreeHost, ...]) -> None:
+    def _log_targets(self, needs: tuple[PoolNeed, ...], resting: tuple[MovableHost, ...]) -> None:
         targets = pool_targets(needs)
         for need in needs:
             target = targets[need.pool]
@@ -112,8 +112,8 @@
                     target=target,
                     hosts=need.hosts,
                     need=need.need,
-                    firm=need.firm,
-                    kept=need.kept,
+                    firm=need.need_without_forecast,
+                    kept=need.min_hosts,
                     free=len(need.free),
                     resting=len(resting),
                 )
@@ -127,15 +127,17 @@
         minimum of the others, which would release hosts and get them back after its arrival.
         """
         all_hosts = sum(1 for row in rows.values() if row.state is not HostState.DOWN)
-        self._note_turns(pools, kept_hosts(all_hosts, len(pools)), now)
-        past = self._turns.past(pools)
-        return {pool: kept_hosts(all_hosts, len(pools), had_turn=pool in past) for pool in pools}
+        self._note_turns(pools, minimum_hosts(all_hosts, len(pools)), now)
+        past = self._surges.passed(pools)
+        return {
+            pool: minimum_hosts(all_hosts, len(pools), surge_passed=pool in past) for pool in pools
+        }
 
     def _note_turns(self, pools: list[PoolId], kept: int, now: float) -> None:
         for pool in pools:
             said = self._pressure_of(pool)
             if said is not None:
-                self._turns.note(pool, is_high=said.firm > kept, now=now)
+                self._surges.observe(pool, is_surging=said.firm > kept, now=now)
 
     def _need(
         self,
@@ -182,13 +184,13 @@
         )
 
     def _most_lately(self, pool: PoolId, target: int, hosts: int, now: float) -> int:
-        """Return the highest target of a pool in the last :data:`SETTLED_S` seconds.
+        """Return the highest target of a pool in the last :data:`SURPLUS_DELAY_S` seconds.
 
         A pool that has been tracked for a shorter time may have needed all of its hosts.
         """
         targets = self._targets_by_pool.setdefault(pool, deque([(now, hosts)]))
         targets.append((now, target))
-        while now - targets[0][0] > SETTLED_S:
+        while now - targets[0][0] > SURPLUS_DELAY_S:
             targets.popleft()
         return max(most for _, most in targets)
 
@@ -217,10 +219,10 @@
         # On a slow entry host a round takes long: the lease may have ended since it began.
         if not self._may_order():
             return None
-        return self._hosts.move(move.host.host, move.target, self._process, int(self._token))
+        return self._hosts.move(move.host.id, move.target, self._process, int(self._token))
 
     def _ordered(self, move: Move, answer: HostOrder) -> None:
-        host = move.host.host
+        host = move.host.id
         log(
             Event.HOST_ORDERED,
             host=host,
@@ -234,8 +236,8 @@
             del self._begun_by_host[host]
 
 
-def _hosts_of(rows: list[HostRow], endpoints: tuple[EndpointId, ...]) -> tuple[FreeHost, ...]:
+def _hosts_of(rows: list[HostRow], endpoints: tuple[EndpointId, ...]) -> tuple[MovableHost, ...]:
     """Return the hosts of ``endpoints``, in the same order."""
     row_by_endpoint = {row.endpoint: row for row in rows}
     found = [row_by_endpoint[endpoint] for endpoint in endpoints if endpoint in row_by_endpoint]
-    return tuple(FreeHost(row.id, row.zone, row.endpoint) for row in found)
+    return tuple(MovableHost(row.id, row.zone, row.endpoint) for row in found)
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -38,7 +38,7 @@
         rooms = [a_room("a", 1000), a_room("b", 4000, "r2")]
         self.assertEqual("b", self.placed(rooms, near=RackId("r2")))
 
-    def test_not_back_to_where_it_failed(self) -> None:
+    def test_a_failed_task_avoids_the_endpoint_where_it_failed(self) -> None:
         """Thirteen jobs used up their attempts on one endpoint that failed every task.
 
         It was always free while the others were full, so each task was placed there again. A
@@ -52,7 +52,7 @@
     def test_label(self) -> None:
         self.assertIsNone(self.placed([a_room("a")], label="gpu"))
 
-    def test_an_unwell_endpoint_gets_one_task_at_a_time(self) -> None:
+    def test_an_unhealthy_endpoint_gets_one_task_at_a_time(self) -> None:
         """Every job of a queue used up its attempts on an endpoint that failed every task and was
         therefore always free for the next one."""
         self.assertIsNone(self.placed([a_room("a", probing=True, runs=1)]))
@@ -60,7 +60,7 @@
 
 
 class OrderTest(TestCase):
-    def test_in_a_surge_what_can_still_be_in_time_goes_first(self) -> None:
+    def test_in_a_surge_jobs_that_can_be_on_time_go_first(self) -> None:
         """In order of arrival all jobs of a surge waited equally long, and all were late.
 
         Jobs that can meet their deadline go first, shortest first, before overdue jobs.
@@ -69,7 +69,7 @@
         long, short = a_standing(left_work=9.0), a_standing(left_work=1.0)
         self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
 
-    def test_while_all_can_be_in_time_the_tightest_goes_first(self) -> None:
+    def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
         """Without a surge large jobs were late, because small jobs with slack went first."""
         tight, loose = a_standing(left_work=9.0, left_s=1.9), a_standing(left_work=1.0)
         jobs = [loose, tight]
@@ -80,18 +80,18 @@
         urgent, later = a_standing(age_s=9.0), a_standing(priority=1)
         self.assertEqual([urgent, later], sorted([later, urgent], key=sort_key))
 
-    def test_what_lasts_goes_before_all(self) -> None:
+    def test_long_running_jobs_go_first(self) -> None:
         lasting = a_standing(lasts=True, priority=1)
         self.assertEqual([lasting, a_standing()], sorted([a_standing(), lasting], key=sort_key))
 
 
 class AdmissionTest(TestCase):
-    def test_a_surge_beyond_the_pool_is_refused_with_an_honest_return(self) -> None:
+    def test_work_beyond_the_pool_is_rejected_with_a_growing_retry_delay(self) -> None:
         self.assertTrue(may_take(Pressure(1.0)))
         self.assertFalse(may_take(Pressure(60.0)))
         self.assertLess(retry_after_s(Pressure(7.0)), retry_after_s(Pressure(12.0)))
 
-    def test_late_work_is_no_reason_to_refuse_what_can_be_in_time(self) -> None:
+    def test_overdue_work_does_not_block_jobs_that_can_be_on_time(self) -> None:
         """Jobs that could have started at once were rejected for three seconds after a surge.
 
         The backlog was overdue and runs after jobs that can be on time, but was counted as if it
@@ -103,7 +103,7 @@
 
 
 class PacingTest(TestCase):
-    def test_fillers_stop_when_users_notice_and_come_back_slowly(self) -> None:
+    def test_fillers_stop_above_the_target_and_speed_up_slowly(self) -> None:
         """Fillers on an endpoint raised the tail latency of the long-running task beside them."""
         self.assertEqual(0, next_pace(100, 1.2))
         self.assertEqual(50, next_pace(100, 0.9))
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -11,18 +11,18 @@
 from lentilrill.scheduling import (
     Demand,
     DurationModel,
-    FreeHost,
+    MovableHost,
     PoolNeed,
     hosts_due,
-    kept_hosts,
+    minimum_hosts,
     plan_moves,
 )
 
 STANDBY = PoolId("standby")
 
 
-def free(*names: str) -> tuple[FreeHost, ...]:
-    return tuple(FreeHost(HostId(name), ZoneId("z")) for name in names)
+def free(*names: str) -> tuple[MovableHost, ...]:
+    return tuple(MovableHost(HostId(name), ZoneId("z")) for name in names)
 
 
 class CapacityTest(TestCase):
@@ -30,53 +30,61 @@
         hot = PoolNeed(PoolId("notices"), 6.0, 3)
         idle = PoolNeed(PoolId("ballots"), 0.3, 6, 1, free("b1", "b2", "b3"))
         moves = plan_moves((hot, idle), STANDBY, free("s1", "s2"))
-        to_hot = [(m.source, m.host.host) for m in moves if m.target == hot.pool]
+        to_hot = [(m.source, m.host.id) for m in moves if m.target == hot.pool]
         self.assertEqual({"s1", "s2"}, {host for source, host in to_hot if source == STANDBY})
         self.assertIn(idle.pool, {source for source, _ in to_hot})
 
-    def test_an_idle_pool_gives_back_only_after_a_while_and_keeps_its_share(self) -> None:
+    def test_an_idle_pool_releases_surplus_after_a_while_and_keeps_its_minimum(self) -> None:
         names = [f"b{n}" for n in range(8)]
-        for lately, left in ((8, 8), (6, 6), (1, 5)):
-            pool = PoolNeed(PoolId("ballots"), 0.2, 8, lately, free(*names), kept=kept_hosts(14, 1))
+        for recent_peak, left in ((8, 8), (6, 6), (1, 5)):
+            pool = PoolNeed(
+                PoolId("ballots"), 0.2, 8, recent_peak, free(*names), min_hosts=minimum_hosts(14, 1)
+            )
             moves = plan_moves((pool,), STANDBY, free("s1", "s2", "s3", "s4", "s5", "s6"))
-            self.assertEqual(left, 8 - len(moves), lately)
+            self.assertEqual(left, 8 - len(moves), recent_peak)
 
-    def test_a_surge_that_ends_leaves_to_the_next_what_it_does_not_need(self) -> None:
+    def test_a_pool_after_its_surge_gives_surplus_hosts_to_the_next_surge(self) -> None:
         """A pool in its surge had 64 hosts and needed 265, while the pool whose surge was ending
         kept 158 hosts and needed 87."""
-        begins = PoolNeed(PoolId("notices"), 265.0, 64, firm=45.0)
-        light = free("b1", "b2", "b3", "b4")
+        begins = PoolNeed(PoolId("notices"), 265.0, 64, need_without_forecast=45.0)
+        drainable = free("b1", "b2", "b3", "b4")
         for need, moved in ((87.0, 4), (130.0, 0)):
-            ends = PoolNeed(PoolId("ballots"), need, 158, 158, firm=need, light=light)
+            ends = PoolNeed(
+                PoolId("ballots"), need, 158, 158, need_without_forecast=need, drainable=drainable
+            )
             self.assertEqual(moved, len(plan_moves((begins, ends), STANDBY, ())), need)
 
-    def test_a_need_that_swings_stops_no_tasks(self) -> None:
+    def test_a_fluctuating_need_does_not_stop_tasks(self) -> None:
         """On a small site each completed job released a host that was needed again at once."""
-        begins = PoolNeed(PoolId("notices"), 9.0, 2, firm=9.0)
+        begins = PoolNeed(PoolId("notices"), 9.0, 2, need_without_forecast=9.0)
         for hosts, moved in ((8, 0), (160, 4)):
             need = (hosts - 2.0) / 1.15 if hosts == 8 else 100.0
-            light = free("b1", "b2", "b3", "b4")
-            ends = PoolNeed(PoolId("ballots"), need, hosts, firm=need, light=light)
+            drainable = free("b1", "b2", "b3", "b4")
+            ends = PoolNeed(
+                PoolId("ballots"), need, hosts, need_without_forecast=need, drainable=drainable
+            )
             self.assertEqual(moved, len(plan_moves((begins, ends), STANDBY, ())), hosts)
 
-    def test_free_hosts_go_before_those_that_work(self) -> None:
-        begins = PoolNeed(PoolId("notices"), 3.0, 3, firm=3.0)
-        ends = PoolNeed(PoolId("ballots"), 1.0, 8, 8, free=free("b1"), light=free("b2"))
+    def test_free_hosts_move_before_hosts_with_tasks(self) -> None:
+        begins = PoolNeed(PoolId("notices"), 3.0, 3, need_without_forecast=3.0)
+        ends = PoolNeed(PoolId("ballots"), 1.0, 8, 8, free=free("b1"), drainable=free("b2"))
         [move] = plan_moves((begins, ends), STANDBY, ())
-        self.assertEqual("b1", move.host.host)
+        self.assertEqual("b1", move.host.id)
 
-    def test_hosts_that_come_up_one_by_one_move_none(self) -> None:
+    def test_hosts_that_start_one_by_one_cause_no_moves(self) -> None:
         """Fifty hosts moved after a start, before the first request.
 
         The list of hosts showed standby hosts first. They were moved to pools that seemed empty,
         whose own hosts came up a second later, and then became surplus there.
         """
-        for short_s, moved in ((1.0, 0), (9.0, 3)):
-            pool = PoolNeed(PoolId("ballots"), 0.0, 1, kept=4, short_s=short_s)
+        for below_min_s, moved in ((1.0, 0), (9.0, 3)):
+            pool = PoolNeed(PoolId("ballots"), 0.0, 1, min_hosts=4, below_min_s=below_min_s)
             self.assertEqual(moved, len(plan_moves((pool,), STANDBY, free("s1", "s2", "s3", "s4"))))
 
     def test_a_short_pool_gets_hosts_for_its_work_at_once(self) -> None:
-        pool = PoolNeed(PoolId("ballots"), 2.0, 1, firm=2.0, kept=5, short_s=0.0)
+        pool = PoolNeed(
+            PoolId("ballots"), 2.0, 1, need_without_forecast=2.0, min_hosts=5, below_min_s=0.0
+        )
         self.assertEqual(2, len(plan_moves((pool,), STANDBY, free("s1", "s2", "s3", "s4"))))
 
     def test_no_host_is_taken_from_a_pool_that_needs_it(self) -> None:
@@ -84,14 +92,21 @@
         busy = PoolNeed(PoolId("ballots"), 3.5, 5, 5, free("b1"))
         self.assertEqual([], plan_moves((hot, busy), STANDBY, ()))
 
-    def test_a_surge_leaves_other_pools_what_they_keep(self) -> None:
+    def test_a_surge_leaves_other_pools_their_minimum_hosts(self) -> None:
         """A pool entered its surge with 15 of its 22 minimum hosts, because another surge had taken
         the rest."""
-        hot = PoolNeed(PoolId("notices"), 200.0, 120, firm=140.0)
+        hot = PoolNeed(PoolId("notices"), 200.0, 120, need_without_forecast=140.0)
         names = [f"s{n}" for n in range(10)]
         for hosts, taken in ((26, 4), (22, 0), (15, 0)):
             idle = PoolNeed(
-                PoolId("schools"), 0.0, hosts, 0, free(*names), firm=0.0, kept=22, short_s=0.0
+                PoolId("schools"),
+                0.0,
+                hosts,
+                0,
+                free(*names),
+                need_without_forecast=0.0,
+                min_hosts=22,
+                below_min_s=0.0,
             )
             moves = plan_moves((hot, idle), STANDBY, ())
             self.assertEqual(taken, len([m for m in moves if m.source == idle.pool]), hosts)
@@ -103,19 +118,21 @@
         One large job arrived in the other pool just as hosts became free. The forecast took it for
         the start of a surge and requested all of them; three would have been enough.
         """
-        surge = PoolNeed(PoolId("amd"), 17.6, 5, firm=17.6)
-        single = PoolNeed(PoolId("rajkot"), 25.8, 4, firm=3.3)
-        resting = free(*(f"s{n}" for n in range(18)))
-        got = Counter(move.target for move in plan_moves((surge, single), STANDBY, resting))
+        surge = PoolNeed(PoolId("amd"), 17.6, 5, need_without_forecast=17.6)
+        single = PoolNeed(PoolId("rajkot"), 25.8, 4, need_without_forecast=3.3)
+        standby_hosts = free(*(f"s{n}" for n in range(18)))
+        got = Counter(move.target for move in plan_moves((surge, single), STANDBY, standby_hosts))
         self.assertEqual(16, got[surge.pool])
         self.assertEqual(2, got[single.pool])
 
-    def test_two_surges_share_what_there_is(self) -> None:
-        needs = tuple(PoolNeed(PoolId(name), 20.0, 2, firm=20.0) for name in ("a", "b"))
+    def test_two_surges_share_the_available_hosts(self) -> None:
+        needs = tuple(
+            PoolNeed(PoolId(name), 20.0, 2, need_without_forecast=20.0) for name in ("a", "b")
+        )
         got = Counter(move.target for move in plan_moves(needs, STANDBY, free("1", "2", "3", "4")))
         self.assertEqual({PoolId("a"): 2, PoolId("b"): 2}, dict(got))
 
-    def test_hosts_that_do_late_work_go_where_work_can_be_in_time(self) -> None:
+    def test_hosts_with_overdue_work_move_to_work_that_can_be_on_time(self) -> None:
         """Jobs of a new surge were rejected for four seconds while another pool ran overdue jobs.
 
         The hosts of that pool worked on the backlog of the previous surge and were never idle, so
@@ -148,7 +165,7 @@
 
 
 class DemandTest(TestCase):
-    def test_work_that_may_wait_shares_hosts(self) -> None:
+    def test_work_with_slack_shares_hosts(self) -> None:
         """Thirty hosts were moved for five jobs of one second and arrived when the jobs were nearly
         done.
 
@@ -159,11 +176,11 @@
         self.assertLessEqual(hosts_due(plans), 5.0)
         self.assertGreaterEqual(hosts_due(plans), 60 / 20 - 0.1)
 
-    def test_work_that_can_not_wait_asks_for_its_room(self) -> None:
+    def test_work_without_slack_counts_in_full(self) -> None:
         plans = [Demand((2.0, 0.0, 0.0), 0.0, 2.0) for _ in range(5)]
         self.assertAlmostEqual(5.0, hosts_due(plans))
 
-    def test_hosts_that_are_yet_to_come_work_for_a_part_of_the_span(self) -> None:
+    def test_hosts_still_to_be_added_work_for_a_part_of_the_span(self) -> None:
         """Jobs were late in each surge although all requested hosts arrived.
 
         The number of hosts was computed as if they were present when the jobs were submitted.
@@ -176,29 +193,29 @@
     def test_the_scarcest_resource_counts(self) -> None:
         self.assertAlmostEqual(3.0, hosts_due([Demand((1.0, 3.0, 0.0), 0.0, 1.0)]))
 
-    def test_nothing_to_do(self) -> None:
+    def test_no_demand(self) -> None:
         self.assertEqual(0.0, hosts_due([]))
 
 
 class DurationModelTest(TestCase):
-    def test_estimates_that_are_far_off_are_believed_less(self) -> None:
+    def test_unreliable_estimates_have_less_weight(self) -> None:
         """Short jobs ran after long ones: callers' estimates were off by factors of three."""
-        chance = random.Random(5)
+        rng = random.Random(5)
         model = DurationModel()
         for _ in range(200):
-            actual = 800 * math.exp(chance.gauss(0, 0.4))
-            model.observe(actual * math.exp(chance.gauss(0, 1.1)), actual)
+            actual = 800 * math.exp(rng.gauss(0, 0.4))
+            model.observe(actual * math.exp(rng.gauss(0, 1.1)), actual)
         self.assertLess(model.expected_ms(8000), 2400)
         self.assertGreater(model.expected_ms(80), 300)
 
-    def test_good_estimates_are_believed(self) -> None:
-        chance = random.Random(5)
+    def test_reliable_estimates_are_used(self) -> None:
+        rng = random.Random(5)
         model = DurationModel()
         for _ in range(200):
-            actual = 800 * math.exp(chance.gauss(0, 0.6))
-            model.observe(actual * math.exp(chance.gauss(0, 0.05)), actual)
+            actual = 800 * math.exp(rng.gauss(0, 0.6))
+            model.observe(actual * math.exp(rng.gauss(0, 0.05)), actual)
         self.assertGreater(model.expected_ms(2000), 1500)
         self.assertLess(model.expected_ms(300), 450)
 
-    def test_nothing_learned_yet(self) -> None:
+    def test_estimate_is_returned_without_any_run(self) -> None:
         self.assertEqual(700, DurationModel().expected_ms(700))
--- a/tests/scheduling/test_turns.py
+++ b/tests/scheduling/test_surges.py
@@ -3,25 +3,25 @@
 from testtools import TestCase
 
 from lentilrill.ids import PoolId
-from lentilrill.scheduling import Turns, kept_hosts
+from lentilrill.scheduling import SurgeTracker, minimum_hosts
 
 POOLS = [PoolId(name) for name in ("notices", "ballots", "schools")]
 
 
-class TurnsTest(TestCase):
+class SurgeTrackerTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.turns = Turns()
+        self.tracker = SurgeTracker()
         self.now = 0.0
 
-    def play(self, seconds: float, *high: PoolId) -> set[PoolId]:
+    def play(self, seconds: float, *surging: PoolId) -> set[PoolId]:
         for _ in range(int(seconds / 0.5)):
             for pool in POOLS:
-                self.turns.note(pool, is_high=pool in high, now=self.now)
+                self.tracker.observe(pool, is_surging=pool in surging, now=self.now)
             self.now += 0.5
-        return self.turns.past(POOLS)
+        return self.tracker.passed(POOLS)
 
-    def test_a_pool_keeps_less_between_its_turns(self) -> None:
+    def test_a_pool_keeps_fewer_hosts_after_its_surge(self) -> None:
         """Ten paid hosts were idle in pools whose surge had just ended."""
         notices, ballots, schools = POOLS
         self.assertEqual(set(), self.play(6, notices))
@@ -30,18 +30,18 @@
         self.assertEqual({notices, ballots}, self.play(6, schools))
         self.assertEqual(set(), self.play(4))
 
-    def test_a_pool_out_of_turn_begins_everything_anew(self) -> None:
+    def test_a_second_surge_of_a_pool_starts_a_new_cycle(self) -> None:
         notices, _, _ = POOLS
         self.play(6, notices)
         self.play(4)
         self.assertEqual(set(), self.play(6, notices))
 
-    def test_gaps_within_a_turn_do_not_end_it(self) -> None:
+    def test_gaps_within_a_surge_do_not_end_it(self) -> None:
         notices, _, _ = POOLS
         for _ in range(3):
             self.play(2, notices)
             self.assertEqual(set(), self.play(1.5))
 
-    def test_what_is_kept_before_and_after_a_turn(self) -> None:
-        self.assertEqual(4, kept_hosts(18, 2))
-        self.assertEqual(2, kept_hosts(18, 2, had_turn=True))
+    def test_minimum_hosts_before_and_after_a_surge(self) -> None:
+        self.assertEqual(4, minimum_hosts(18, 2))
+        self.assertEqual(2, minimum_hosts(18, 2, surge_passed=True))
