--- a/src/lentilrill/upkeep/__init__.py
+++ b/src/lentilrill/upkeep/__init__.py
@@ -1,7 +1,7 @@
 """Orders to hosts: waves of upkeep, and moves of hosts between pools."""
 
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._emptying import Emptying
+from lentilrill.upkeep._draining import Emptying
 from lentilrill.upkeep._fleet import FLEET, FleetOwner
 from lentilrill.upkeep._moves import Mover
 from lentilrill.upkeep._orders import HostOrders
--- a/src/lentilrill/upkeep/_emptying.py
+++ b/src/lentilrill/upkeep/_draining.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Emptying", "Peers"]
 
-FRESH_S = 1.5
+ANSWER_VALID_S = 1.5
 """Seconds for which an answer is valid after its request was sent: half of the time for which an
 owner keeps new tasks off an endpoint after the last request."""
 
@@ -33,15 +33,15 @@
     def __init__(self, peers: Peers, owner_address: Callable[[PoolId], str]) -> None:
         self._peers = peers
         self._owner_address = owner_address
-        self._asks = itertools.count(1)
-        self._told_by_endpoint: dict[EndpointId, ReleaseTold] = {}
-        self._last_ask: dict[EndpointId, tuple[int, float]] = {}
+        self._request_ids = itertools.count(1)
+        self._answer_by_endpoint: dict[EndpointId, ReleaseTold] = {}
+        self._last_request: dict[EndpointId, tuple[int, float]] = {}
 
-    def told(self, message: ReleaseTold) -> None:
+    def on_release_told(self, message: ReleaseTold) -> None:
         """Handle the answer of a pool's owner."""
-        self._told_by_endpoint[message.endpoint] = message
+        self._answer_by_endpoint[message.endpoint] = message
 
-    def ask(self, pool: PoolId, endpoint: EndpointId) -> tuple[bool, str]:
+    def request_drain(self, pool: PoolId, endpoint: EndpointId) -> tuple[bool, str]:
         """Request an endpoint; return whether it is free, and the reason if it isn't.
 
         Only the answer to the previous request counts, and only while its owner is sure to keep new
@@ -52,11 +52,11 @@
         if not address:
             return False, "the pool has no owner"
         now = time.monotonic()
-        told = self._told_by_endpoint.pop(endpoint, None)
-        last, asked_at = self._last_ask.get(endpoint, (0, 0.0))
-        ask = next(self._asks)
-        self._last_ask[endpoint] = (ask, now)
-        self._peers.send(address, ReleaseAsk(ask, pool, endpoint))
-        if told is None or told.ask != last or now - asked_at > FRESH_S:
+        answer = self._answer_by_endpoint.pop(endpoint, None)
+        last_id, requested_at = self._last_request.get(endpoint, (0, 0.0))
+        request_id = next(self._request_ids)
+        self._last_request[endpoint] = (request_id, now)
+        self._peers.send(address, ReleaseAsk(request_id, pool, endpoint))
+        if answer is None or answer.ask != last_id or now - requested_at > ANSWER_VALID_S:
             return False, "the owner of the pool has not answered"
-        return told.state == ReleaseState.FREE, told.reason
+        return answer.state == ReleaseState.FREE, answer.reason
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -11,7 +11,7 @@
 from lentilrill.ownership import Shard
 from lentilrill.telemetry import Dependency, guarded
 from lentilrill.upkeep._contract import HostCalls, HostRow
-from lentilrill.upkeep._emptying import Emptying
+from lentilrill.upkeep._draining import Emptying
 from lentilrill.upkeep._moves import Mover
 from lentilrill.upkeep._waves import Waves
 
@@ -20,10 +20,10 @@
 FLEET = Shard("@fleet")
 """The shard whose owner sends orders to hosts. There is one for all pools, because waves and moves
 span pools and a host accepts orders from only one holder at a time."""
-ROUND_S = 0.3
+ROUND_INTERVAL_S = 0.3
 """Maximum pause between two rounds. Each round is one call to the list of hosts, and a needed host
 that becomes available is noticed within this time."""
-SHORTEST_ROUND_S = 0.05
+MIN_PAUSE_S = 0.05
 """Pause before a round that is started early, so that one round covers notifications that arrive
 together."""
 
@@ -48,46 +48,46 @@
         self._mover = mover
         self._emptying = emptying
         self._may_order = may_order
-        self._ended = threading.Event()
-        self._early = threading.Event()
-        self._list = Dependency("list of hosts")
+        self._closed = threading.Event()
+        self._woken = threading.Event()
+        self._host_list = Dependency("list of hosts")
 
     def close(self) -> None:
         """Stop sending orders at once."""
-        self._ended.set()
-        self._early.set()
+        self._closed.set()
+        self._woken.set()
 
     def told(self, message: ReleaseTold) -> None:
         """Handle the answer of a pool's owner."""
-        self._emptying.told(message)
+        self._emptying.on_release_told(message)
         if message.state == ReleaseState.FREE:
             self.hurry()
 
     def hurry(self) -> None:
         """Start the next round early: a pool needs hosts, or a requested endpoint is free."""
-        self._early.set()
+        self._woken.set()
 
     def run(self) -> None:
         """Run rounds until closed."""
-        while not self._ended.is_set() and not self._waves.load():
-            self._ended.wait(ROUND_S)
-        while not self._ended.is_set():
+        while not self._closed.is_set() and not self._waves.load():
+            self._closed.wait(ROUND_INTERVAL_S)
+        while not self._closed.is_set():
             if self._may_order():
                 guarded("fleet", self._round)
-            self._early.clear()
-            if self._early.wait(ROUND_S):
-                self._ended.wait(SHORTEST_ROUND_S)
+            self._woken.clear()
+            if self._woken.wait(ROUND_INTERVAL_S):
+                self._closed.wait(MIN_PAUSE_S)
 
     def _round(self) -> None:
         listed = self._hosts.hosts()
         if isinstance(listed, Failure):
-            self._list.failed(listed.failure().reason)
+            self._host_list.failed(listed.failure().reason)
             return
-        self._list.succeeded()
+        self._host_list.succeeded()
         rows: dict[HostId, HostRow] = {row.id: row for row in listed.unwrap()}
-        for step in (partial(self._waves.round, rows), partial(self._move, rows)):
-            if not self._ended.is_set() and self._may_order():
+        for step in (partial(self._waves.run_round, rows), partial(self._move_hosts, rows)):
+            if not self._closed.is_set() and self._may_order():
                 step()
 
-    def _move(self, rows: dict[HostId, HostRow]) -> None:
-        self._mover.round(rows, self._waves.busy)
+    def _move_hosts(self, rows: dict[HostId, HostRow]) -> None:
+        self._mover.run_round(rows, self._waves.busy_hosts)
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -19,13 +19,13 @@
 )
 from lentilrill.telemetry import Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._emptying import Emptying
+from lentilrill.upkeep._draining import Emptying
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import PoolEntry
 
 __all__ = ["Mover"]
 
-GIVE_UP_S = 3.0
+DRAIN_TIMEOUT_S = 3.0
 """Seconds after which a move is given up if its endpoint isn't free yet. Tasks of overdue jobs may
 run on for 2.5 s of this time."""
 
@@ -35,7 +35,7 @@
 
     :param pools: returns the configured pools.
     :param pressure_of: returns the last report of a pool's owner; ``None`` if none is recent.
-    :param refused: called with a reason when a host reports a newer owner of the fleet.
+    :param on_fenced: called with a reason when a host reports a newer owner of the fleet.
     :param may_order: returns whether the ownership lease is still valid.
     :param orders: sends the orders of a round; shared with the waves.
     """
@@ -48,7 +48,7 @@
         token: Revision,
         pools: Callable[[], tuple[PoolEntry, ...]],
         pressure_of: Callable[[PoolId], PoolPressure | None],
-        refused: Callable[[str], None],
+        on_fenced: Callable[[str], None],
         may_order: Callable[[], bool],
         orders: HostOrders,
     ) -> None:
@@ -59,15 +59,15 @@
         self._token = token
         self._pools = pools
         self._pressure_of = pressure_of
-        self._refused = refused
+        self._on_fenced = on_fenced
         self._may_order = may_order
-        self._targets_by_pool: dict[PoolId, deque[tuple[float, int]]] = {}
-        self._short_since: dict[PoolId, float] = {}
-        self._begun_by_host: dict[HostId, tuple[Move, float]] = {}
-        self._target_by_pool: dict[PoolId, int] = {}
+        self._recent_targets_by_pool: dict[PoolId, deque[tuple[float, int]]] = {}
+        self._below_min_since: dict[PoolId, float] = {}
+        self._started_by_host: dict[HostId, tuple[Move, float]] = {}
+        self._logged_target_by_pool: dict[PoolId, int] = {}
         self._surges = SurgeTracker()
 
-    def round(self, rows: dict[HostId, HostRow], busy: set[HostId]) -> None:
+    def run_round(self, rows: dict[HostId, HostRow], busy: set[HostId]) -> None:
         """Start new moves, and continue those that wait for their endpoint to be free.
 
         :param busy: hosts in use by a wave of upkeep.
@@ -76,36 +76,39 @@
         if not standby:
             return
         now = time.monotonic()
-        taken = busy | set(self._begun_by_host)
-        serving = [pool.id for pool in self._pools() if not pool.standby]
-        kept_by_pool = self._kept(serving, rows, now)
+        unavailable = busy | set(self._started_by_host)
+        active_pools = [pool.id for pool in self._pools() if not pool.standby]
+        min_hosts_by_pool = self._min_hosts_by_pool(active_pools, rows, now)
         needs = tuple(
             need
-            for pool in serving
-            if (need := self._need(pool, rows, taken, now, kept_by_pool[pool])) is not None
+            for pool in active_pools
+            if (need := self._pool_need(pool, rows, unavailable, now, min_hosts_by_pool[pool]))
+            is not None
         )
-        resting = tuple(
+        standby_hosts = tuple(
             MovableHost(row.id, row.zone, row.endpoint)
             for row in rows.values()
-            if row.pool in standby and row.state is HostState.UP and row.id not in taken
+            if row.pool in standby and row.state is HostState.UP and row.id not in unavailable
         )
-        self._log_targets(needs, resting)
-        for move in plan_moves(needs, standby[0], resting):
-            self._begun_by_host[move.host.id] = (move, now)
-        due = [
+        self._log_targets(needs, standby_hosts)
+        for move in plan_moves(needs, standby[0], standby_hosts):
+            self._started_by_host[move.host.id] = (move, now)
+        ready = [
             move
-            for host, (move, began) in list(self._begun_by_host.items())
-            if self._is_due(host, move, began, now, rows.get(host), move.source in standby)
+            for host, (move, started_at) in list(self._started_by_host.items())
+            if self._is_ready(host, move, started_at, now, rows.get(host), move.source in standby)
         ]
-        for move, answer in self._orders.send(due, self._order):
-            self._ordered(move, answer)
+        for move, answer in self._orders.send(ready, self._send_order):
+            self._on_order_answer(move, answer)
 
-    def _log_targets(self, needs: tuple[PoolNeed, ...], resting: tuple[MovableHost, ...]) -> None:
+    def _log_targets(
+        self, needs: tuple[PoolNeed, ...], standby_hosts: tuple[MovableHost, ...]
+    ) -> None:
         targets = pool_targets(needs)
         for need in needs:
             target = targets[need.pool]
-            if self._target_by_pool.get(need.pool) != target:
-                self._target_by_pool[need.pool] = target
+            if self._logged_target_by_pool.get(need.pool) != target:
+                self._logged_target_by_pool[need.pool] = target
                 log(
                     Event.POOL_SIZED,
                     pool=need.pool,
@@ -115,10 +118,10 @@
                     firm=need.need_without_forecast,
                     kept=need.min_hosts,
                     free=len(need.free),
-                    resting=len(resting),
+                    resting=len(standby_hosts),
                 )
 
-    def _kept(
+    def _min_hosts_by_pool(
         self, pools: list[PoolId], rows: dict[HostId, HostRow], now: float
     ) -> dict[PoolId, int]:
         """Return the minimum hosts of each pool.
@@ -127,101 +130,104 @@
         minimum of the others, which would release hosts and get them back after its arrival.
         """
         all_hosts = sum(1 for row in rows.values() if row.state is not HostState.DOWN)
-        self._note_turns(pools, minimum_hosts(all_hosts, len(pools)), now)
-        past = self._surges.passed(pools)
+        self._record_surges(pools, minimum_hosts(all_hosts, len(pools)), now)
+        passed = self._surges.passed(pools)
         return {
-            pool: minimum_hosts(all_hosts, len(pools), surge_passed=pool in past) for pool in pools
+            pool: minimum_hosts(all_hosts, len(pools), surge_passed=pool in passed)
+            for pool in pools
         }
 
-    def _note_turns(self, pools: list[PoolId], kept: int, now: float) -> None:
+    def _record_surges(self, pools: list[PoolId], min_hosts: int, now: float) -> None:
         for pool in pools:
-            said = self._pressure_of(pool)
-            if said is not None:
-                self._surges.observe(pool, is_surging=said.firm > kept, now=now)
+            pressure = self._pressure_of(pool)
+            if pressure is not None:
+                self._surges.observe(pool, is_surging=pressure.firm > min_hosts, now=now)
 
-    def _need(
+    def _pool_need(
         self,
         pool: PoolId,
         rows: dict[HostId, HostRow],
-        taken: set[HostId],
+        unavailable: set[HostId],
         now: float,
-        kept: int,
+        min_hosts: int,
     ) -> PoolNeed | None:
-        said = self._pressure_of(pool)
-        if said is None:
-            self._targets_by_pool.pop(pool, None)
-            self._short_since.pop(pool, None)
+        pressure = self._pressure_of(pool)
+        if pressure is None:
+            self._recent_targets_by_pool.pop(pool, None)
+            self._below_min_since.pop(pool, None)
             return None
-        moves = [move for move, _ in self._begun_by_host.values()]
+        moves = [move for move, _ in self._started_by_host.values()]
         # A host that is down, for seconds or permanently, runs no tasks. If it comes back, it is
         # surplus and can move to a pool that needs it.
         members = [
             row for row in rows.values() if row.pool == pool and row.state is not HostState.DOWN
         ]
-        coming = sum(1 for move in moves if move.target == pool)
-        going = sum(1 for move in moves if move.source == pool)
-        hosts = len(members) + coming - going
-        lately = self._most_lately(pool, target_hosts(said.need, 0), hosts, now)
-        if hosts >= kept:
-            self._short_since.pop(pool, None)
-        short_since = self._short_since.setdefault(pool, now)
-        left = [row for row in members if row.state is HostState.UP and row.id not in taken]
-        free = _hosts_of(left, said.idle)
-        late = _hosts_of(left, said.late)
+        arriving = sum(1 for move in moves if move.target == pool)
+        leaving = sum(1 for move in moves if move.source == pool)
+        hosts = len(members) + arriving - leaving
+        recent_peak = self._recent_peak(pool, target_hosts(pressure.need, 0), hosts, now)
+        if hosts >= min_hosts:
+            self._below_min_since.pop(pool, None)
+        below_min_since = self._below_min_since.setdefault(pool, now)
+        available = [
+            row for row in members if row.state is HostState.UP and row.id not in unavailable
+        ]
+        free = _hosts_of(available, pressure.idle)
+        overdue = _hosts_of(available, pressure.late)
         zones = tuple(row.zone for row in members)
         return PoolNeed(
             pool,
-            said.need,
+            pressure.need,
             hosts,
-            lately,
+            recent_peak,
             free,
             zones,
-            late,
-            said.firm,
-            kept,
-            now - short_since,
-            _hosts_of(left, said.light),
+            overdue,
+            pressure.firm,
+            min_hosts,
+            now - below_min_since,
+            _hosts_of(available, pressure.light),
         )
 
-    def _most_lately(self, pool: PoolId, target: int, hosts: int, now: float) -> int:
+    def _recent_peak(self, pool: PoolId, target: int, hosts: int, now: float) -> int:
         """Return the highest target of a pool in the last :data:`SURPLUS_DELAY_S` seconds.
 
         A pool that has been tracked for a shorter time may have needed all of its hosts.
         """
-        targets = self._targets_by_pool.setdefault(pool, deque([(now, hosts)]))
+        targets = self._recent_targets_by_pool.setdefault(pool, deque([(now, hosts)]))
         targets.append((now, target))
         while now - targets[0][0] > SURPLUS_DELAY_S:
             targets.popleft()
-        return max(most for _, most in targets)
+        return max(value for _, value in targets)
 
-    def _is_due(
+    def _is_ready(
         self,
         host: HostId,
         move: Move,
-        began: float,
+        started_at: float,
         now: float,
         row: HostRow | None,
-        is_resting: bool,
+        is_in_standby: bool,
     ) -> bool:
         """Return whether the order for a move can be sent now; drop a move that can't complete."""
         if row is None or row.pool != move.source or row.state is not HostState.UP:
-            del self._begun_by_host[host]
+            del self._started_by_host[host]
             return False
         is_free, reason = True, ""
-        if not is_resting:
-            is_free, reason = self._emptying.ask(move.source, move.host.endpoint)
-        if not is_free and now - began > GIVE_UP_S:
+        if not is_in_standby:
+            is_free, reason = self._emptying.request_drain(move.source, move.host.endpoint)
+        if not is_free and now - started_at > DRAIN_TIMEOUT_S:
             log(Event.HOST_WAITS, host=host, reason=reason, given_up=True)
-            del self._begun_by_host[host]
+            del self._started_by_host[host]
         return is_free
 
-    def _order(self, move: Move) -> HostOrder | None:
+    def _send_order(self, move: Move) -> HostOrder | None:
         # On a slow entry host a round takes long: the lease may have ended since it began.
         if not self._may_order():
             return None
         return self._hosts.move(move.host.id, move.target, self._process, int(self._token))
 
-    def _ordered(self, move: Move, answer: HostOrder) -> None:
+    def _on_order_answer(self, move: Move, answer: HostOrder) -> None:
         host = move.host.id
         log(
             Event.HOST_ORDERED,
@@ -231,9 +237,9 @@
             answer=answer.value,
         )
         if answer is HostOrder.FENCED:
-            self._refused(f"host {host} has accepted a newer owner of the fleet")
+            self._on_fenced(f"host {host} has accepted a newer owner of the fleet")
         if answer not in (HostOrder.LATER, HostOrder.UNKNOWN):
-            del self._begun_by_host[host]
+            del self._started_by_host[host]
 
 
 def _hosts_of(rows: list[HostRow], endpoints: tuple[EndpointId, ...]) -> tuple[MovableHost, ...]:
--- a/src/lentilrill/upkeep/_orders.py
+++ b/src/lentilrill/upkeep/_orders.py
@@ -10,7 +10,7 @@
 
 __all__ = ["HostOrders"]
 
-AT_ONCE = 12
+MAX_CONCURRENT_ORDERS = 12
 SUSTAINED_SHARE = 0.8
 BURST_SHARE = 0.2
 """Shares of the platform's rate limit for the refill and the size of the token bucket: they add up
@@ -26,16 +26,21 @@
     of its own. If they were sent one after the other, the last would go out seconds later, and
     their hosts would run tasks only after the surge.
 
-    :param per_s: the platform's rate limit for orders of all entry hosts, per second.
-    :param at_once: maximum number of concurrent orders.
+    :param rate_per_s: the platform's rate limit for orders of all entry hosts, per second.
+    :param max_concurrent: maximum number of concurrent orders.
     """
 
     def __init__(
-        self, per_s: float, at_once: int = AT_ONCE, clock: Callable[[], float] = time.monotonic
+        self,
+        rate_per_s: float,
+        max_concurrent: int = MAX_CONCURRENT_ORDERS,
+        clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._at_once = at_once
+        self._max_concurrent = max_concurrent
         self._clock = clock
-        self._bucket = TokenBucket(per_s * SUSTAINED_SHARE, max(1.0, per_s * BURST_SHARE), clock())
+        self._bucket = TokenBucket(
+            rate_per_s * SUSTAINED_SHARE, max(1.0, rate_per_s * BURST_SHARE), clock()
+        )
 
     def send(
         self, targets: Sequence[T], order: Callable[[T], HostOrder | None]
@@ -52,7 +57,9 @@
         if len(allowed) <= 1:
             answers = [order(target) for target in allowed]
         else:
-            with ThreadPoolExecutor(min(self._at_once, len(allowed)), "host-order") as threads:
+            with ThreadPoolExecutor(
+                min(self._max_concurrent, len(allowed)), "host-order"
+            ) as threads:
                 answers = list(threads.map(order, allowed))
         return [
             (target, answer)
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -12,7 +12,7 @@
 from lentilrill.store import Compare, FencedRecord, KeyValue, Written
 from lentilrill.telemetry import Dependency, Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._emptying import FRESH_S, Emptying
+from lentilrill.upkeep._draining import ANSWER_VALID_S, Emptying
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import Wave
 
@@ -21,18 +21,18 @@
 HOST_DOWN_S = 4.0
 """Expected time for one host of a wave: drain, two seconds of downtime, and detection that it is up
 again."""
-SAFETY = 1.6
+DURATION_SAFETY_FACTOR = 1.6
 """Factor on the expected time for the rest of a wave, for hosts that can't be drained at once."""
-BUSY_SHARE = 0.7
+BUSY_POOL_SHARE = 0.7
 """Load of a pool, as a share of its hosts, from which a wave avoids its hosts while it can."""
-UNTOUCHED_S = 1.2
+LOST_ORDER_S = 1.2
 """Seconds within which the list shows a host as down after its order. If it is still shown as up
 after that and its order has no answer, the order was lost."""
-CONFIRMED_S = 3.0
+CONFIRMED_DONE_S = 3.0
 """Seconds after which a host with a confirmed order that is still shown as up counts as done. This
 is longer than an upkeep takes, because the list may lag behind."""
-NOBODY = EndpointId("")
-GONE_S = 2.4
+NO_ENDPOINT = EndpointId("")
+GONE_AFTER_S = 2.4
 """Seconds for which a host must be missing from the list to count as permanently gone."""
 
 
@@ -40,13 +40,13 @@
     """Stage of a host in a wave."""
 
     WAITING = "waiting"
-    EMPTYING = "emptying"
+    DRAINING = "emptying"
     ORDERED = "ordered"
     """Its order may have been sent; it counts as down until the list shows it as up again."""
     DONE = "done"
 
 
-_Kept = tuple[Stage, EndpointId]
+_StoredHost = tuple[Stage, EndpointId]
 """Stored state of a host: its stage, and the endpoint that ran on it when it was ordered."""
 
 
@@ -56,19 +56,19 @@
         "endpoint",
         "missing_since",
         "reason",
-        "seen_down",
         "stage",
-        "up_since",
+        "still_up_since",
+        "was_down",
     )
 
-    def __init__(self, stage: Stage = Stage.WAITING, endpoint: EndpointId = NOBODY) -> None:
+    def __init__(self, stage: Stage = Stage.WAITING, endpoint: EndpointId = NO_ENDPOINT) -> None:
         self.stage = stage
         self.endpoint = endpoint
         self.missing_since: float | None = None
         self.reason = ""
-        self.seen_down = False
+        self.was_down = False
         self.confirmed = False
-        self.up_since: float | None = None
+        self.still_up_since: float | None = None
 
 
 class Waves:
@@ -77,7 +77,7 @@
     :param waves: returns the waves declared by operators, by number.
     :param load_of: returns the load of a pool as a share of its hosts; 0 in standby.
     :param may_order: returns whether the ownership lease is still valid.
-    :param refused: called with a reason when a host or the store reports a newer owner.
+    :param on_fenced: called with a reason when a host or the store reports a newer owner.
     :param state_key: returns the key under which operators read a wave's state.
     :param state_value: returns the value of that state for a completed or a running wave.
     :param orders: sends the orders of a round; shared with the moves of hosts.
@@ -94,7 +94,7 @@
         waves: Callable[[], dict[int, Wave]],
         load_of: Callable[[PoolId], float],
         may_order: Callable[[], bool],
-        refused: Callable[[str], None],
+        on_fenced: Callable[[str], None],
         state_key: Callable[[int], str],
         state_value: Callable[[bool], bytes],
         orders: HostOrders,
@@ -110,9 +110,9 @@
         self._load_of = load_of
         self._records = Dependency("records of waves in the store")
         self._records_by_key: dict[str, FencedRecord] = {}
-        self._began_by_wave: dict[int, float] = {}
+        self._started_by_wave: dict[int, float] = {}
         self._may_order = may_order
-        self._refused = refused
+        self._on_fenced = on_fenced
         self._state_key = state_key
         self._state_value = state_value
         self._orders = orders
@@ -122,18 +122,18 @@
         self._running: set[int] = set()
 
     @property
-    def open(self) -> list[Wave]:
+    def open_waves(self) -> list[Wave]:
         """Waves that aren't completed, in the order of their numbers."""
         return [w for number, w in sorted(self._waves().items()) if number not in self._completed]
 
     @property
-    def busy(self) -> set[HostId]:
+    def busy_hosts(self) -> set[HostId]:
         """Hosts that are being drained or are down for a wave."""
         return {
             host
             for hosts in self._hosts_by_wave.values()
             for host, state in hosts.items()
-            if state.stage in (Stage.EMPTYING, Stage.ORDERED)
+            if state.stage in (Stage.DRAINING, Stage.ORDERED)
         }
 
     def load(self) -> bool:
@@ -147,86 +147,90 @@
             if item.value is None:
                 continue
             number = int(item.key.removeprefix("w/"))
-            kept = msgspec.json.decode(item.value, type=dict[HostId, _Kept])
+            stored = msgspec.json.decode(item.value, type=dict[HostId, _StoredHost])
             self._running.add(number)
             hosts = self._hosts_by_wave.setdefault(number, {})
-            for host, (stage, endpoint) in kept.items():
+            for host, (stage, endpoint) in stored.items():
                 hosts[host] = _HostInWave(stage, endpoint)
-            if kept and all(stage is Stage.DONE for stage, _ in kept.values()):
+            if stored and all(stage is Stage.DONE for stage, _ in stored.values()):
                 self._completed.add(number)
         return True
 
-    def round(self, rows: dict[HostId, HostRow]) -> None:
+    def run_round(self, rows: dict[HostId, HostRow]) -> None:
         """Advance each open wave.
 
         :param rows: the current list of hosts.
         """
-        for wave in self.open:
+        for wave in self.open_waves:
             hosts = self._hosts_by_wave.setdefault(wave.number, {})
             for host in wave.hosts:
                 hosts.setdefault(host, _HostInWave())
-            if wave.number not in self._running and not self._begin(wave):
+            if wave.number not in self._running and not self._start(wave):
                 continue
             for host, state in hosts.items():
-                self._follow(wave, host, state, rows.get(host))
+                self._update_host(wave, host, state, rows.get(host))
             self._advance(wave, hosts, rows)
             if all(state.stage is Stage.DONE for state in hosts.values()):
                 self._complete(wave)
 
-    def _begin(self, wave: Wave) -> bool:
-        if not self._store(wave, {}) or not self._tell_state(wave, completed=False):
+    def _start(self, wave: Wave) -> bool:
+        if not self._store(wave, {}) or not self._write_state(wave, completed=False):
             return False
         self._running.add(wave.number)
-        self._began_by_wave[wave.number] = self._clock()
+        self._started_by_wave[wave.number] = self._clock()
         log(Event.WAVE_STATE, wave=wave.number, state="running", hosts=len(wave.hosts))
         return True
 
     def _complete(self, wave: Wave) -> None:
-        if self._tell_state(wave, completed=True):
+        if self._write_state(wave, completed=True):
             self._completed.add(wave.number)
             log(Event.WAVE_STATE, wave=wave.number, state="completed", hosts=len(wave.hosts))
 
-    def _follow(self, wave: Wave, host: HostId, state: _HostInWave, row: HostRow | None) -> None:
+    def _update_host(
+        self, wave: Wave, host: HostId, state: _HostInWave, row: HostRow | None
+    ) -> None:
         if state.stage is Stage.DONE:
             return
         now = self._clock()
         if row is None:
             state.missing_since = state.missing_since or now
-            if now - state.missing_since >= GONE_S:
-                self._finish(wave, host, state, "gone")
+            if now - state.missing_since >= GONE_AFTER_S:
+                self._finish_host(wave, host, state, "gone")
             return
         state.missing_since = None
         if state.stage is not Stage.ORDERED:
             return
         if row.state is not HostState.UP:
-            state.seen_down = True
-        elif state.seen_down or (row.endpoint and row.endpoint != state.endpoint):
-            self._finish(wave, host, state, "up")
+            state.was_down = True
+        elif state.was_down or (row.endpoint and row.endpoint != state.endpoint):
+            self._finish_host(wave, host, state, "up")
         else:
-            self._follow_untouched(wave, host, state, now)
+            self._update_host_still_up(wave, host, state, now)
 
-    def _follow_untouched(self, wave: Wave, host: HostId, state: _HostInWave, now: float) -> None:
+    def _update_host_still_up(
+        self, wave: Wave, host: HostId, state: _HostInWave, now: float
+    ) -> None:
         """Handle an ordered host that the list still shows as up.
 
         The decision depends on time and not on the number of rounds, which follow each other
         quickly during a surge. Counting rounds, an order in transit would count as lost and its
         host as up, so that one host too many would go down.
         """
-        state.up_since = state.up_since or now
-        up_s = now - state.up_since
+        state.still_up_since = state.still_up_since or now
+        up_s = now - state.still_up_since
         if state.confirmed:
-            if up_s >= CONFIRMED_S:
+            if up_s >= CONFIRMED_DONE_S:
                 # The upkeep took place under a previous owner or between two reads of the list, and
                 # in standby no new endpoint shows it. The platform confirms an order whose upkeep
                 # is under way, which the list shows by now, or is complete. Without this rule the
                 # wave would order the same hosts forever.
-                self._finish(wave, host, state, "confirmed")
-        elif up_s >= UNTOUCHED_S:
+                self._finish_host(wave, host, state, "confirmed")
+        elif up_s >= LOST_ORDER_S:
             # The order was lost, perhaps with the owner that sent it, so the host is drained and
             # ordered again. If the first order still arrives, the second one changes nothing.
-            state.stage = Stage.EMPTYING
+            state.stage = Stage.DRAINING
 
-    def _finish(self, wave: Wave, host: HostId, state: _HostInWave, how: str) -> None:
+    def _finish_host(self, wave: Wave, host: HostId, state: _HostInWave, how: str) -> None:
         state.stage = Stage.DONE
         log(Event.HOST_UP, host=host, wave=wave.number, how=how)
         self._store(wave, self._hosts_by_wave[wave.number])
@@ -238,23 +242,23 @@
 
         One more host than the limit is drained in advance, so that it is free when its turn comes.
         """
-        asked_at = self._clock()
+        requested_at = self._clock()
         down = sum(1 for host, state in hosts.items() if _is_down(state, rows.get(host)))
-        busy = down + sum(1 for state in hosts.values() if state.stage is Stage.EMPTYING)
+        in_progress = down + sum(1 for state in hosts.values() if state.stage is Stage.DRAINING)
         chosen: list[tuple[HostId, _HostInWave]] = []
-        for host, state in self._in_order(wave, hosts, rows):
+        for host, state in self._candidates(wave, hosts, rows):
             row = rows[host]
-            if state.stage is Stage.WAITING and busy < wave.most_at_once + 1:
-                state.stage = Stage.EMPTYING
-                busy += 1
-            if state.stage is not Stage.EMPTYING:
+            if state.stage is Stage.WAITING and in_progress < wave.most_at_once + 1:
+                state.stage = Stage.DRAINING
+                in_progress += 1
+            if state.stage is not Stage.DRAINING:
                 continue
-            if self._is_free(host, state, row) and down + len(chosen) < wave.most_at_once:
+            if self._drain_host(host, state, row) and down + len(chosen) < wave.most_at_once:
                 state.endpoint = row.endpoint
                 chosen.append((host, state))
-        self._order_all(wave, hosts, chosen, asked_at)
+        self._send_orders(wave, hosts, chosen, requested_at)
 
-    def _in_order(
+    def _candidates(
         self,
         wave: Wave,
         hosts: dict[HostId, _HostInWave],
@@ -266,28 +270,28 @@
         A wave takes a quarter of all hosts at once, for about as long as a surge lasts. A pool in
         its surge needs all of its hosts, and an idle pool needs none of them.
         """
-        waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.EMPTYING))
-        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.most_at_once) * SAFETY
-        began = self._began_by_wave.get(wave.number, 0.0)
-        late = self._clock() - began + needed_s > wave.within_s
+        waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.DRAINING))
+        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.most_at_once) * DURATION_SAFETY_FACTOR
+        started_at = self._started_by_wave.get(wave.number, 0.0)
+        is_behind_schedule = self._clock() - started_at + needed_s > wave.within_s
         up = [
             (self._load_of(rows[host].pool), host, state)
             for host, state in hosts.items()
             if host in rows and rows[host].state is HostState.UP
         ]
-        up.sort(key=lambda entry: (entry[2].stage is not Stage.EMPTYING, entry[0]))
+        up.sort(key=lambda entry: (entry[2].stage is not Stage.DRAINING, entry[0]))
         return [
             (host, state)
             for load, host, state in up
-            if late or load < BUSY_SHARE or state.stage is Stage.EMPTYING
+            if is_behind_schedule or load < BUSY_POOL_SHARE or state.stage is Stage.DRAINING
         ]
 
-    def _order_all(
+    def _send_orders(
         self,
         wave: Wave,
         hosts: dict[HostId, _HostInWave],
         chosen: list[tuple[HostId, _HostInWave]],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
         """Store that the chosen hosts may be down, then order their upkeep.
 
@@ -295,58 +299,60 @@
         ordered last, before the list of hosts shows them as down. Otherwise more hosts than the
         limit could be down at once.
 
-        :param asked_at: time of the drain requests, whose answers are valid only for a while.
+        :param requested_at: time of the drain requests, whose answers are valid only for a while.
         """
         if not chosen:
             return
         for _, state in chosen:
-            state.stage, state.up_since = Stage.ORDERED, None
+            state.stage, state.still_up_since = Stage.ORDERED, None
         if not self._store(wave, hosts):
             for _, state in chosen:
-                state.stage = Stage.EMPTYING
+                state.stage = Stage.DRAINING
             return
-        sent = self._orders.send(chosen, lambda each: self._order(wave, *each, asked_at))
+        sent = self._orders.send(chosen, lambda each: self._send_order(wave, *each, requested_at))
         for (host, state), answer in sent:
-            self._ordered(wave, host, state, answer)
+            self._on_order_answer(wave, host, state, answer)
         ordered = {host for (host, _), _ in sent}
         for host, state in chosen:
             if host not in ordered:
-                state.stage = Stage.EMPTYING
+                state.stage = Stage.DRAINING
 
-    def _is_free(self, host: HostId, state: _HostInWave, row: HostRow) -> bool:
+    def _drain_host(self, host: HostId, state: _HostInWave, row: HostRow) -> bool:
         if not row.endpoint:
             return True
-        is_free, reason = self._emptying.ask(row.pool, row.endpoint)
+        is_free, reason = self._emptying.request_drain(row.pool, row.endpoint)
         if not is_free and reason != state.reason:
             state.reason = reason
             log(Event.HOST_WAITS, host=host, endpoint=row.endpoint, reason=reason)
         return is_free
 
-    def _order(
-        self, wave: Wave, host: HostId, state: _HostInWave, asked_at: float
+    def _send_order(
+        self, wave: Wave, host: HostId, state: _HostInWave, requested_at: float
     ) -> HostOrder | None:
         if not self._may_order():
             return None
-        if state.endpoint and self._clock() - asked_at > FRESH_S:
+        if state.endpoint and self._clock() - requested_at > ANSWER_VALID_S:
             return None
         return self._hosts.upkeep(host, wave.number, self._process, int(self._token))
 
-    def _ordered(self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrder) -> None:
+    def _on_order_answer(
+        self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrder
+    ) -> None:
         log(Event.HOST_ORDERED, host=host, wave=wave.number, answer=answer.value)
         state.confirmed = answer is HostOrder.DONE
         if answer is HostOrder.FENCED:
-            self._refused(f"host {host} has accepted a newer owner of the fleet")
+            self._on_fenced(f"host {host} has accepted a newer owner of the fleet")
         elif answer is HostOrder.REFUSED:
-            self._finish(wave, host, state, "refused")
+            self._finish_host(wave, host, state, "refused")
         elif answer in (HostOrder.BUSY, HostOrder.LATER):
-            state.stage = Stage.EMPTYING
+            state.stage = Stage.DRAINING
 
     def _store(self, wave: Wave, hosts: dict[HostId, _HostInWave]) -> bool:
         key = f"w/{wave.number}"
         stages = {host: (state.stage, state.endpoint) for host, state in hosts.items()}
         return self._write(key, msgspec.json.encode(stages))
 
-    def _tell_state(self, wave: Wave, *, completed: bool) -> bool:
+    def _write_state(self, wave: Wave, *, completed: bool) -> bool:
         return self._write(self._state_key(wave.number), self._state_value(completed))
 
     def _write(self, key: str, value: bytes) -> bool:
@@ -354,7 +360,7 @@
         record = self._records_by_key.setdefault(key, FencedRecord(self._kv, key, owner))
         written = record.write(value)
         if written is Written.NOT_OWNER:
-            self._refused("the store records a newer owner of the fleet")
+            self._on_fenced("the store records a newer owner of the fleet")
         return written is Written.DONE
 
 
--- a/tests/upkeep/test_orders.py
+++ b/tests/upkeep/test_orders.py
@@ -6,8 +6,8 @@
 
 from lentilrill.upkeep import HostOrder, HostOrders
 
-PATIENCE_S = 10.0
-PER_S = 50.0
+TIMEOUT_S = 10.0
+RATE_PER_S = 50.0
 
 
 class HostOrdersTest(TestCase):
@@ -20,32 +20,32 @@
         self.sent.append(host)
         return HostOrder.DONE
 
-    def test_orders_do_not_wait_for_each_other(self) -> None:
+    def test_orders_are_sent_concurrently(self) -> None:
         """Hosts arrived seconds late for a surge, because orders were sent one after the other."""
         together = threading.Barrier(4)
 
         def order(host: int) -> HostOrder:
-            together.wait(PATIENCE_S)
+            together.wait(TIMEOUT_S)
             return self.order(host)
 
         answers = HostOrders(1000.0).send(range(4), order)
         self.assertEqual([(host, HostOrder.DONE) for host in range(4)], answers)
 
-    def test_no_second_takes_more_than_the_platform_allows(self) -> None:
+    def test_no_second_exceeds_the_rate_limit(self) -> None:
         """The platform rejected orders beyond its rate limit, and each rejected call has a cost."""
-        orders = HostOrders(PER_S, clock=lambda: self.now)
+        orders = HostOrders(RATE_PER_S, clock=lambda: self.now)
         for _ in range(10):
             orders.send(range(200), self.order)
             self.now += 0.1
-        self.assertLessEqual(len(self.sent), PER_S)
-        self.assertGreater(len(self.sent), PER_S / 2)
+        self.assertLessEqual(len(self.sent), RATE_PER_S)
+        self.assertGreater(len(self.sent), RATE_PER_S / 2)
 
-    def test_what_is_left_out_is_told_as_not_ordered(self) -> None:
+    def test_only_targets_with_an_order_are_returned(self) -> None:
         """A host counted as down in its wave although its order was never sent."""
-        orders = HostOrders(PER_S, clock=lambda: self.now)
+        orders = HostOrders(RATE_PER_S, clock=lambda: self.now)
         answers = orders.send(range(200), self.order)
         self.assertEqual(sorted(self.sent), [host for host, _ in answers])
         self.assertLess(len(answers), 200)
 
     def test_an_order_that_was_not_sent_has_no_answer(self) -> None:
-        self.assertEqual([], HostOrders(PER_S).send(range(3), lambda host: None))
+        self.assertEqual([], HostOrders(RATE_PER_S).send(range(3), lambda host: None))
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -15,7 +15,7 @@
 from tests.fakes import FakeKeyValue, lose_request
 
 NOTICES, STANDBY = PoolId("notices"), PoolId("standby")
-ME = ProcessId("front-1")
+PROCESS = ProcessId("front-1")
 
 
 def a_row(name: str, pool: PoolId = NOTICES, state: HostState = HostState.UP) -> HostRow:
@@ -33,7 +33,9 @@
     def send(self, address: str, message: Any) -> None:
         self.asks.append(message)
         if self.answers and self.emptying is not None:
-            self.emptying.told(ReleaseTold(message.ask, message.endpoint, ReleaseState.FREE))
+            self.emptying.on_release_told(
+                ReleaseTold(message.ask, message.endpoint, ReleaseState.FREE)
+            )
 
 
 class Hosts:
@@ -42,7 +44,7 @@
     def __init__(self) -> None:
         self.answer = HostOrder.DONE
         self.orders: list[tuple[str, str]] = []
-        self.ordered: Callable[[], None] = lambda: None
+        self.on_order: Callable[[], None] = lambda: None
 
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
         return Success(())
@@ -53,7 +55,7 @@
 
     def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
         self.orders.append((host, "upkeep"))
-        self.ordered()
+        self.on_order()
         return self.answer
 
 
@@ -64,9 +66,9 @@
         self.emptying = Emptying(self.peers, lambda pool: "10.0.0.1:1")
         self.peers.emptying = self.emptying
 
-    def test_free_once_its_owner_says_so(self) -> None:
-        self.assertFalse(self.emptying.ask(NOTICES, EndpointId("i-a"))[0])
-        self.assertTrue(self.emptying.ask(NOTICES, EndpointId("i-a"))[0])
+    def test_endpoint_is_free_after_the_owner_reports_it(self) -> None:
+        self.assertFalse(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
+        self.assertTrue(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
 
     def test_an_answer_to_an_earlier_attempt_does_not_count(self) -> None:
         """Seven runs were lost with their host.
@@ -75,11 +77,11 @@
         that move arrived, and the next attempt accepted it as its own.
         """
         self.peers.answers = False
-        self.emptying.ask(NOTICES, EndpointId("i-a"))
-        self.emptying.ask(NOTICES, EndpointId("i-a"))
+        self.emptying.request_drain(NOTICES, EndpointId("i-a"))
+        self.emptying.request_drain(NOTICES, EndpointId("i-a"))
         late = ReleaseTold(self.peers.asks[0].ask, EndpointId("i-a"), ReleaseState.FREE)
-        self.emptying.told(late)
-        self.assertFalse(self.emptying.ask(NOTICES, EndpointId("i-a"))[0])
+        self.emptying.on_release_told(late)
+        self.assertFalse(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
 
 
 class WavesTest(TestCase):
@@ -103,7 +105,7 @@
             self.kv,
             self.hosts,
             emptying,
-            ME,
+            PROCESS,
             token,
             "m/o/@fleet",
             lambda: {1: wave},
@@ -118,27 +120,27 @@
         self.assertTrue(waves.load())
         return waves
 
-    def rounds(self, waves: Waves, count: int, step_s: float = 0.3) -> None:
+    def run_rounds(self, waves: Waves, count: int, step_s: float = 0.3) -> None:
         for _ in range(count):
             self.now += step_s
-            waves.round(self.rows)
+            waves.run_round(self.rows)
 
-    def test_a_new_owner_counts_what_the_former_one_ordered_last(self) -> None:
+    def test_a_new_owner_counts_the_last_orders_of_the_previous_owner(self) -> None:
         """Eight hosts of a wave were down at once, with a limit of seven.
 
         The owner of the fleet changed after an order was sent and before the list of hosts showed
         its effect. The new owner didn't count that host and ordered one more.
         """
-        self.rounds(self.owner(), 3)
+        self.run_rounds(self.owner(), 3)
         self.assertEqual(1, len(self.hosts.orders))
-        self.rounds(self.owner(), 3)
+        self.run_rounds(self.owner(), 3)
         self.assertEqual(1, len(self.hosts.orders))
 
     def test_an_order_is_stored_before_it_is_sent(self) -> None:
         waves = self.owner()
-        self.rounds(waves, 1)
+        self.run_rounds(waves, 1)
         self.kv.down = True
-        self.rounds(waves, 3)
+        self.run_rounds(waves, 3)
         self.assertEqual([], self.hosts.orders)
 
     def test_a_record_that_is_written_late_does_not_undo_a_newer_one(self) -> None:
@@ -154,18 +156,18 @@
             return lose_request(call)
 
         self.kv.commits.append(delay)
-        self.rounds(self.owner(), 5)
+        self.run_rounds(self.owner(), 5)
         self.assertEqual(1, len(self.hosts.orders))
         late[0]()
-        self.rounds(self.owner(), 3)
+        self.run_rounds(self.owner(), 3)
         self.assertEqual(1, len(self.hosts.orders))
 
-    def test_hosts_that_the_list_shows_down_count(self) -> None:
+    def test_hosts_listed_as_down_count(self) -> None:
         self.rows[self.names[2]] = a_row("c", state=HostState.UPKEEP)
-        self.rounds(self.owner(), 3)
+        self.run_rounds(self.owner(), 3)
         self.assertEqual([], self.hosts.orders)
 
-    def test_upkeep_that_passed_under_a_former_owner_is_not_ordered_for_ever(self) -> None:
+    def test_upkeep_done_under_a_previous_owner_is_not_ordered_forever(self) -> None:
         """A wave got stuck at seven of seventeen hosts for the rest of the day.
 
         The owner of the fleet was lost while the seven hosts were down. They were in standby and
@@ -174,19 +176,19 @@
         """
         for name in self.names:
             self.rows[name] = HostRow(name, STANDBY, HostState.UP)
-        self.rounds(self.owner(), 3)
+        self.run_rounds(self.owner(), 3)
         self.assertEqual(1, len(self.hosts.orders))
-        self.rounds(self.owner(), 60)
+        self.run_rounds(self.owner(), 60)
         self.assertEqual(b"completed", self.kv.items_by_key["status/wave/1"].value)
         self.assertEqual({name for name, _ in self.hosts.orders}, set(self.names))
 
     def test_a_host_whose_order_was_lost_is_ordered_again(self) -> None:
         self.hosts.answer = HostOrder.UNKNOWN
-        self.rounds(self.owner(), 30)
+        self.run_rounds(self.owner(), 30)
         self.assertGreater(len(self.hosts.orders), 2)
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
-    def test_rounds_that_follow_each_other_at_once_are_no_time(self) -> None:
+    def test_quick_rounds_do_not_count_as_elapsed_time(self) -> None:
         """Two hosts of a wave were down at once, with a limit of one.
 
         The answer to an order was lost, and during a surge rounds followed each other quickly.
@@ -195,61 +197,61 @@
         """
         self.hosts.answer = HostOrder.UNKNOWN
         waves = self.owner()
-        self.rounds(waves, 2)
-        self.rounds(waves, 20, step_s=0.0)
+        self.run_rounds(waves, 2)
+        self.run_rounds(waves, 20, step_s=0.0)
         self.assertEqual(1, len(self.hosts.orders))
 
-    def test_a_confirmed_order_is_not_over_at_once(self) -> None:
+    def test_a_confirmed_order_is_not_complete_at_once(self) -> None:
         """A wave was reported as completed while its last host was still going down."""
         self.names = self.names[:1]
         waves = self.owner()
-        self.rounds(waves, 2)
-        self.rounds(waves, 20, step_s=0.0)
+        self.run_rounds(waves, 2)
+        self.run_rounds(waves, 20, step_s=0.0)
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
-    def test_a_host_that_the_list_left_out_a_moment_ago_is_not_gone(self) -> None:
+    def test_a_host_missing_briefly_from_the_list_is_not_gone(self) -> None:
         """A wave was reported as completed while one host was briefly missing from the list."""
         self.names = self.names[:1]
         waves = self.owner()
         self.rows = {}
-        self.rounds(waves, 20, step_s=0.0)
+        self.run_rounds(waves, 20, step_s=0.0)
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
 
     def test_busy_pools_are_left_alone_while_there_is_time(self) -> None:
         """A wave took a quarter of the hosts of a pool in the middle of its surge."""
         self.load = 2.0
         waves = self.owner()
-        self.rounds(waves, 3)
+        self.run_rounds(waves, 3)
         self.assertEqual([], self.hosts.orders)
         self.load = 0.1
-        self.rounds(waves, 2)
+        self.run_rounds(waves, 2)
         self.assertEqual(1, len(self.hosts.orders))
 
-    def test_a_host_is_not_sent_down_on_an_answer_that_is_old(self) -> None:
+    def test_an_expired_answer_does_not_allow_an_order(self) -> None:
         """In a long round of a slow entry host, endpoints got tasks again before their order was
         sent."""
         waves = self.owner(most_at_once=3)
-        self.hosts.ordered = lambda: self.rounds_pass(2.0)
-        self.rounds(waves, 2)
+        self.hosts.on_order = lambda: self.advance_clock(2.0)
+        self.run_rounds(waves, 2)
         self.assertEqual(1, len(self.hosts.orders))
-        self.rounds(waves, 2)
+        self.run_rounds(waves, 2)
         self.assertEqual(3, len({host for host, _ in self.hosts.orders}))
 
-    def rounds_pass(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         self.now += seconds
 
-    def test_completed_once_all_are_through(self) -> None:
+    def test_completed_after_the_upkeep_of_all_hosts(self) -> None:
         waves = self.owner(most_at_once=3)
-        self.rounds(waves, 2)
+        self.run_rounds(waves, 2)
         self.assertEqual(3, len(self.hosts.orders))
         for name in self.names:
             self.rows[name] = a_row(name, state=HostState.UPKEEP)
-        self.rounds(waves, 1)
+        self.run_rounds(waves, 1)
         for name in self.names:
             self.rows[name] = a_row(name)
-        self.rounds(waves, 1)
+        self.run_rounds(waves, 1)
         self.assertEqual(b"completed", self.kv.items_by_key["status/wave/1"].value)
-        self.assertEqual([], waves.open)
+        self.assertEqual([], waves.open_waves)
 
 
 class MoverTest(TestCase):
@@ -257,7 +259,7 @@
         super().setUp()
         self.hosts = Hosts()
         self.need = 0.5
-        self.right_for = 1000
+        self.orders_until_lease_end = 1000
         peers = Peers()
         emptying = Emptying(peers, lambda pool: "10.0.0.1:1")
         peers.emptying = emptying
@@ -267,67 +269,67 @@
         self.mover = Mover(
             self.hosts,
             emptying,
-            ME,
+            PROCESS,
             Revision(5),
             lambda: (PoolEntry(NOTICES), PoolEntry(STANDBY, standby=True)),
             lambda pool: PoolPressure(NOTICES, 0.0, {}, 1, self.need, 2, ()),
             lambda reason: None,
-            lambda: len(self.hosts.orders) < self.right_for,
-            HostOrders(1000.0, at_once=1),
+            lambda: len(self.hosts.orders) < self.orders_until_lease_end,
+            HostOrders(1000.0, max_concurrent=1),
         )
 
-    def test_no_host_is_moved_once_the_right_is_gone(self) -> None:
+    def test_no_host_is_moved_after_the_lease_ended(self) -> None:
         """A slow owner of the fleet kept sending orders of its round after the next owner had
         started."""
         self.need = 3.5
-        self.right_for = 1
-        self.mover.round(self.rows, set())
+        self.orders_until_lease_end = 1
+        self.mover.run_round(self.rows, set())
         self.assertEqual(1, len(self.hosts.orders))
 
     def test_hosts_come_from_standby_when_work_grows(self) -> None:
         self.need = 3.5
-        self.mover.round(self.rows, set())
+        self.mover.run_round(self.rows, set())
         self.assertEqual([NOTICES] * 3, [pool for _, pool in self.hosts.orders])
 
-    def test_hosts_on_their_way_count(self) -> None:
+    def test_moving_hosts_count(self) -> None:
         """A surge of one pool took every host of the site, because each round requested the same
         number again."""
         self.need = 3.5
-        self.mover.round(self.rows, set())
+        self.mover.run_round(self.rows, set())
         for host, pool in self.hosts.orders:
             self.rows[HostId(host)] = a_row(host, PoolId(pool), HostState.MOVING)
-        self.mover.round(self.rows, set())
+        self.mover.run_round(self.rows, set())
         self.assertEqual(3, len(self.hosts.orders))
 
-    def test_what_a_pool_needed_a_moment_ago_is_not_sent_away(self) -> None:
+    def test_hosts_needed_recently_stay_in_the_pool(self) -> None:
         """During a surge hosts left a pool and came back a second later, at the cost of two moves.
 
         The need of a pool rises and falls with each job that is submitted and completed.
         """
         now = 100.0
-        most = [
-            self.mover._most_lately(NOTICES, target, 6, now + step)
+        peaks = [
+            self.mover._recent_peak(NOTICES, target, 6, now + step)
             for step, target in enumerate((3, 5, 2, 2, 2, 2))
         ]
-        self.assertEqual([6, 6, 6, 5, 2, 2], most)
+        self.assertEqual([6, 6, 6, 5, 2, 2], peaks)
 
     def test_hosts_that_are_down_are_replaced(self) -> None:
         """A pool that lost a rack in its surge kept half of its hosts until the rack was back."""
         self.need = 1.0
         for name in ("n0", "n1"):
             self.rows[HostId(name)] = a_row(name, state=HostState.DOWN)
-        self.mover.round(self.rows, set())
+        self.mover.run_round(self.rows, set())
         self.assertEqual([NOTICES] * 2, [pool for _, pool in self.hosts.orders])
 
-    def test_hosts_that_a_wave_wants_stay(self) -> None:
+    def test_hosts_in_use_by_a_wave_do_not_move(self) -> None:
         self.need = 3.5
-        self.mover.round(self.rows, {HostId("s0"), HostId("s1"), HostId("s2"), HostId("s3")})
+        self.mover.run_round(self.rows, {HostId("s0"), HostId("s1"), HostId("s2"), HostId("s3")})
         self.assertEqual([], self.hosts.orders)
 
     def test_an_order_that_is_refused_is_not_repeated(self) -> None:
         self.need = 3.5
         self.hosts.answer = HostOrder.BUSY
         began = time.monotonic()
-        self.mover.round(self.rows, set())
+        self.mover.run_round(self.rows, set())
         self.assertLess(time.monotonic() - began, 5.0)
         self.assertEqual(3, len(self.hosts.orders))
