--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -248,12 +248,12 @@
         chosen: list[tuple[HostId, _HostInWave]] = []
         for host, state in self._candidates(wave, hosts, rows):
             row = rows[host]
-            if state.stage is Stage.WAITING and in_progress < wave.most_at_once + 1:
+            if state.stage is Stage.WAITING and in_progress < wave.max_down + 1:
                 state.stage = Stage.DRAINING
                 in_progress += 1
             if state.stage is not Stage.DRAINING:
                 continue
-            if self._drain_host(host, state, row) and down + len(chosen) < wave.most_at_once:
+            if self._drain_host(host, state, row) and down + len(chosen) < wave.max_down:
                 state.endpoint = row.endpoint
                 chosen.append((host, state))
         self._send_orders(wave, hosts, chosen, requested_at)
@@ -271,7 +271,7 @@
         its surge needs all of its hosts, and an idle pool needs none of them.
         """
         waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.DRAINING))
-        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.most_at_once) * DURATION_SAFETY_FACTOR
+        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.max_down) * DURATION_SAFETY_FACTOR
         started_at = self._started_by_wave.get(wave.number, 0.0)
         is_behind_schedule = self._clock() - started_at + needed_s > wave.within_s
         up = [
--- a/src/lentilrill/workloads/_configuration.py
+++ b/src/lentilrill/workloads/_configuration.py
@@ -47,12 +47,12 @@
     """One pool of hosts.
 
     :param standby: whether its hosts are off, and free of charge, until they are moved.
-    :param guarded: whether its endpoints reject tasks that don't fit.
+    :param rejects_overload: whether its endpoints reject tasks that don't fit.
     """
 
     id: PoolId
     standby: bool = False
-    guarded: bool = False
+    rejects_overload: bool = False
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -100,7 +100,7 @@
     :param room: total capacity for tasks.
     :param draining: whether it will leave soon and accepts no new tasks.
     :param host: host that it runs on; empty if not reported.
-    :param born_ms: time of its last start, in milliseconds since the epoch; 0 if not reported.
+    :param started_ms: time of its last start, in milliseconds since the epoch; 0 if not reported.
     :param leaves_in_ms: minimum time until it leaves while draining; 0 if not reported.
     """
 
@@ -112,7 +112,7 @@
     labels: tuple[str, ...] = ()
     draining: bool = False
     host: HostId = HostId("")
-    born_ms: int = 0
+    started_ms: int = 0
     leaves_in_ms: int = 0
 
     @property
@@ -125,10 +125,10 @@
     """Hosts scheduled for upkeep together.
 
     :param within_s: seconds within which the wave should be completed.
-    :param most_at_once: maximum hosts that may be down for this wave at the same time.
+    :param max_down: maximum hosts that may be down for this wave at the same time.
     """
 
     number: int
     hosts: tuple[HostId, ...]
     within_s: float
-    most_at_once: int
+    max_down: int
--- a/src/lentilrill/workloads/_job.py
+++ b/src/lentilrill/workloads/_job.py
@@ -23,12 +23,12 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def fits(self, room: "Resources") -> bool:
-        """Return whether these resources fit into ``room``."""
+    def fits(self, available: "Resources") -> bool:
+        """Return whether these resources fit into ``available``."""
         return (
-            self.cpu <= room.cpu
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu <= available.cpu
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
     def plus(self, other: "Resources") -> "Resources":
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -95,12 +95,12 @@
         self.rows = {name: a_row(name) for name in self.names}
         self.states: list[bool] = []
 
-    def owner(self, most_at_once: int = 1) -> Waves:
+    def owner(self, max_down: int = 1) -> Waves:
         token = Revision(self.kv.put("m/o/@fleet", b"owner"))
         peers = Peers()
         emptying = Emptying(peers, lambda pool: "10.0.0.1:1")
         peers.emptying = emptying
-        wave = Wave(1, tuple(self.names), 20.0, most_at_once)
+        wave = Wave(1, tuple(self.names), 20.0, max_down)
         waves = Waves(
             self.kv,
             self.hosts,
@@ -230,7 +230,7 @@
     def test_an_expired_answer_does_not_allow_an_order(self) -> None:
         """In a long round of a slow entry host, endpoints got tasks again before their order was
         sent."""
-        waves = self.owner(most_at_once=3)
+        waves = self.owner(max_down=3)
         self.hosts.on_order = lambda: self.advance_clock(2.0)
         self.run_rounds(waves, 2)
         self.assertEqual(1, len(self.hosts.orders))
@@ -241,7 +241,7 @@
         self.now += seconds
 
     def test_completed_after_the_upkeep_of_all_hosts(self) -> None:
-        waves = self.owner(most_at_once=3)
+        waves = self.owner(max_down=3)
         self.run_rounds(waves, 2)
         self.assertEqual(3, len(self.hosts.orders))
         for name in self.names:
