--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -38,7 +38,7 @@
 from lentilrill.settings import EntrySettings
 from lentilrill.store import Follower
 from lentilrill.telemetry import ScrapedMetrics
-from lentilrill.upkeep import FLEET, Emptying, FleetOwner, HostOrders, Mover, Waves
+from lentilrill.upkeep import FLEET, EndpointDrainer, FleetOwner, HostOrders, Mover, Waves
 from lentilrill.workloads import EndpointEntry, PoolEntry
 
 __all__ = ["EntryProcess"]
@@ -263,7 +263,7 @@
 
     def _fleet_owner(self, token: Revision) -> FleetOwner:
         hosts = PlatformHosts(self._settings.hosts_api)
-        emptying = Emptying(self._node, lambda pool: self._address_of(Shard(pool)))
+        emptying = EndpointDrainer(self._node, lambda pool: self._address_of(Shard(pool)))
         process = self._settings.process
         orders = HostOrders(self._settings.host_orders_per_s)
 
--- a/src/lentilrill/upkeep/__init__.py
+++ b/src/lentilrill/upkeep/__init__.py
@@ -1,7 +1,7 @@
 """Orders to hosts: waves of upkeep, and moves of hosts between pools."""
 
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._draining import Emptying
+from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._fleet import FLEET, FleetOwner
 from lentilrill.upkeep._moves import Mover
 from lentilrill.upkeep._orders import HostOrders
@@ -9,7 +9,7 @@
 
 __all__ = [
     "FLEET",
-    "Emptying",
+    "EndpointDrainer",
     "FleetOwner",
     "HostCalls",
     "HostOrder",
--- a/src/lentilrill/upkeep/_draining.py
+++ b/src/lentilrill/upkeep/_draining.py
@@ -8,7 +8,7 @@
 from lentilrill.ids import EndpointId, PoolId
 from lentilrill.inner import Message, ReleaseAsk, ReleaseState, ReleaseTold
 
-__all__ = ["Emptying", "Peers"]
+__all__ = ["EndpointDrainer", "Peers"]
 
 ANSWER_VALID_S = 1.5
 """Seconds for which an answer is valid after its request was sent: half of the time for which an
@@ -22,7 +22,7 @@
         """Send a message; delivery isn't guaranteed."""
 
 
-class Emptying:
+class EndpointDrainer:
     """Drains endpoints by requests that are repeated each round until the endpoint is free.
 
     An endpoint returns to normal use when its requests stop.
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -11,7 +11,7 @@
 from lentilrill.ownership import Shard
 from lentilrill.telemetry import Dependency, guarded
 from lentilrill.upkeep._contract import HostCalls, HostRow
-from lentilrill.upkeep._draining import Emptying
+from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._moves import Mover
 from lentilrill.upkeep._waves import Waves
 
@@ -39,7 +39,7 @@
         hosts: HostCalls,
         waves: Waves,
         mover: Mover,
-        emptying: Emptying,
+        emptying: EndpointDrainer,
         may_order: Callable[[], bool],
     ) -> None:
         super().__init__(name="fleet", daemon=True)
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -19,7 +19,7 @@
 )
 from lentilrill.telemetry import Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._draining import Emptying
+from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import PoolEntry
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         hosts: HostCalls,
-        emptying: Emptying,
+        emptying: EndpointDrainer,
         process: ProcessId,
         token: Revision,
         pools: Callable[[], tuple[PoolEntry, ...]],
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -12,7 +12,7 @@
 from lentilrill.store import Compare, FencedRecord, KeyValue, Written
 from lentilrill.telemetry import Dependency, Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._draining import ANSWER_VALID_S, Emptying
+from lentilrill.upkeep._draining import ANSWER_VALID_S, EndpointDrainer
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import Wave
 
@@ -87,7 +87,7 @@
         self,
         kv: KeyValue,
         hosts: HostCalls,
-        emptying: Emptying,
+        emptying: EndpointDrainer,
         process: ProcessId,
         token: Revision,
         owner_key: str,
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -10,7 +10,15 @@
 from lentilrill.faults import Fault
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision, ZoneId
 from lentilrill.inner import PoolPressure, ReleaseAsk, ReleaseState, ReleaseTold
-from lentilrill.upkeep import Emptying, HostOrder, HostOrders, HostRow, HostState, Mover, Waves
+from lentilrill.upkeep import (
+    EndpointDrainer,
+    HostOrder,
+    HostOrders,
+    HostRow,
+    HostState,
+    Mover,
+    Waves,
+)
 from lentilrill.workloads import PoolEntry, Wave
 from tests.fakes import FakeKeyValue, lose_request
 
@@ -26,7 +34,7 @@
     """Fake of a pool's owner that answers each request at once while ``answers`` is set."""
 
     def __init__(self) -> None:
-        self.emptying: Emptying | None = None
+        self.emptying: EndpointDrainer | None = None
         self.answers = True
         self.asks: list[ReleaseAsk] = []
 
@@ -63,7 +71,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.peers = Peers()
-        self.emptying = Emptying(self.peers, lambda pool: "10.0.0.1:1")
+        self.emptying = EndpointDrainer(self.peers, lambda pool: "10.0.0.1:1")
         self.peers.emptying = self.emptying
 
     def test_endpoint_is_free_after_the_owner_reports_it(self) -> None:
@@ -98,7 +106,7 @@
     def owner(self, max_down: int = 1) -> Waves:
         token = Revision(self.kv.put("m/o/@fleet", b"owner"))
         peers = Peers()
-        emptying = Emptying(peers, lambda pool: "10.0.0.1:1")
+        emptying = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
         peers.emptying = emptying
         wave = Wave(1, tuple(self.names), 20.0, max_down)
         waves = Waves(
@@ -261,7 +269,7 @@
         self.need = 0.5
         self.orders_until_lease_end = 1000
         peers = Peers()
-        emptying = Emptying(peers, lambda pool: "10.0.0.1:1")
+        emptying = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
         peers.emptying = emptying
         self.rows = {HostId(f"n{n}"): a_row(f"n{n}") for n in range(2)} | {
             HostId(f"s{n}"): a_row(f"s{n}", STANDBY) for n in range(4)
