--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -39,14 +39,14 @@
         hosts: HostCalls,
         waves: Waves,
         mover: Mover,
-        emptying: EndpointDrainer,
+        drainer: EndpointDrainer,
         may_order: Callable[[], bool],
     ) -> None:
         super().__init__(name="fleet", daemon=True)
         self._hosts = hosts
         self._waves = waves
         self._mover = mover
-        self._emptying = emptying
+        self._drainer = drainer
         self._may_order = may_order
         self._closed = threading.Event()
         self._woken = threading.Event()
@@ -59,7 +59,7 @@
 
     def told(self, message: ReleaseTold) -> None:
         """Handle the answer of a pool's owner."""
-        self._emptying.on_release_told(message)
+        self._drainer.on_release_told(message)
         if message.state == ReleaseState.FREE:
             self.hurry()
 
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -43,7 +43,7 @@
     def __init__(
         self,
         hosts: HostCalls,
-        emptying: EndpointDrainer,
+        drainer: EndpointDrainer,
         process: ProcessId,
         token: Revision,
         pools: Callable[[], tuple[PoolEntry, ...]],
@@ -54,7 +54,7 @@
     ) -> None:
         self._hosts = hosts
         self._orders = orders
-        self._emptying = emptying
+        self._drainer = drainer
         self._process = process
         self._token = token
         self._pools = pools
@@ -215,7 +215,7 @@
             return False
         is_free, reason = True, ""
         if not is_in_standby:
-            is_free, reason = self._emptying.request_drain(move.source, move.host.endpoint)
+            is_free, reason = self._drainer.request_drain(move.source, move.host.endpoint)
         if not is_free and now - started_at > DRAIN_TIMEOUT_S:
             log(Event.HOST_WAITS, host=host, reason=reason, given_up=True)
             del self._started_by_host[host]
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -87,7 +87,7 @@
         self,
         kv: KeyValue,
         hosts: HostCalls,
-        emptying: EndpointDrainer,
+        drainer: EndpointDrainer,
         process: ProcessId,
         token: Revision,
         owner_key: str,
@@ -102,7 +102,7 @@
     ) -> None:
         self._kv = kv
         self._hosts = hosts
-        self._emptying = emptying
+        self._drainer = drainer
         self._process = process
         self._token = token
         self._owner_key = owner_key
@@ -320,7 +320,7 @@
     def _drain_host(self, host: HostId, state: _HostInWave, row: HostRow) -> bool:
         if not row.endpoint:
             return True
-        is_free, reason = self._emptying.request_drain(row.pool, row.endpoint)
+        is_free, reason = self._drainer.request_drain(row.pool, row.endpoint)
         if not is_free and reason != state.reason:
             state.reason = reason
             log(Event.HOST_WAITS, host=host, endpoint=row.endpoint, reason=reason)
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -34,14 +34,14 @@
     """Fake of a pool's owner that answers each request at once while ``answers`` is set."""
 
     def __init__(self) -> None:
-        self.emptying: EndpointDrainer | None = None
+        self.drainer: EndpointDrainer | None = None
         self.answers = True
         self.asks: list[ReleaseAsk] = []
 
     def send(self, address: str, message: Any) -> None:
         self.asks.append(message)
-        if self.answers and self.emptying is not None:
-            self.emptying.on_release_told(
+        if self.answers and self.drainer is not None:
+            self.drainer.on_release_told(
                 ReleaseTold(message.ask, message.endpoint, ReleaseState.FREE)
             )
 
@@ -67,16 +67,16 @@
         return self.answer
 
 
-class EmptyingTest(TestCase):
+class EndpointDrainerTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.peers = Peers()
-        self.emptying = EndpointDrainer(self.peers, lambda pool: "10.0.0.1:1")
-        self.peers.emptying = self.emptying
+        self.drainer = EndpointDrainer(self.peers, lambda pool: "10.0.0.1:1")
+        self.peers.drainer = self.drainer
 
     def test_endpoint_is_free_after_the_owner_reports_it(self) -> None:
-        self.assertFalse(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
-        self.assertTrue(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
+        self.assertFalse(self.drainer.request_drain(NOTICES, EndpointId("i-a"))[0])
+        self.assertTrue(self.drainer.request_drain(NOTICES, EndpointId("i-a"))[0])
 
     def test_an_answer_to_an_earlier_attempt_does_not_count(self) -> None:
         """Seven runs were lost with their host.
@@ -85,11 +85,11 @@
         that move arrived, and the next attempt accepted it as its own.
         """
         self.peers.answers = False
-        self.emptying.request_drain(NOTICES, EndpointId("i-a"))
-        self.emptying.request_drain(NOTICES, EndpointId("i-a"))
+        self.drainer.request_drain(NOTICES, EndpointId("i-a"))
+        self.drainer.request_drain(NOTICES, EndpointId("i-a"))
         late = ReleaseTold(self.peers.asks[0].ask, EndpointId("i-a"), ReleaseState.FREE)
-        self.emptying.on_release_told(late)
-        self.assertFalse(self.emptying.request_drain(NOTICES, EndpointId("i-a"))[0])
+        self.drainer.on_release_told(late)
+        self.assertFalse(self.drainer.request_drain(NOTICES, EndpointId("i-a"))[0])
 
 
 class WavesTest(TestCase):
@@ -106,13 +106,13 @@
     def owner(self, max_down: int = 1) -> Waves:
         token = Revision(self.kv.put("m/o/@fleet", b"owner"))
         peers = Peers()
-        emptying = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
-        peers.emptying = emptying
+        drainer = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
+        peers.drainer = drainer
         wave = Wave(1, tuple(self.names), 20.0, max_down)
         waves = Waves(
             self.kv,
             self.hosts,
-            emptying,
+            drainer,
             PROCESS,
             token,
             "m/o/@fleet",
@@ -269,14 +269,14 @@
         self.need = 0.5
         self.orders_until_lease_end = 1000
         peers = Peers()
-        emptying = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
-        peers.emptying = emptying
+        drainer = EndpointDrainer(peers, lambda pool: "10.0.0.1:1")
+        peers.drainer = drainer
         self.rows = {HostId(f"n{n}"): a_row(f"n{n}") for n in range(2)} | {
             HostId(f"s{n}"): a_row(f"s{n}", STANDBY) for n in range(4)
         }
         self.mover = Mover(
             self.hosts,
-            emptying,
+            drainer,
             PROCESS,
             Revision(5),
             lambda: (PoolEntry(NOTICES), PoolEntry(STANDBY, standby=True)),
