--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -356,4 +356,4 @@
     def _release_told(self, batch: Batch, message: ReleaseTold) -> None:
         del batch
         if self._fleet is not None:
-            self._fleet.told(message)
+            self._fleet.on_release_told(message)
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -57,7 +57,7 @@
         self._closed.set()
         self._woken.set()
 
-    def told(self, message: ReleaseTold) -> None:
+    def on_release_told(self, message: ReleaseTold) -> None:
         """Handle the answer of a pool's owner."""
         self._drainer.on_release_told(message)
         if message.state == ReleaseState.FREE:
