--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -351,7 +351,7 @@
 
     def _hurry_fleet(self) -> None:
         if self._fleet is not None:
-            self._fleet.hurry()
+            self._fleet.wake()
 
     def _release_told(self, batch: Batch, message: ReleaseTold) -> None:
         del batch
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -61,9 +61,9 @@
         """Handle the answer of a pool's owner."""
         self._drainer.on_release_told(message)
         if message.state == ReleaseState.FREE:
-            self.hurry()
+            self.wake()
 
-    def hurry(self) -> None:
+    def wake(self) -> None:
         """Start the next round early: a pool needs hosts, or a requested endpoint is free."""
         self._woken.set()
 
