--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -24,7 +24,7 @@
 from lentilrill.intake._doubts import Doubts
 from lentilrill.intake._group import LONGEST_S, Committed, GroupCommit
 from lentilrill.ownership import OwnerRecord
-from lentilrill.scheduling import Pressure, may_take, outage_retry_s, retry_after_s
+from lentilrill.scheduling import Pressure, can_accept, outage_retry_s, retry_after_s
 from lentilrill.store import KeyValue, Priority
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import Job, JobAnswer, JobProgress, JobState
@@ -102,7 +102,7 @@
         known = self._pressure_of(job.pool)
         pressure = Pressure(known.wait_s, known.late_wait_s) if known is not None else None
         # A job that may be stored is committed again, which tells, however busy its pool is.
-        if pressure is not None and not may_take(pressure) and job.id not in self._doubts:
+        if pressure is not None and not can_accept(pressure) and job.id not in self._doubts:
             return self._refuse(
                 job,
                 JobAnswer.OVERLOADED,
--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -3,7 +3,7 @@
 Pure computations without input or output; callers pass the current time.
 """
 
-from lentilrill.scheduling._admission import Pressure, may_take, outage_retry_s, retry_after_s
+from lentilrill.scheduling._admission import Pressure, can_accept, outage_retry_s, retry_after_s
 from lentilrill.scheduling._capacity import (
     SURPLUS_DELAY_S,
     MovableHost,
@@ -33,8 +33,8 @@
     "Pressure",
     "Standing",
     "SurgeTracker",
+    "can_accept",
     "hosts_due",
-    "may_take",
     "minimum_hosts",
     "next_pace",
     "outage_retry_s",
--- a/src/lentilrill/scheduling/_admission.py
+++ b/src/lentilrill/scheduling/_admission.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-__all__ = ["Pressure", "may_take", "outage_retry_s", "retry_after_s"]
+__all__ = ["Pressure", "can_accept", "outage_retry_s", "retry_after_s"]
 
 MAX_WAIT_S = 6.0
 """Expected wait above which a job that would miss its deadline is rejected. It is several times the
@@ -34,7 +34,7 @@
     late_s: float = 0.0
 
 
-def may_take(pressure: Pressure) -> bool:
+def can_accept(pressure: Pressure) -> bool:
     """Return whether a pool can accept one more job.
 
     Callers may submit several times the work that a pool can do, for longer than its latency
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -6,7 +6,7 @@
 from lentilrill.scheduling import (
     EndpointRoom,
     Pressure,
-    may_take,
+    can_accept,
     next_pace,
     place,
     retry_after_s,
@@ -87,8 +87,8 @@
 
 class AdmissionTest(TestCase):
     def test_work_beyond_the_pool_is_rejected_with_a_growing_retry_delay(self) -> None:
-        self.assertTrue(may_take(Pressure(1.0)))
-        self.assertFalse(may_take(Pressure(60.0)))
+        self.assertTrue(can_accept(Pressure(1.0)))
+        self.assertFalse(can_accept(Pressure(60.0)))
         self.assertLess(retry_after_s(Pressure(7.0)), retry_after_s(Pressure(12.0)))
 
     def test_overdue_work_does_not_block_jobs_that_can_be_on_time(self) -> None:
@@ -97,9 +97,9 @@
         The backlog was overdue and runs after jobs that can be on time, but was counted as if it
         ran before them.
         """
-        self.assertTrue(may_take(Pressure(0.5, 8.0)))
-        self.assertFalse(may_take(Pressure(3.0, 8.0)))
-        self.assertFalse(may_take(Pressure(0.5, 300.0)))
+        self.assertTrue(can_accept(Pressure(0.5, 8.0)))
+        self.assertFalse(can_accept(Pressure(3.0, 8.0)))
+        self.assertFalse(can_accept(Pressure(0.5, 300.0)))
 
 
 class PacingTest(TestCase):
