--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -7,7 +7,7 @@
 from lentilrill.execution._book import JobBook, StepBook
 from lentilrill.execution._link import EndpointLink
 from lentilrill.execution._need import LEAD_S, Durations, Offer
-from lentilrill.scheduling import Demand, HostShares, Standing, hosts_due
+from lentilrill.scheduling import Demand, HostShares, Standing, required_hosts
 from lentilrill.workloads import Resources
 
 __all__ = ["PoolDemand", "demand_of"]
@@ -65,13 +65,13 @@
         most = _sum(most, _open_share(book, one))
     served = max(lasting)
     present = sum(1 for link in links if link.reachable and link.registered) - served
-    due = hosts_due(demands)
-    firm = min(max(most), hosts_due(demands, present, LEAD_S))
+    due = required_hosts(demands)
+    firm = min(max(most), required_hosts(demands, present, LEAD_S))
     if offer.span_s > 0:
         coming = _shares(offer.needs_s, one)
         demands += _expected(coming, offer)
         most = _sum(most, _times(coming, offer.span_s / offer.within_s))
-    expected = min(max(most), hosts_due(demands, present, LEAD_S))
+    expected = min(max(most), required_hosts(demands, present, LEAD_S))
     return PoolDemand(served + firm, served + expected, due <= present)
 
 
--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -14,7 +14,7 @@
     pool_targets,
     target_hosts,
 )
-from lentilrill.scheduling._demand import Demand, HostShares, hosts_due
+from lentilrill.scheduling._demand import Demand, HostShares, required_hosts
 from lentilrill.scheduling._durations import DurationModel
 from lentilrill.scheduling._order import Standing, sort_key
 from lentilrill.scheduling._pacing import next_pace
@@ -34,13 +34,13 @@
     "Standing",
     "SurgeTracker",
     "can_accept",
-    "hosts_due",
     "minimum_hosts",
     "next_pace",
     "outage_retry_s",
     "place",
     "plan_moves",
     "pool_targets",
+    "required_hosts",
     "retry_after_s",
     "sort_key",
     "target_hosts",
--- a/src/lentilrill/scheduling/_demand.py
+++ b/src/lentilrill/scheduling/_demand.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ["Demand", "HostShares", "hosts_due"]
+__all__ = ["Demand", "HostShares", "required_hosts"]
 
 HostShares = tuple[float, float, float]
 """Shares of the processors, memory and accelerators of one host."""
@@ -32,7 +32,7 @@
         return min(1.0, max(0.0, (seconds - self.slack_s) / self.span_s))
 
 
-def hosts_due(demands: Iterable[Demand], present: float = 0.0, lead_s: float = 0.0) -> float:
+def required_hosts(demands: Iterable[Demand], present: float = 0.0, lead_s: float = 0.0) -> float:
     """Return the number of fully used hosts that finish all demands by their deadlines.
 
     This is the demand bound of earliest-deadline-first scheduling: the maximum, over all spans, of
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -13,9 +13,9 @@
     DurationModel,
     MovableHost,
     PoolNeed,
-    hosts_due,
     minimum_hosts,
     plan_moves,
+    required_hosts,
 )
 
 STANDBY = PoolId("standby")
@@ -173,12 +173,12 @@
         after the other.
         """
         plans = [Demand((6.0 * 2, 0.0, 0.0), 18.0, 2.0) for _ in range(5)]
-        self.assertLessEqual(hosts_due(plans), 5.0)
-        self.assertGreaterEqual(hosts_due(plans), 60 / 20 - 0.1)
+        self.assertLessEqual(required_hosts(plans), 5.0)
+        self.assertGreaterEqual(required_hosts(plans), 60 / 20 - 0.1)
 
     def test_work_without_slack_counts_in_full(self) -> None:
         plans = [Demand((2.0, 0.0, 0.0), 0.0, 2.0) for _ in range(5)]
-        self.assertAlmostEqual(5.0, hosts_due(plans))
+        self.assertAlmostEqual(5.0, required_hosts(plans))
 
     def test_hosts_still_to_be_added_work_for_a_part_of_the_span(self) -> None:
         """Jobs were late in each surge although all requested hosts arrived.
@@ -186,15 +186,15 @@
         The number of hosts was computed as if they were present when the jobs were submitted.
         """
         plans = [Demand((4.5, 0.0, 0.0), 2.5, 2.0) for _ in range(4)]
-        self.assertAlmostEqual(4.0, hosts_due(plans, present=1.0))
-        self.assertAlmostEqual(1 + 13.5 / 2.1, hosts_due(plans, present=1.0, lead_s=2.4))
-        self.assertAlmostEqual(4.0, hosts_due(plans, present=4.0, lead_s=2.4))
+        self.assertAlmostEqual(4.0, required_hosts(plans, present=1.0))
+        self.assertAlmostEqual(1 + 13.5 / 2.1, required_hosts(plans, present=1.0, lead_s=2.4))
+        self.assertAlmostEqual(4.0, required_hosts(plans, present=4.0, lead_s=2.4))
 
     def test_the_scarcest_resource_counts(self) -> None:
-        self.assertAlmostEqual(3.0, hosts_due([Demand((1.0, 3.0, 0.0), 0.0, 1.0)]))
+        self.assertAlmostEqual(3.0, required_hosts([Demand((1.0, 3.0, 0.0), 0.0, 1.0)]))
 
     def test_no_demand(self) -> None:
-        self.assertEqual(0.0, hosts_due([]))
+        self.assertEqual(0.0, required_hosts([]))
 
 
 class DurationModelTest(TestCase):
