--- a/src/lentilrill/execution/_idle.py
+++ b/src/lentilrill/execution/_idle.py
@@ -10,7 +10,7 @@
 from lentilrill.execution._link import EndpointLink
 from lentilrill.execution._planner import barrier
 from lentilrill.ids import EndpointId, PoolId
-from lentilrill.scheduling import EndpointRoom
+from lentilrill.scheduling import EndpointCapacity
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import TaskId
 
@@ -34,7 +34,7 @@
 
     now: float
     links: Mapping[EndpointId, EndpointLink]
-    rooms: Mapping[EndpointId, EndpointRoom]
+    rooms: Mapping[EndpointId, EndpointCapacity]
     blocked_before: int
     strays: set[TaskId]
 
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -9,7 +9,7 @@
 from lentilrill.execution._tickets import TicketOffice, Want
 from lentilrill.execution._waits import Cause
 from lentilrill.ids import EndpointId
-from lentilrill.scheduling import EndpointRoom, Standing, next_pace, place, sort_key
+from lentilrill.scheduling import EndpointCapacity, Standing, next_pace, place, sort_key
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import Queue, TaskId
 
@@ -39,14 +39,16 @@
         self._base = token * 1000
         self.feasible = True
 
-    def rooms(self, links: Iterable[EndpointLink], now: float) -> dict[EndpointId, EndpointRoom]:
+    def rooms(
+        self, links: Iterable[EndpointLink], now: float
+    ) -> dict[EndpointId, EndpointCapacity]:
         """Return the endpoints that may get new tasks, with their free room."""
         return {link.entry.id: _room(link) for link in links if barrier(link, now) is None}
 
     def starts(
         self,
         jobs: list[tuple[JobBook, Queue | None]],
-        rooms: dict[EndpointId, EndpointRoom],
+        rooms: dict[EndpointId, EndpointCapacity],
         now: float,
         blocked: bool,
         taken_over_at: int,
@@ -79,7 +81,7 @@
         return placed
 
     def _want_tickets(
-        self, ordered: list[tuple[JobBook, Queue | None]], rooms: dict[EndpointId, EndpointRoom]
+        self, ordered: list[tuple[JobBook, Queue | None]], rooms: dict[EndpointId, EndpointCapacity]
     ) -> None:
         """Say which steps need tickets: those with tasks that wait, then those that are next, so
         that the service has answered when their turn comes."""
@@ -95,8 +97,8 @@
         self._tickets.want([Want(step.id, endpoints) for step in [*first, *following]])
 
     def _with_ticket(
-        self, step: StepBook, rooms: dict[EndpointId, EndpointRoom]
-    ) -> dict[EndpointId, EndpointRoom]:
+        self, step: StepBook, rooms: dict[EndpointId, EndpointCapacity]
+    ) -> dict[EndpointId, EndpointCapacity]:
         return {
             endpoint: room
             for endpoint, room in rooms.items()
@@ -106,7 +108,7 @@
     def _place_step(
         self,
         step: StepBook,
-        rooms: dict[EndpointId, EndpointRoom],
+        rooms: dict[EndpointId, EndpointCapacity],
         now: float,
         strays: set[TaskId],
     ) -> list[tuple[EndpointId, Run]]:
@@ -131,7 +133,7 @@
         return placed
 
     def _place_gang(
-        self, step: StepBook, waiting: list[TaskBook], rooms: dict[EndpointId, EndpointRoom]
+        self, step: StepBook, waiting: list[TaskBook], rooms: dict[EndpointId, EndpointCapacity]
     ) -> list[tuple[EndpointId, Run]]:
         """Place all members at once, or none: a part of a gang waits in vain and blocks room."""
         if len(waiting) < len(step.tasks):
@@ -249,13 +251,13 @@
     return Cause.WORK
 
 
-def _room(link: EndpointLink) -> EndpointRoom:
+def _room(link: EndpointLink) -> EndpointCapacity:
     free = link.entry.room
     serving = 0
     for run in link.runs_by_key.values():
         free = free.minus(run.reserved)
         serving += run.task.step.spec.lasting or run.task.step.spec.filler
-    return EndpointRoom(
+    return EndpointCapacity(
         link.entry.id,
         link.entry.rack,
         link.entry.labels,
@@ -274,9 +276,9 @@
     return counts
 
 
-def _gang_rooms(step: StepBook, rooms: list[EndpointRoom]) -> list[EndpointRoom] | None:
+def _gang_rooms(step: StepBook, rooms: list[EndpointCapacity]) -> list[EndpointCapacity] | None:
     trial = {
-        room.id: EndpointRoom(
+        room.id: EndpointCapacity(
             room.id, room.rack, room.labels, room.free, room.runs, room.serving, room.probing
         )
         for room in rooms
--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -18,14 +18,14 @@
 from lentilrill.scheduling._durations import DurationModel
 from lentilrill.scheduling._order import Standing, sort_key
 from lentilrill.scheduling._pacing import next_pace
-from lentilrill.scheduling._placement import EndpointRoom, place
+from lentilrill.scheduling._placement import EndpointCapacity, place
 from lentilrill.scheduling._surges import SurgeTracker
 
 __all__ = [
     "SURPLUS_DELAY_S",
     "Demand",
     "DurationModel",
-    "EndpointRoom",
+    "EndpointCapacity",
     "HostShares",
     "MovableHost",
     "Move",
--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -5,13 +5,13 @@
 from lentilrill.ids import EndpointId, RackId
 from lentilrill.workloads import Resources, Step
 
-__all__ = ["EndpointRoom", "place"]
+__all__ = ["EndpointCapacity", "place"]
 
 PREFERRED_COLOCATION = 3
 """Long-running tasks to place on one endpoint before the next endpoint is preferred."""
 
 
-class EndpointRoom:
+class EndpointCapacity:
     """Free capacity of one endpoint during a planning round.
 
     :ivar runs: number of tasks on it that end by themselves.
@@ -48,10 +48,10 @@
 
 def place(
     step: Step,
-    rooms: Iterable[EndpointRoom],
+    rooms: Iterable[EndpointCapacity],
     on_endpoint: Callable[[EndpointId], int],
     avoid: set[EndpointId],
-) -> EndpointRoom | None:
+) -> EndpointCapacity | None:
     """Return the endpoint for one more task of ``step``, or ``None`` if no endpoint fits.
 
     A task is placed on the rack of its data if possible, and otherwise by best fit, which leaves
@@ -70,7 +70,7 @@
     """
     needs = step.reserved
     rooms = list(rooms)
-    best: EndpointRoom | None = None
+    best: EndpointCapacity | None = None
     best_cost: tuple[float, ...] = ()
     has_others = any(room.id not in avoid and _has_label(step, room) for room in rooms)
     is_long_running = step.lasting or step.filler
@@ -96,7 +96,7 @@
     return best
 
 
-def _has_label(step: Step, room: EndpointRoom) -> bool:
+def _has_label(step: Step, room: EndpointCapacity) -> bool:
     return not step.label or step.label in room.labels
 
 
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -4,7 +4,7 @@
 
 from lentilrill.ids import EndpointId, RackId
 from lentilrill.scheduling import (
-    EndpointRoom,
+    EndpointCapacity,
     Pressure,
     can_accept,
     next_pace,
@@ -16,14 +16,14 @@
 from tests.builders import a_standing, a_step
 
 
-def a_room(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointRoom:
-    return EndpointRoom(
+def a_room(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointCapacity:
+    return EndpointCapacity(
         EndpointId(name), RackId(rack), ("a", rack), Resources(cpu, 8000), **changes
     )
 
 
 class PlacementTest(TestCase):
-    def placed(self, rooms: list[EndpointRoom], *avoid: str, **step: object) -> str | None:
+    def placed(self, rooms: list[EndpointCapacity], *avoid: str, **step: object) -> str | None:
         names = {EndpointId(name) for name in avoid}
         room = place(a_step(1, **step), rooms, lambda endpoint: 0, names)
         return room.id if room is not None else None
