--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -127,7 +127,7 @@
             room = place(step.spec, rooms.values(), lambda e: counts.get(e, 0), task.failed_on)
             if room is None:
                 break
-            room.take(step.spec.reserved, serves=step.spec.lasting or step.spec.filler)
+            room.reserve(step.spec.reserved, serves=step.spec.lasting or step.spec.filler)
             counts[room.id] = counts.get(room.id, 0) + 1
             placed.append((room.id, self._run(task, room.id, self._number(task))))
         return placed
@@ -148,7 +148,7 @@
         number = self._number(step)
         placed = []
         for task, room in zip(waiting, chosen, strict=True):
-            room.take(step.spec.reserved, serves=False)
+            room.reserve(step.spec.reserved, serves=False)
             placed.append((room.id, self._run(task, room.id, number)))
         return placed
 
@@ -289,7 +289,7 @@
         room = place(step.spec, trial.values(), lambda e: counts.get(e, 0), set())
         if room is None:
             return None
-        room.take(step.spec.reserved, serves=False)
+        room.reserve(step.spec.reserved, serves=False)
         counts[room.id] = counts.get(room.id, 0) + 1
         chosen.append(next(r for r in rooms if r.id == room.id))
     return chosen
--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -39,7 +39,7 @@
         self.serving = serving
         self.probing = probing
 
-    def take(self, needs: Resources, *, serves: bool) -> None:
+    def reserve(self, needs: Resources, *, serves: bool) -> None:
         """Reserve capacity for a task placed on this endpoint."""
         self.free = self.free.minus(needs)
         self.runs += not serves
