--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -46,7 +46,7 @@
     :param offer: what is expected to be handed in soon.
     :param now: the monotonic clock.
     """
-    rooms = [link.entry.room for link in links if link.entry.room.cpu]
+    rooms = [link.entry.capacity for link in links if link.entry.capacity.cpu]
     if not rooms:
         # No host tells how large one is; the first one to come will.
         waits = any(step.waits for book, _ in jobs for step in book.open_steps())
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -252,7 +252,7 @@
 
 
 def _room(link: EndpointLink) -> EndpointCapacity:
-    free = link.entry.room
+    free = link.entry.capacity
     serving = 0
     for run in link.runs_by_key.values():
         free = free.minus(run.reserved)
--- a/src/lentilrill/execution/_pressure.py
+++ b/src/lentilrill/execution/_pressure.py
@@ -58,7 +58,7 @@
 
     :param now: the monotonic clock.
     """
-    cores = sum(link.entry.room.cpu for link in links if link.registered) / 1000
+    cores = sum(link.entry.capacity.cpu for link in links if link.registered) / 1000
     # Without a host there is no rate to tell a wait by; the fleet's owner sends some.
     rate = 1 / cores if cores else 0.0
     return PoolPressure(
--- a/src/lentilrill/workloads/_configuration.py
+++ b/src/lentilrill/workloads/_configuration.py
@@ -97,7 +97,7 @@
 class EndpointEntry(msgspec.Struct, frozen=True):
     """Record that an endpoint registers in the store.
 
-    :param room: total capacity for tasks.
+    :param capacity: total capacity for tasks.
     :param draining: whether it will leave soon and accepts no new tasks.
     :param host: host that it runs on; empty if not reported.
     :param started_ms: time of its last start, in milliseconds since the epoch; 0 if not reported.
@@ -108,7 +108,7 @@
     pool: PoolId
     address: str
     zone: ZoneId
-    room: Resources = Resources()
+    capacity: Resources = Resources()
     labels: tuple[str, ...] = ()
     draining: bool = False
     host: HostId = HostId("")
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -177,7 +177,7 @@
 
 def an_endpoint(name: str = "e1", **changes: Any) -> EndpointEntry:
     """Return an endpoint of the pool ``notices`` with room for four small tasks."""
-    values: dict[str, Any] = {"room": Resources(4000, 8000), "labels": ("a", "r1")}
+    values: dict[str, Any] = {"capacity": Resources(4000, 8000), "labels": ("a", "r1")}
     address, zone = f"10.0.0.1:{len(name)}", ZoneId("holyoke")
     return EndpointEntry(EndpointId(name), PoolId("notices"), address, zone, **(values | changes))
 
--- a/tests/execution/test_own_lateness.py
+++ b/tests/execution/test_own_lateness.py
@@ -106,7 +106,7 @@
         slow = SlowEndpoint()
         self.addCleanup(slow.turns.release, 100)
         pool.endpoints["e1"] = slow
-        pool.register(an_endpoint("e1", room=Resources(40_000, 80_000)))
+        pool.register(an_endpoint("e1", capacity=Resources(40_000, 80_000)))
         owner = pool.take_over()
         slow.turns.release()
         first, second = a_job("a", a_step(1, lasting=True)), a_job("b", a_step(ORDERS_AT_ONCE + 2))
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -308,7 +308,7 @@
 class NeedTest(BookCase):
     def test_late_work_asks_for_few_hosts(self) -> None:
         """Two pools wanted all hosts: one for work in time, one for a backlog that was late."""
-        one = self.link.entry.room
+        one = self.link.entry.capacity
         step = a_step(4, needs=Resources(one.cpu, 1), estimate_ms=800)
         book = self.add(step)
         in_time = self.demand([(book, a_standing(left_s=0.8, allowed_s=0.9))])
@@ -318,7 +318,7 @@
 
     def test_what_runs_counts_until_it_ends(self) -> None:
         """A pool's hosts went to others under tasks that had just begun, and new ones waited."""
-        one = self.link.entry.room
+        one = self.link.entry.capacity
         book = self.add(a_step(1, needs=Resources(one.cpu // 2, 1), estimate_ms=2000))
         run = self.run_of(book)
         run.began_at = 100.0
@@ -327,7 +327,7 @@
         self.assertAlmostEqual(0.5, self.demand(standings, now=101.0), delta=0.01)
 
     def test_lasting_tasks_count_always(self) -> None:
-        one = self.link.entry.room
+        one = self.link.entry.capacity
         book = self.add(a_step(4, needs=Resources(one.cpu // 4, 1), lasting=True))
         self.assertAlmostEqual(1.0, self.demand([(book, a_standing(lasts=True))]), delta=0.01)
 
@@ -340,14 +340,14 @@
 
     def test_a_job_asks_for_no_more_than_its_room(self) -> None:
         """One plan with little time left brought twenty hosts; it could run on two."""
-        one = self.link.entry.room
+        one = self.link.entry.capacity
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=4000))
         standing = a_standing(left_s=4.0, allowed_s=4.1)
         self.assertAlmostEqual(2.0, self.demand([(book, standing)]), delta=0.01)
 
     def test_whether_the_hosts_there_are_enough(self) -> None:
         """In overload the jobs with the least time left went first, and nearly all were late."""
-        one = self.link.entry.room
+        one = self.link.entry.capacity
         self.link.registered = True
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=1000))
         for allowed_s, feasible in ((1.1, False), (9.0, True)):
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -42,7 +42,7 @@
         entry = decode_endpoint("servers/i-1", encoded(ENTRY))
         assert entry is not None
         self.assertEqual(("i-1", "huvo11a", "r1-3"), (entry.id, entry.pool, entry.rack))
-        self.assertEqual(Resources(16000, 32768), entry.room)
+        self.assertEqual(Resources(16000, 32768), entry.capacity)
         self.assertFalse(entry.draining)
 
     def test_odd_entries_name_no_endpoint(self) -> None:
