--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -7,7 +7,7 @@
 from lentilrill.execution._book import JobBook, StepBook
 from lentilrill.execution._link import EndpointLink
 from lentilrill.execution._need import LEAD_S, Durations, Offer
-from lentilrill.scheduling import Demand, HostShares, Standing, required_hosts
+from lentilrill.scheduling import Demand, HostShares, JobTiming, required_hosts
 from lentilrill.workloads import Resources
 
 __all__ = ["PoolDemand", "demand_of"]
@@ -34,7 +34,7 @@
 
 
 def demand_of(
-    jobs: Iterable[tuple[JobBook, Standing]],
+    jobs: Iterable[tuple[JobBook, JobTiming]],
     links: list[EndpointLink],
     durations: Durations,
     offer: Offer,
@@ -108,7 +108,7 @@
 
 
 def _waiting(
-    book: JobBook, standing: Standing, one: Resources, durations: Durations
+    book: JobBook, standing: JobTiming, one: Resources, durations: Durations
 ) -> Iterable[Demand]:
     """Return what is yet to be started."""
     host_s = NOTHING
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -9,7 +9,7 @@
 from lentilrill.execution._tickets import TicketOffice, Want
 from lentilrill.execution._waits import Cause
 from lentilrill.ids import EndpointId
-from lentilrill.scheduling import EndpointCapacity, Standing, next_pace, place, sort_key
+from lentilrill.scheduling import EndpointCapacity, JobTiming, next_pace, place, sort_key
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import Queue, TaskId
 
@@ -161,12 +161,12 @@
         task.runs.append(run)
         return run
 
-    def standing(self, book: JobBook, queue: Queue | None, now: float) -> Standing:
+    def standing(self, book: JobBook, queue: Queue | None, now: float) -> JobTiming:
         """Return what a job's order depends on."""
         chain = self._durations.chain_of(book)
         stretch = queue.stretch if queue is not None else 1.0
         objective_ms = queue.objective_ms if queue is not None else 0
-        return Standing(
+        return JobTiming(
             queue.priority if queue is not None else 0,
             book.lasts,
             now - book.arrived_at,
--- a/src/lentilrill/execution/_pressure.py
+++ b/src/lentilrill/execution/_pressure.py
@@ -11,7 +11,7 @@
 from lentilrill.execution._need import idle_endpoints
 from lentilrill.ids import EndpointId, JobId, PoolId, QueueId
 from lentilrill.inner import PoolPressure
-from lentilrill.scheduling import Standing
+from lentilrill.scheduling import JobTiming
 from lentilrill.workloads import JobState
 
 __all__ = ["Backlog", "backlog_of", "pressure_of"]
@@ -30,7 +30,7 @@
     late_work: float = 0.0
 
 
-def backlog_of(jobs: Iterable[tuple[JobBook, Standing]]) -> Backlog:
+def backlog_of(jobs: Iterable[tuple[JobBook, JobTiming]]) -> Backlog:
     """Return what is left of jobs that are not final."""
     backlog = Backlog({}, set())
     for book, standing in jobs:
--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -16,7 +16,7 @@
 )
 from lentilrill.scheduling._demand import Demand, HostShares, required_hosts
 from lentilrill.scheduling._durations import DurationModel
-from lentilrill.scheduling._order import Standing, sort_key
+from lentilrill.scheduling._order import JobTiming, sort_key
 from lentilrill.scheduling._pacing import next_pace
 from lentilrill.scheduling._placement import EndpointCapacity, place
 from lentilrill.scheduling._surges import SurgeTracker
@@ -27,11 +27,11 @@
     "DurationModel",
     "EndpointCapacity",
     "HostShares",
+    "JobTiming",
     "MovableHost",
     "Move",
     "PoolNeed",
     "Pressure",
-    "Standing",
     "SurgeTracker",
     "can_accept",
     "minimum_hosts",
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-__all__ = ["Standing", "sort_key"]
+__all__ = ["JobTiming", "sort_key"]
 
 SLACK_FACTOR = 0.7
 """Share of a job's slack that the order relies on: expected durations are off by half, and a job
 whose tasks are shorter than expected also has an earlier deadline."""
 
 
-class Standing(msgspec.Struct, frozen=True):
+class JobTiming(msgspec.Struct, frozen=True):
     """Properties of a job that determine its place in the order.
 
     :param priority: priority of its queue; 0 is the highest.
@@ -38,7 +38,7 @@
         return SLACK_FACTOR * (self.allowed_s - self.left_s) - self.age_s
 
 
-def sort_key(standing: Standing, *, feasible: bool = False) -> tuple[int, int, float]:
+def sort_key(standing: JobTiming, *, feasible: bool = False) -> tuple[int, int, float]:
     """Return a key that sorts jobs in the order in which they are scheduled.
 
     During a surge a queue gets more work than its pool can do. In order of arrival all jobs would
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -26,7 +26,7 @@
 from lentilrill.inner import PoolPressure
 from lentilrill.membership import Member, Role
 from lentilrill.ownership import MemberRecord
-from lentilrill.scheduling import Standing
+from lentilrill.scheduling import JobTiming
 from lentilrill.settings import Document, Entitlement, InnerKeys, Plan, Pool
 from lentilrill.workloads import (
     Configuration,
@@ -191,7 +191,7 @@
     return Configuration(version, (queue,), (PoolEntry(PoolId("notices")),))
 
 
-def a_standing(**changes: Any) -> Standing:
+def a_standing(**changes: Any) -> JobTiming:
     """Return the standing of a job that can be in time, with a second of work left."""
     values: dict[str, Any] = {
         "priority": 0,
@@ -201,4 +201,4 @@
         "allowed_s": 2.0,
         "left_work": 1.0,
     }
-    return Standing(**(values | changes))
+    return JobTiming(**(values | changes))
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -17,7 +17,7 @@
 from lentilrill.execution._waits import Cause
 from lentilrill.ids import JobId, PoolId, Revision
 from lentilrill.inner import PoolPressure, ReleaseState
-from lentilrill.scheduling import Standing
+from lentilrill.scheduling import JobTiming
 from lentilrill.workloads import JobState, Resources, Step
 from tests.builders import a_job, a_standing, a_step, an_endpoint
 from tests.execution.fakes import FakeEndpoint
@@ -355,7 +355,7 @@
             asked = demand_of(jobs, [self.link], Durations(), Offer(), 0.0)
             self.assertEqual(feasible, asked.feasible)
 
-    def demand(self, standings: list[tuple[JobBook, Standing]], now: float = 0.0) -> float:
+    def demand(self, standings: list[tuple[JobBook, JobTiming]], now: float = 0.0) -> float:
         return demand_of(standings, [self.link], Durations(), Offer(), now).firm
 
     def test_what_late_jobs_run_can_be_taken_for_others(self) -> None:
@@ -399,7 +399,7 @@
 
     def pressure(
         self,
-        standings: list[tuple[JobBook, Standing]],
+        standings: list[tuple[JobBook, JobTiming]],
         need: float = 0.0,
         links: list[EndpointLink] | None = None,
     ) -> PoolPressure:
