--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -123,7 +123,7 @@
             starts_now = starts_now or _is_open(step, steps)
     if host_s == NOTHING:
         return
-    slack_s = max(0.0, standing.slack_s) if standing.in_time else LATE_SLACK_S
+    slack_s = max(0.0, standing.slack_s) if standing.can_meet_deadline else LATE_SLACK_S
     # What runs now goes on for about half of its time before the next step can begin.
     before_s = 0.0 if starts_now else durations.current_ms(book) / 2000
     span_s = max(SHORTEST_S, standing.left_s - 2 * before_s)
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -28,7 +28,7 @@
     left_work: float
 
     @property
-    def in_time(self) -> bool:
+    def can_meet_deadline(self) -> bool:
         """Whether the job can still meet its deadline, or has none."""
         return self.lasts or self.age_s + self.left_s <= self.allowed_s
 
@@ -54,6 +54,6 @@
     """
     if standing.lasts:
         return (0, 0, -standing.age_s)
-    if standing.in_time:
+    if standing.can_meet_deadline:
         return (1 + 2 * standing.priority, 0, standing.slack_s if feasible else standing.left_work)
     return (1 + 2 * standing.priority, 1, -standing.age_s)
