--- a/tests/builders.py
+++ b/tests/builders.py
@@ -198,7 +198,7 @@
         "lasts": False,
         "age_s": 0.0,
         "left_s": 1.0,
-        "allowed_s": 2.0,
+        "deadline_s": 2.0,
         "left_work": 1.0,
     }
     return JobTiming(**(values | changes))
