--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -126,7 +126,7 @@
     slack_s = max(0.0, standing.slack_s) if standing.can_meet_deadline else LATE_SLACK_S
     # What runs now goes on for about half of its time before the next step can begin.
     before_s = 0.0 if starts_now else durations.current_ms(book) / 2000
-    span_s = max(SHORTEST_S, standing.left_s - 2 * before_s)
+    span_s = max(SHORTEST_S, standing.remaining_s - 2 * before_s)
     yield Demand(host_s, slack_s + before_s, span_s)
 
 
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -15,7 +15,7 @@
     :param priority: priority of its queue; 0 is the highest.
     :param lasts: whether it runs until it is cancelled.
     :param age_s: seconds since it was accepted.
-    :param left_s: minimum seconds for the remaining steps of its critical path.
+    :param remaining_s: minimum seconds for the remaining steps of its critical path.
     :param deadline_s: deadline, in seconds after acceptance.
     :param left_work: remaining work in processor seconds.
     """
@@ -23,19 +23,19 @@
     priority: int
     lasts: bool
     age_s: float
-    left_s: float
+    remaining_s: float
     deadline_s: float
     left_work: float
 
     @property
     def can_meet_deadline(self) -> bool:
         """Whether the job can still meet its deadline, or has none."""
-        return self.lasts or self.age_s + self.left_s <= self.deadline_s
+        return self.lasts or self.age_s + self.remaining_s <= self.deadline_s
 
     @property
     def slack_s(self) -> float:
         """Seconds for which the job can still wait; negative if it will miss its deadline."""
-        return SLACK_FACTOR * (self.deadline_s - self.left_s) - self.age_s
+        return SLACK_FACTOR * (self.deadline_s - self.remaining_s) - self.age_s
 
 
 def sort_key(standing: JobTiming, *, feasible: bool = False) -> tuple[int, int, float]:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -197,7 +197,7 @@
         "priority": 0,
         "lasts": False,
         "age_s": 0.0,
-        "left_s": 1.0,
+        "remaining_s": 1.0,
         "deadline_s": 2.0,
         "left_work": 1.0,
     }
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -311,8 +311,8 @@
         one = self.link.entry.capacity
         step = a_step(4, needs=Resources(one.cpu, 1), estimate_ms=800)
         book = self.add(step)
-        in_time = self.demand([(book, a_standing(left_s=0.8, deadline_s=0.9))])
-        late = self.demand([(book, a_standing(left_s=0.8, deadline_s=0.9, age_s=5.0))])
+        in_time = self.demand([(book, a_standing(remaining_s=0.8, deadline_s=0.9))])
+        late = self.demand([(book, a_standing(remaining_s=0.8, deadline_s=0.9, age_s=5.0))])
         self.assertGreater(in_time, 2.0)
         self.assertLess(late, 1.3)
 
@@ -322,7 +322,7 @@
         book = self.add(a_step(1, needs=Resources(one.cpu // 2, 1), estimate_ms=2000))
         run = self.run_of(book)
         run.began_at = 100.0
-        standings = [(book, a_standing(left_s=2.0, deadline_s=20.0))]
+        standings = [(book, a_standing(remaining_s=2.0, deadline_s=20.0))]
         self.assertAlmostEqual(0.5, self.demand(standings, now=100.0), delta=0.01)
         self.assertAlmostEqual(0.5, self.demand(standings, now=101.0), delta=0.01)
 
@@ -342,7 +342,7 @@
         """One plan with little time left brought twenty hosts; it could run on two."""
         one = self.link.entry.capacity
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=4000))
-        standing = a_standing(left_s=4.0, deadline_s=4.1)
+        standing = a_standing(remaining_s=4.0, deadline_s=4.1)
         self.assertAlmostEqual(2.0, self.demand([(book, standing)]), delta=0.01)
 
     def test_whether_the_hosts_there_are_enough(self) -> None:
@@ -351,7 +351,7 @@
         self.link.registered = True
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=1000))
         for allowed_s, feasible in ((1.1, False), (9.0, True)):
-            jobs = [(book, a_standing(left_s=1.0, deadline_s=allowed_s))]
+            jobs = [(book, a_standing(remaining_s=1.0, deadline_s=allowed_s))]
             asked = demand_of(jobs, [self.link], Durations(), Offer(), 0.0)
             self.assertEqual(feasible, asked.feasible)
 
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -71,7 +71,7 @@
 
     def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
         """Without a surge large jobs were late, because small jobs with slack went first."""
-        tight, loose = a_standing(left_work=9.0, left_s=1.9), a_standing(left_work=1.0)
+        tight, loose = a_standing(left_work=9.0, remaining_s=1.9), a_standing(left_work=1.0)
         jobs = [loose, tight]
         self.assertEqual([tight, loose], sorted(jobs, key=lambda job: sort_key(job, feasible=True)))
         self.assertEqual([loose, tight], sorted(jobs, key=sort_key))
