--- a/src/lentilrill/execution/_pressure.py
+++ b/src/lentilrill/execution/_pressure.py
@@ -37,7 +37,7 @@
         queue = book.job.queue
         if book.state is JobState.QUEUED and not book.job.occurrences:
             backlog.waiting_by_queue[queue] = backlog.waiting_by_queue.get(queue, 0) + 1
-        work = 0.0 if book.lasts else standing.left_work
+        work = 0.0 if book.lasts else standing.remaining_work
         if standing.can_meet_deadline:
             backlog.work += work
         else:
--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -17,7 +17,7 @@
     :param age_s: seconds since it was accepted.
     :param remaining_s: minimum seconds for the remaining steps of its critical path.
     :param deadline_s: deadline, in seconds after acceptance.
-    :param left_work: remaining work in processor seconds.
+    :param remaining_work: remaining work in processor seconds.
     """
 
     priority: int
@@ -25,7 +25,7 @@
     age_s: float
     remaining_s: float
     deadline_s: float
-    left_work: float
+    remaining_work: float
 
     @property
     def can_meet_deadline(self) -> bool:
@@ -55,5 +55,9 @@
     if standing.lasts:
         return (0, 0, -standing.age_s)
     if standing.can_meet_deadline:
-        return (1 + 2 * standing.priority, 0, standing.slack_s if feasible else standing.left_work)
+        return (
+            1 + 2 * standing.priority,
+            0,
+            standing.slack_s if feasible else standing.remaining_work,
+        )
     return (1 + 2 * standing.priority, 1, -standing.age_s)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -199,6 +199,6 @@
         "age_s": 0.0,
         "remaining_s": 1.0,
         "deadline_s": 2.0,
-        "left_work": 1.0,
+        "remaining_work": 1.0,
     }
     return JobTiming(**(values | changes))
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -66,12 +66,14 @@
         Jobs that can meet their deadline go first, shortest first, before overdue jobs.
         """
         late = a_standing(age_s=5.0)
-        long, short = a_standing(left_work=9.0), a_standing(left_work=1.0)
+        long, short = a_standing(remaining_work=9.0), a_standing(remaining_work=1.0)
         self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
 
     def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
         """Without a surge large jobs were late, because small jobs with slack went first."""
-        tight, loose = a_standing(left_work=9.0, remaining_s=1.9), a_standing(left_work=1.0)
+        tight, loose = a_standing(remaining_work=9.0, remaining_s=1.9), a_standing(
+            remaining_work=1.0
+        )
         jobs = [loose, tight]
         self.assertEqual([tight, loose], sorted(jobs, key=lambda job: sort_key(job, feasible=True)))
         self.assertEqual([loose, tight], sorted(jobs, key=sort_key))
