--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -13,7 +13,7 @@
     """Properties of a job that determine its place in the order.
 
     :param priority: priority of its queue; 0 is the highest.
-    :param lasts: whether it runs until it is cancelled.
+    :param long_running: whether it runs until it is cancelled.
     :param age_s: seconds since it was accepted.
     :param remaining_s: minimum seconds for the remaining steps of its critical path.
     :param deadline_s: deadline, in seconds after acceptance.
@@ -21,7 +21,7 @@
     """
 
     priority: int
-    lasts: bool
+    long_running: bool
     age_s: float
     remaining_s: float
     deadline_s: float
@@ -30,7 +30,7 @@
     @property
     def can_meet_deadline(self) -> bool:
         """Whether the job can still meet its deadline, or has none."""
-        return self.lasts or self.age_s + self.remaining_s <= self.deadline_s
+        return self.long_running or self.age_s + self.remaining_s <= self.deadline_s
 
     @property
     def slack_s(self) -> float:
@@ -52,7 +52,7 @@
 
     :param feasible: whether all waiting jobs can meet their deadlines.
     """
-    if standing.lasts:
+    if standing.long_running:
         return (0, 0, -standing.age_s)
     if standing.can_meet_deadline:
         return (
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -195,7 +195,7 @@
     """Return the standing of a job that can be in time, with a second of work left."""
     values: dict[str, Any] = {
         "priority": 0,
-        "lasts": False,
+        "long_running": False,
         "age_s": 0.0,
         "remaining_s": 1.0,
         "deadline_s": 2.0,
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -329,7 +329,9 @@
     def test_lasting_tasks_count_always(self) -> None:
         one = self.link.entry.capacity
         book = self.add(a_step(4, needs=Resources(one.cpu // 4, 1), lasting=True))
-        self.assertAlmostEqual(1.0, self.demand([(book, a_standing(lasts=True))]), delta=0.01)
+        self.assertAlmostEqual(
+            1.0, self.demand([(book, a_standing(long_running=True))]), delta=0.01
+        )
 
     def test_a_pool_without_hosts_asks_for_one(self) -> None:
         """Its size is not known before it comes, and no size is assumed."""
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -83,7 +83,7 @@
         self.assertEqual([urgent, later], sorted([later, urgent], key=sort_key))
 
     def test_long_running_jobs_go_first(self) -> None:
-        lasting = a_standing(lasts=True, priority=1)
+        lasting = a_standing(long_running=True, priority=1)
         self.assertEqual([lasting, a_standing()], sorted([a_standing(), lasting], key=sort_key))
 
 
