--- a/tests/builders.py
+++ b/tests/builders.py
@@ -43,12 +43,12 @@
     "a_configuration",
     "a_document",
     "a_job",
+    "a_job_timing",
     "a_member",
     "a_member_record",
     "a_plan",
     "a_pool",
     "a_pressure",
-    "a_standing",
     "a_step",
     "an_address",
     "an_endpoint",
@@ -191,8 +191,8 @@
     return Configuration(version, (queue,), (PoolEntry(PoolId("notices")),))
 
 
-def a_standing(**changes: Any) -> JobTiming:
-    """Return the standing of a job that can be in time, with a second of work left."""
+def a_job_timing(**changes: Any) -> JobTiming:
+    """Return the timing of a job that can meet its deadline, with one second of remaining work."""
     values: dict[str, Any] = {
         "priority": 0,
         "long_running": False,
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -19,7 +19,7 @@
 from lentilrill.inner import PoolPressure, ReleaseState
 from lentilrill.scheduling import JobTiming
 from lentilrill.workloads import JobState, Resources, Step
-from tests.builders import a_job, a_standing, a_step, an_endpoint
+from tests.builders import a_job, a_job_timing, a_step, an_endpoint
 from tests.execution.fakes import FakeEndpoint
 
 TOKEN = 7
@@ -311,8 +311,8 @@
         one = self.link.entry.capacity
         step = a_step(4, needs=Resources(one.cpu, 1), estimate_ms=800)
         book = self.add(step)
-        in_time = self.demand([(book, a_standing(remaining_s=0.8, deadline_s=0.9))])
-        late = self.demand([(book, a_standing(remaining_s=0.8, deadline_s=0.9, age_s=5.0))])
+        in_time = self.demand([(book, a_job_timing(remaining_s=0.8, deadline_s=0.9))])
+        late = self.demand([(book, a_job_timing(remaining_s=0.8, deadline_s=0.9, age_s=5.0))])
         self.assertGreater(in_time, 2.0)
         self.assertLess(late, 1.3)
 
@@ -322,7 +322,7 @@
         book = self.add(a_step(1, needs=Resources(one.cpu // 2, 1), estimate_ms=2000))
         run = self.run_of(book)
         run.began_at = 100.0
-        standings = [(book, a_standing(remaining_s=2.0, deadline_s=20.0))]
+        standings = [(book, a_job_timing(remaining_s=2.0, deadline_s=20.0))]
         self.assertAlmostEqual(0.5, self.demand(standings, now=100.0), delta=0.01)
         self.assertAlmostEqual(0.5, self.demand(standings, now=101.0), delta=0.01)
 
@@ -330,13 +330,13 @@
         one = self.link.entry.capacity
         book = self.add(a_step(4, needs=Resources(one.cpu // 4, 1), lasting=True))
         self.assertAlmostEqual(
-            1.0, self.demand([(book, a_standing(long_running=True))]), delta=0.01
+            1.0, self.demand([(book, a_job_timing(long_running=True))]), delta=0.01
         )
 
     def test_a_pool_without_hosts_asks_for_one(self) -> None:
         """Its size is not known before it comes, and no size is assumed."""
         book = self.add(a_step(1))
-        asked = demand_of([(book, a_standing())], [], Durations(), Offer(), 0.0)
+        asked = demand_of([(book, a_job_timing())], [], Durations(), Offer(), 0.0)
         self.assertEqual(PoolDemand(1.0, 1.0), asked)
         self.assertEqual(PoolDemand(0.0, 0.0), demand_of([], [], Durations(), Offer(), 0.0))
 
@@ -344,7 +344,7 @@
         """One plan with little time left brought twenty hosts; it could run on two."""
         one = self.link.entry.capacity
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=4000))
-        standing = a_standing(remaining_s=4.0, deadline_s=4.1)
+        standing = a_job_timing(remaining_s=4.0, deadline_s=4.1)
         self.assertAlmostEqual(2.0, self.demand([(book, standing)]), delta=0.01)
 
     def test_whether_the_hosts_there_are_enough(self) -> None:
@@ -353,7 +353,7 @@
         self.link.registered = True
         book = self.add(a_step(2, needs=Resources(one.cpu, 1), estimate_ms=1000))
         for allowed_s, feasible in ((1.1, False), (9.0, True)):
-            jobs = [(book, a_standing(remaining_s=1.0, deadline_s=allowed_s))]
+            jobs = [(book, a_job_timing(remaining_s=1.0, deadline_s=allowed_s))]
             asked = demand_of(jobs, [self.link], Durations(), Offer(), 0.0)
             self.assertEqual(feasible, asked.feasible)
 
@@ -365,7 +365,7 @@
         late, timely = self.add(a_step(1), name="a"), self.add(a_step(1), name="b")
         self.run_of(late)
         self.link.registered = True
-        standings = [(late, a_standing(age_s=60.0)), (timely, a_standing(age_s=0.0))]
+        standings = [(late, a_job_timing(age_s=60.0)), (timely, a_job_timing(age_s=0.0))]
         said = self.pressure(standings)
         self.assertEqual((self.link.entry.id,), said.late)
         self.run_of(timely)
@@ -376,7 +376,7 @@
         self.link.registered = True
         book = self.add(a_step(1))
         self.run_of(book)
-        standings = [(book, a_standing())]
+        standings = [(book, a_job_timing())]
         self.assertEqual((self.link.entry.id,), self.pressure(standings, need=0.0).light)
         self.assertEqual((), self.pressure(standings, need=0.2).light)
 
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -13,7 +13,7 @@
     sort_key,
 )
 from lentilrill.workloads import Resources
-from tests.builders import a_standing, a_step
+from tests.builders import a_job_timing, a_step
 
 
 def a_room(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointCapacity:
@@ -65,13 +65,13 @@
 
         Jobs that can meet their deadline go first, shortest first, before overdue jobs.
         """
-        late = a_standing(age_s=5.0)
-        long, short = a_standing(remaining_work=9.0), a_standing(remaining_work=1.0)
+        late = a_job_timing(age_s=5.0)
+        long, short = a_job_timing(remaining_work=9.0), a_job_timing(remaining_work=1.0)
         self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
 
     def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
         """Without a surge large jobs were late, because small jobs with slack went first."""
-        tight, loose = a_standing(remaining_work=9.0, remaining_s=1.9), a_standing(
+        tight, loose = a_job_timing(remaining_work=9.0, remaining_s=1.9), a_job_timing(
             remaining_work=1.0
         )
         jobs = [loose, tight]
@@ -79,12 +79,12 @@
         self.assertEqual([loose, tight], sorted(jobs, key=sort_key))
 
     def test_urgent_queues_go_first(self) -> None:
-        urgent, later = a_standing(age_s=9.0), a_standing(priority=1)
+        urgent, later = a_job_timing(age_s=9.0), a_job_timing(priority=1)
         self.assertEqual([urgent, later], sorted([later, urgent], key=sort_key))
 
     def test_long_running_jobs_go_first(self) -> None:
-        lasting = a_standing(long_running=True, priority=1)
-        self.assertEqual([lasting, a_standing()], sorted([a_standing(), lasting], key=sort_key))
+        lasting = a_job_timing(long_running=True, priority=1)
+        self.assertEqual([lasting, a_job_timing()], sorted([a_job_timing(), lasting], key=sort_key))
 
 
 class AdmissionTest(TestCase):
