--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -108,7 +108,7 @@
                 JobAnswer.OVERLOADED,
                 retry_after_s(pressure),
                 wait_s=pressure.wait_s,
-                late_s=pressure.late_s,
+                late_s=pressure.overdue_s,
                 token=known.token if known is not None else 0,
             )
         silent_s = self._silent_s()
--- a/src/lentilrill/scheduling/_admission.py
+++ b/src/lentilrill/scheduling/_admission.py
@@ -26,12 +26,12 @@
     """Backlog of a pool.
 
     :param wait_s: seconds that the whole pool needs for the work that runs before a new job.
-    :param late_s: seconds that it needs for jobs that can no longer meet their deadline, which run
-        after the new job.
+    :param overdue_s: seconds that it needs for jobs that can no longer meet their deadline, which
+        run after the new job.
     """
 
     wait_s: float
-    late_s: float = 0.0
+    overdue_s: float = 0.0
 
 
 def can_accept(pressure: Pressure) -> bool:
@@ -44,13 +44,13 @@
     time.
     """
     if pressure.wait_s <= MAX_ON_TIME_WAIT_S:
-        return pressure.late_s <= MAX_OVERDUE_S
-    return pressure.wait_s + pressure.late_s <= MAX_WAIT_S
+        return pressure.overdue_s <= MAX_OVERDUE_S
+    return pressure.wait_s + pressure.overdue_s <= MAX_WAIT_S
 
 
 def retry_after_s(pressure: Pressure) -> float:
     """Return the seconds after which the pool will have room for a rejected caller."""
-    excess_s = pressure.wait_s + pressure.late_s - MAX_WAIT_S / 2
+    excess_s = pressure.wait_s + pressure.overdue_s - MAX_WAIT_S / 2
     return min(MAX_RETRY_S, max(MIN_RETRY_S, excess_s))
 
 
