--- a/src/lentilrill/scheduling/_order.py
+++ b/src/lentilrill/scheduling/_order.py
@@ -38,7 +38,7 @@
         return SLACK_FACTOR * (self.deadline_s - self.remaining_s) - self.age_s
 
 
-def sort_key(standing: JobTiming, *, feasible: bool = False) -> tuple[int, int, float]:
+def sort_key(timing: JobTiming, *, feasible: bool = False) -> tuple[int, int, float]:
     """Return a key that sorts jobs in the order in which they are scheduled.
 
     During a surge a queue gets more work than its pool can do. In order of arrival all jobs would
@@ -52,12 +52,12 @@
 
     :param feasible: whether all waiting jobs can meet their deadlines.
     """
-    if standing.long_running:
-        return (0, 0, -standing.age_s)
-    if standing.can_meet_deadline:
+    if timing.long_running:
+        return (0, 0, -timing.age_s)
+    if timing.can_meet_deadline:
         return (
-            1 + 2 * standing.priority,
+            1 + 2 * timing.priority,
             0,
-            standing.slack_s if feasible else standing.remaining_work,
+            timing.slack_s if feasible else timing.remaining_work,
         )
-    return (1 + 2 * standing.priority, 1, -standing.age_s)
+    return (1 + 2 * timing.priority, 1, -timing.age_s)
