--- a/src/lentilrill/platform/_hosts.py
+++ b/src/lentilrill/platform/_hosts.py
@@ -7,14 +7,18 @@
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, ZoneId
 from lentilrill.platform._endpoint_wire import decode_clock
 from lentilrill.store import ODD, Effect, Transport
-from lentilrill.upkeep import HostOrder, HostRow, HostState
+from lentilrill.upkeep import HostOrderResult, HostRow, HostState
 
 __all__ = ["PlatformHosts"]
 
 CALL_S = 1.0
 OK = 200
 STATE_BY_WORD = {state.value: state for state in HostState}
-ORDER_BY_REASON = {"fence": HostOrder.FENCED, "busy": HostOrder.BUSY, "wave": HostOrder.REFUSED}
+ORDER_BY_REASON = {
+    "fence": HostOrderResult.FENCED,
+    "busy": HostOrderResult.BUSY,
+    "wave": HostOrderResult.REFUSED,
+}
 
 
 class _Host(msgspec.Struct):
@@ -73,17 +77,17 @@
                 return Success(tuple(rows))
             token = page.next_token
 
-    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrder:
+    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrderResult:
         """Move a host into another pool."""
         return self._order("/machine-move", {"machine": host, "pool": pool}, holder, token)
 
-    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
+    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrderResult:
         """Send a host into upkeep."""
         return self._order("/machine-upkeep", {"machine": host, "wave": wave}, holder, token)
 
     def _order(
         self, path: str, body: dict[str, object], holder: ProcessId, token: int
-    ) -> HostOrder:
+    ) -> HostOrderResult:
         headers = {"Lease-Holder": str(holder), "Fencing-Token": str(token)}
         transport = Transport((self._address,), headers=headers)
         answered = transport.answer(
@@ -92,12 +96,12 @@
         transport.close()
         if isinstance(answered, Failure):
             unsent = answered.failure().kind is FaultKind.UNAVAILABLE
-            return HostOrder.LATER if unsent else HostOrder.UNKNOWN
+            return HostOrderResult.LATER if unsent else HostOrderResult.UNKNOWN
         status, data, _ = answered.unwrap()
         if status == OK:
-            return HostOrder.DONE
+            return HostOrderResult.DONE
         if status == 409:
-            return ORDER_BY_REASON.get(decode_clock(data).reason, HostOrder.REFUSED)
+            return ORDER_BY_REASON.get(decode_clock(data).reason, HostOrderResult.REFUSED)
         if status in (429, 503):
-            return HostOrder.LATER
-        return HostOrder.REFUSED if 400 <= status < 500 else HostOrder.UNKNOWN
+            return HostOrderResult.LATER
+        return HostOrderResult.REFUSED if 400 <= status < 500 else HostOrderResult.UNKNOWN
--- a/src/lentilrill/upkeep/__init__.py
+++ b/src/lentilrill/upkeep/__init__.py
@@ -1,6 +1,6 @@
 """Orders to hosts: waves of upkeep, and moves of hosts between pools."""
 
-from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
+from lentilrill.upkeep._contract import HostCalls, HostOrderResult, HostRow, HostState
 from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._fleet import FLEET, FleetOwner
 from lentilrill.upkeep._moves import Mover
@@ -12,7 +12,7 @@
     "EndpointDrainer",
     "FleetOwner",
     "HostCalls",
-    "HostOrder",
+    "HostOrderResult",
     "HostOrders",
     "HostRow",
     "HostState",
--- a/src/lentilrill/upkeep/_contract.py
+++ b/src/lentilrill/upkeep/_contract.py
@@ -9,7 +9,7 @@
 from lentilrill.faults import Fault
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, ZoneId
 
-__all__ = ["HostCalls", "HostOrder", "HostRow", "HostState"]
+__all__ = ["HostCalls", "HostOrderResult", "HostRow", "HostState"]
 
 
 class HostState(Enum):
@@ -34,7 +34,7 @@
     endpoint: EndpointId = EndpointId("")
 
 
-class HostOrder(Enum):
+class HostOrderResult(Enum):
     """Result of an order to a host."""
 
     DONE = "done"
@@ -55,8 +55,8 @@
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
         """Return the whole list of hosts."""
 
-    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrder:
+    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrderResult:
         """Move a host to another pool; everything on it ends at once."""
 
-    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
+    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrderResult:
         """Start the upkeep of a host; everything on it ends at once."""
--- a/src/lentilrill/upkeep/_moves.py
+++ b/src/lentilrill/upkeep/_moves.py
@@ -18,7 +18,7 @@
     target_hosts,
 )
 from lentilrill.telemetry import Event, log
-from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
+from lentilrill.upkeep._contract import HostCalls, HostOrderResult, HostRow, HostState
 from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import PoolEntry
@@ -221,13 +221,13 @@
             del self._started_by_host[host]
         return is_free
 
-    def _send_order(self, move: Move) -> HostOrder | None:
+    def _send_order(self, move: Move) -> HostOrderResult | None:
         # On a slow entry host a round takes long: the lease may have ended since it began.
         if not self._may_order():
             return None
         return self._hosts.move(move.host.id, move.target, self._process, int(self._token))
 
-    def _on_order_answer(self, move: Move, answer: HostOrder) -> None:
+    def _on_order_answer(self, move: Move, answer: HostOrderResult) -> None:
         host = move.host.id
         log(
             Event.HOST_ORDERED,
@@ -236,9 +236,9 @@
             target=move.target,
             answer=answer.value,
         )
-        if answer is HostOrder.FENCED:
+        if answer is HostOrderResult.FENCED:
             self._on_fenced(f"host {host} has accepted a newer owner of the fleet")
-        if answer not in (HostOrder.LATER, HostOrder.UNKNOWN):
+        if answer not in (HostOrderResult.LATER, HostOrderResult.UNKNOWN):
             del self._started_by_host[host]
 
 
--- a/src/lentilrill/upkeep/_orders.py
+++ b/src/lentilrill/upkeep/_orders.py
@@ -6,7 +6,7 @@
 from typing import TypeVar
 
 from lentilrill.routing import TokenBucket
-from lentilrill.upkeep._contract import HostOrder
+from lentilrill.upkeep._contract import HostOrderResult
 
 __all__ = ["HostOrders"]
 
@@ -43,8 +43,8 @@
         )
 
     def send(
-        self, targets: Sequence[T], order: Callable[[T], HostOrder | None]
-    ) -> list[tuple[T, HostOrder]]:
+        self, targets: Sequence[T], order: Callable[[T], HostOrderResult | None]
+    ) -> list[tuple[T, HostOrderResult]]:
         """Send orders to as many targets as the rate limit allows; return those with their results.
 
         The remaining targets are left to a later round.
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -11,7 +11,7 @@
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision
 from lentilrill.store import Compare, FencedRecord, KeyValue, Written
 from lentilrill.telemetry import Dependency, Event, log
-from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
+from lentilrill.upkeep._contract import HostCalls, HostOrderResult, HostRow, HostState
 from lentilrill.upkeep._draining import ANSWER_VALID_S, EndpointDrainer
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import Wave
@@ -328,7 +328,7 @@
 
     def _send_order(
         self, wave: Wave, host: HostId, state: _HostInWave, requested_at: float
-    ) -> HostOrder | None:
+    ) -> HostOrderResult | None:
         if not self._may_order():
             return None
         if state.endpoint and self._clock() - requested_at > ANSWER_VALID_S:
@@ -336,15 +336,15 @@
         return self._hosts.upkeep(host, wave.number, self._process, int(self._token))
 
     def _on_order_answer(
-        self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrder
+        self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrderResult
     ) -> None:
         log(Event.HOST_ORDERED, host=host, wave=wave.number, answer=answer.value)
-        state.confirmed = answer is HostOrder.DONE
-        if answer is HostOrder.FENCED:
+        state.confirmed = answer is HostOrderResult.DONE
+        if answer is HostOrderResult.FENCED:
             self._on_fenced(f"host {host} has accepted a newer owner of the fleet")
-        elif answer is HostOrder.REFUSED:
+        elif answer is HostOrderResult.REFUSED:
             self._finish_host(wave, host, state, "refused")
-        elif answer in (HostOrder.BUSY, HostOrder.LATER):
+        elif answer in (HostOrderResult.BUSY, HostOrderResult.LATER):
             state.stage = Stage.DRAINING
 
     def _store(self, wave: Wave, hosts: dict[HostId, _HostInWave]) -> bool:
--- a/tests/upkeep/test_orders.py
+++ b/tests/upkeep/test_orders.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from lentilrill.upkeep import HostOrder, HostOrders
+from lentilrill.upkeep import HostOrderResult, HostOrders
 
 TIMEOUT_S = 10.0
 RATE_PER_S = 50.0
@@ -16,20 +16,20 @@
         self.now = 100.0
         self.sent: list[int] = []
 
-    def order(self, host: int) -> HostOrder:
+    def order(self, host: int) -> HostOrderResult:
         self.sent.append(host)
-        return HostOrder.DONE
+        return HostOrderResult.DONE
 
     def test_orders_are_sent_concurrently(self) -> None:
         """Hosts arrived seconds late for a surge, because orders were sent one after the other."""
         together = threading.Barrier(4)
 
-        def order(host: int) -> HostOrder:
+        def order(host: int) -> HostOrderResult:
             together.wait(TIMEOUT_S)
             return self.order(host)
 
         answers = HostOrders(1000.0).send(range(4), order)
-        self.assertEqual([(host, HostOrder.DONE) for host in range(4)], answers)
+        self.assertEqual([(host, HostOrderResult.DONE) for host in range(4)], answers)
 
     def test_no_second_exceeds_the_rate_limit(self) -> None:
         """The platform rejected orders beyond its rate limit, and each rejected call has a cost."""
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -12,7 +12,7 @@
 from lentilrill.inner import PoolPressure, ReleaseAsk, ReleaseState, ReleaseTold
 from lentilrill.upkeep import (
     EndpointDrainer,
-    HostOrder,
+    HostOrderResult,
     HostOrders,
     HostRow,
     HostState,
@@ -50,18 +50,18 @@
     """Fake of the platform's list of hosts that records orders."""
 
     def __init__(self) -> None:
-        self.answer = HostOrder.DONE
+        self.answer = HostOrderResult.DONE
         self.orders: list[tuple[str, str]] = []
         self.on_order: Callable[[], None] = lambda: None
 
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
         return Success(())
 
-    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrder:
+    def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrderResult:
         self.orders.append((host, pool))
         return self.answer
 
-    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
+    def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrderResult:
         self.orders.append((host, "upkeep"))
         self.on_order()
         return self.answer
@@ -191,7 +191,7 @@
         self.assertEqual({name for name, _ in self.hosts.orders}, set(self.names))
 
     def test_a_host_whose_order_was_lost_is_ordered_again(self) -> None:
-        self.hosts.answer = HostOrder.UNKNOWN
+        self.hosts.answer = HostOrderResult.UNKNOWN
         self.run_rounds(self.owner(), 30)
         self.assertGreater(len(self.hosts.orders), 2)
         self.assertEqual(b"running", self.kv.items_by_key["status/wave/1"].value)
@@ -203,7 +203,7 @@
         After a few rounds, half a second later, the order counted as lost although it was still in
         transit. Its host no longer counted as down, and another one was ordered.
         """
-        self.hosts.answer = HostOrder.UNKNOWN
+        self.hosts.answer = HostOrderResult.UNKNOWN
         waves = self.owner()
         self.run_rounds(waves, 2)
         self.run_rounds(waves, 20, step_s=0.0)
@@ -336,7 +336,7 @@
 
     def test_an_order_that_is_refused_is_not_repeated(self) -> None:
         self.need = 3.5
-        self.hosts.answer = HostOrder.BUSY
+        self.hosts.answer = HostOrderResult.BUSY
         began = time.monotonic()
         self.mover.run_round(self.rows, set())
         self.assertLess(time.monotonic() - began, 5.0)
