--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -48,7 +48,7 @@
 
 def place(
     step: Step,
-    rooms: Iterable[EndpointCapacity],
+    endpoints: Iterable[EndpointCapacity],
     on_endpoint: Callable[[EndpointId], int],
     avoid: set[EndpointId],
 ) -> EndpointCapacity | None:
@@ -69,35 +69,39 @@
     :param avoid: endpoints where the task failed before.
     """
     needs = step.reserved
-    rooms = list(rooms)
+    endpoints = list(endpoints)
     best: EndpointCapacity | None = None
     best_cost: tuple[float, ...] = ()
-    has_others = any(room.id not in avoid and _has_label(step, room) for room in rooms)
+    has_others = any(
+        endpoint.id not in avoid and _has_label(step, endpoint) for endpoint in endpoints
+    )
     is_long_running = step.lasting or step.filler
-    for room in rooms:
-        if not needs.fits(room.free) or (room.probing and room.runs and not is_long_running):
+    for endpoint in endpoints:
+        if not needs.fits(endpoint.free) or (
+            endpoint.probing and endpoint.runs and not is_long_running
+        ):
             continue
-        if not _has_label(step, room):
+        if not _has_label(step, endpoint):
             continue
-        if has_others and avoid and (room.id in avoid or room.probing):
+        if has_others and avoid and (endpoint.id in avoid or endpoint.probing):
             continue
-        if step.most_per_endpoint and on_endpoint(room.id) >= step.most_per_endpoint:
+        if step.most_per_endpoint and on_endpoint(endpoint.id) >= step.most_per_endpoint:
             continue
-        is_remote = bool(step.near) and room.rack != step.near
-        left_cpu = room.free.cpu - needs.cpu
+        is_remote = bool(step.near) and endpoint.rack != step.near
+        left_cpu = endpoint.free.cpu - needs.cpu
         cost = (
             float(is_remote),
-            float(room.probing),
-            _colocation_cost(room.serving) if is_long_running else 0.0,
+            float(endpoint.probing),
+            _colocation_cost(endpoint.serving) if is_long_running else 0.0,
             float(left_cpu),
         )
         if best is None or cost < best_cost:
-            best, best_cost = room, cost
+            best, best_cost = endpoint, cost
     return best
 
 
-def _has_label(step: Step, room: EndpointCapacity) -> bool:
-    return not step.label or step.label in room.labels
+def _has_label(step: Step, endpoint: EndpointCapacity) -> bool:
+    return not step.label or step.label in endpoint.labels
 
 
 def _colocation_cost(serving: int) -> float:
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -16,27 +16,27 @@
 from tests.builders import a_job_timing, a_step
 
 
-def a_room(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointCapacity:
+def a_capacity(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointCapacity:
     return EndpointCapacity(
         EndpointId(name), RackId(rack), ("a", rack), Resources(cpu, 8000), **changes
     )
 
 
 class PlacementTest(TestCase):
-    def placed(self, rooms: list[EndpointCapacity], *avoid: str, **step: object) -> str | None:
+    def placed(self, endpoints: list[EndpointCapacity], *avoid: str, **step: object) -> str | None:
         names = {EndpointId(name) for name in avoid}
-        room = place(a_step(1, **step), rooms, lambda endpoint: 0, names)
-        return room.id if room is not None else None
+        placed_on = place(a_step(1, **step), endpoints, lambda endpoint: 0, names)
+        return placed_on.id if placed_on is not None else None
 
     def test_best_fit_leaves_whole_endpoints(self) -> None:
-        self.assertEqual("b", self.placed([a_room("a", 4000), a_room("b", 1500)]))
+        self.assertEqual("b", self.placed([a_capacity("a", 4000), a_capacity("b", 1500)]))
 
     def test_no_room(self) -> None:
-        self.assertIsNone(self.placed([a_room("a", 500)]))
+        self.assertIsNone(self.placed([a_capacity("a", 500)]))
 
     def test_near_its_data_first(self) -> None:
-        rooms = [a_room("a", 1000), a_room("b", 4000, "r2")]
-        self.assertEqual("b", self.placed(rooms, near=RackId("r2")))
+        endpoints = [a_capacity("a", 1000), a_capacity("b", 4000, "r2")]
+        self.assertEqual("b", self.placed(endpoints, near=RackId("r2")))
 
     def test_a_failed_task_avoids_the_endpoint_where_it_failed(self) -> None:
         """Thirteen jobs used up their attempts on one endpoint that failed every task.
@@ -44,19 +44,19 @@
         It was always free while the others were full, so each task was placed there again. A
         failed task must wait for another endpoint, unless there is none.
         """
-        self.assertEqual("b", self.placed([a_room("a", 1000), a_room("b")], "a"))
-        self.assertIsNone(self.placed([a_room("a", 1000), a_room("b", 0)], "a"))
-        self.assertIsNone(self.placed([a_room("a", 0), a_room("b", probing=True)], "a"))
-        self.assertEqual("a", self.placed([a_room("a", 1000)], "a"))
+        self.assertEqual("b", self.placed([a_capacity("a", 1000), a_capacity("b")], "a"))
+        self.assertIsNone(self.placed([a_capacity("a", 1000), a_capacity("b", 0)], "a"))
+        self.assertIsNone(self.placed([a_capacity("a", 0), a_capacity("b", probing=True)], "a"))
+        self.assertEqual("a", self.placed([a_capacity("a", 1000)], "a"))
 
     def test_label(self) -> None:
-        self.assertIsNone(self.placed([a_room("a")], label="gpu"))
+        self.assertIsNone(self.placed([a_capacity("a")], label="gpu"))
 
     def test_an_unhealthy_endpoint_gets_one_task_at_a_time(self) -> None:
         """Every job of a queue used up its attempts on an endpoint that failed every task and was
         therefore always free for the next one."""
-        self.assertIsNone(self.placed([a_room("a", probing=True, runs=1)]))
-        self.assertEqual("b", self.placed([a_room("a", probing=True), a_room("b")]))
+        self.assertIsNone(self.placed([a_capacity("a", probing=True, runs=1)]))
+        self.assertEqual("b", self.placed([a_capacity("a", probing=True), a_capacity("b")]))
 
 
 class OrderTest(TestCase):
