--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -7,7 +7,7 @@
 from lentilrill.execution._book import JobBook, StepBook
 from lentilrill.execution._link import EndpointLink
 from lentilrill.execution._need import LEAD_S, Durations, Offer
-from lentilrill.scheduling import Demand, HostShares, Standing, hosts_due
+from lentilrill.scheduling import Demand, HostShares, JobTiming, required_hosts
 from lentilrill.workloads import Resources
 
 __all__ = ["PoolDemand", "demand_of"]
@@ -34,7 +34,7 @@
 
 
 def demand_of(
-    jobs: Iterable[tuple[JobBook, Standing]],
+    jobs: Iterable[tuple[JobBook, JobTiming]],
     links: list[EndpointLink],
     durations: Durations,
     offer: Offer,
@@ -46,7 +46,7 @@
     :param offer: what is expected to be handed in soon.
     :param now: the monotonic clock.
     """
-    rooms = [link.entry.room for link in links if link.entry.room.cpu]
+    rooms = [link.entry.capacity for link in links if link.entry.capacity.cpu]
     if not rooms:
         # No host tells how large one is; the first one to come will.
         waits = any(step.waits for book, _ in jobs for step in book.open_steps())
@@ -65,13 +65,13 @@
         most = _sum(most, _open_share(book, one))
     served = max(lasting)
     present = sum(1 for link in links if link.reachable and link.registered) - served
-    due = hosts_due(demands)
-    firm = min(max(most), hosts_due(demands, present, LEAD_S))
+    due = required_hosts(demands)
+    firm = min(max(most), required_hosts(demands, present, LEAD_S))
     if offer.span_s > 0:
         coming = _shares(offer.needs_s, one)
         demands += _expected(coming, offer)
         most = _sum(most, _times(coming, offer.span_s / offer.within_s))
-    expected = min(max(most), hosts_due(demands, present, LEAD_S))
+    expected = min(max(most), required_hosts(demands, present, LEAD_S))
     return PoolDemand(served + firm, served + expected, due <= present)
 
 
@@ -108,7 +108,7 @@
 
 
 def _waiting(
-    book: JobBook, standing: Standing, one: Resources, durations: Durations
+    book: JobBook, standing: JobTiming, one: Resources, durations: Durations
 ) -> Iterable[Demand]:
     """Return what is yet to be started."""
     host_s = NOTHING
@@ -123,10 +123,10 @@
             starts_now = starts_now or _is_open(step, steps)
     if host_s == NOTHING:
         return
-    slack_s = max(0.0, standing.slack_s) if standing.in_time else LATE_SLACK_S
+    slack_s = max(0.0, standing.slack_s) if standing.can_meet_deadline else LATE_SLACK_S
     # What runs now goes on for about half of its time before the next step can begin.
     before_s = 0.0 if starts_now else durations.current_ms(book) / 2000
-    span_s = max(SHORTEST_S, standing.left_s - 2 * before_s)
+    span_s = max(SHORTEST_S, standing.remaining_s - 2 * before_s)
     yield Demand(host_s, slack_s + before_s, span_s)
 
 
--- a/src/lentilrill/execution/_pressure.py
+++ b/src/lentilrill/execution/_pressure.py
@@ -11,7 +11,7 @@
 from lentilrill.execution._need import idle_endpoints
 from lentilrill.ids import EndpointId, JobId, PoolId, QueueId
 from lentilrill.inner import PoolPressure
-from lentilrill.scheduling import Standing
+from lentilrill.scheduling import JobTiming
 from lentilrill.workloads import JobState
 
 __all__ = ["Backlog", "backlog_of", "pressure_of"]
@@ -30,15 +30,15 @@
     late_work: float = 0.0
 
 
-def backlog_of(jobs: Iterable[tuple[JobBook, Standing]]) -> Backlog:
+def backlog_of(jobs: Iterable[tuple[JobBook, JobTiming]]) -> Backlog:
     """Return what is left of jobs that are not final."""
     backlog = Backlog({}, set())
     for book, standing in jobs:
         queue = book.job.queue
         if book.state is JobState.QUEUED and not book.job.occurrences:
             backlog.waiting_by_queue[queue] = backlog.waiting_by_queue.get(queue, 0) + 1
-        work = 0.0 if book.lasts else standing.left_work
-        if standing.in_time:
+        work = 0.0 if book.lasts else standing.remaining_work
+        if standing.can_meet_deadline:
             backlog.work += work
         else:
             backlog.late.add(book.job.id)
@@ -58,7 +58,7 @@
 
     :param now: the monotonic clock.
     """
-    cores = sum(link.entry.room.cpu for link in links if link.registered) / 1000
+    cores = sum(link.entry.capacity.cpu for link in links if link.registered) / 1000
     # Without a host there is no rate to tell a wait by; the fleet's owner sends some.
     rate = 1 / cores if cores else 0.0
     return PoolPressure(
--- a/src/lentilrill/scheduling/__init__.py
+++ b/src/lentilrill/scheduling/__init__.py
@@ -1,46 +1,46 @@
-"""Decisions on work that waits: what is taken on, what goes first, and where it runs.
+"""Scheduling decisions: admission of jobs, their order, placement of tasks, and pool sizes.
 
-Plain functions over values: no input or output, no clock of their own.
+Pure computations without input or output; callers pass the current time.
 """
 
-from lentilrill.scheduling._admission import Pressure, may_take, outage_retry_s, retry_after_s
+from lentilrill.scheduling._admission import Pressure, can_accept, outage_retry_s, retry_after_s
 from lentilrill.scheduling._capacity import (
-    SETTLED_S,
-    FreeHost,
+    SURPLUS_DELAY_S,
+    MovableHost,
     Move,
     PoolNeed,
-    kept_hosts,
+    minimum_hosts,
     plan_moves,
     pool_targets,
     target_hosts,
 )
-from lentilrill.scheduling._demand import Demand, HostShares, hosts_due
+from lentilrill.scheduling._demand import Demand, HostShares, required_hosts
 from lentilrill.scheduling._durations import DurationModel
-from lentilrill.scheduling._order import Standing, sort_key
+from lentilrill.scheduling._order import JobTiming, sort_key
 from lentilrill.scheduling._pacing import next_pace
-from lentilrill.scheduling._placement import EndpointRoom, place
-from lentilrill.scheduling._turns import Turns
+from lentilrill.scheduling._placement import EndpointCapacity, place
+from lentilrill.scheduling._surges import SurgeTracker
 
 __all__ = [
-    "SETTLED_S",
+    "SURPLUS_DELAY_S",
     "Demand",
     "DurationModel",
-    "EndpointRoom",
-    "FreeHost",
+    "EndpointCapacity",
     "HostShares",
+    "JobTiming",
+    "MovableHost",
     "Move",
     "PoolNeed",
     "Pressure",
-    "Standing",
-    "Turns",
-    "hosts_due",
-    "kept_hosts",
-    "may_take",
+    "SurgeTracker",
+    "can_accept",
+    "minimum_hosts",
     "next_pace",
     "outage_retry_s",
     "place",
     "plan_moves",
     "pool_targets",
+    "required_hosts",
     "retry_after_s",
     "sort_key",
     "target_hosts",
--- a/src/lentilrill/scheduling/_placement.py
+++ b/src/lentilrill/scheduling/_placement.py
@@ -1,22 +1,22 @@
-"""Where a task runs."""
+"""Placement of tasks on endpoints."""
 
 from collections.abc import Callable, Iterable
 
 from lentilrill.ids import EndpointId, RackId
 from lentilrill.workloads import Resources, Step
 
-__all__ = ["EndpointRoom", "place"]
+__all__ = ["EndpointCapacity", "place"]
 
-GATHERED = 3
-"""Tasks that last which may gather on an endpoint before the next one is taken."""
+PREFERRED_COLOCATION = 3
+"""Long-running tasks to place on one endpoint before the next endpoint is preferred."""
 
 
-class EndpointRoom:
-    """Free room of one endpoint while a round of placement goes on.
+class EndpointCapacity:
+    """Free capacity of one endpoint during a planning round.
 
-    :ivar runs: tasks on it that end.
-    :ivar probing: it has failed too often and gets one task that ends at a time.
-    :ivar serving: tasks on it that last, which others disturb.
+    :ivar runs: number of tasks on it that end by themselves.
+    :ivar probing: whether its recent failures limit it to one such task at a time.
+    :ivar serving: number of long-running tasks on it, which other tasks slow down.
     """
 
     __slots__ = ("free", "id", "labels", "probing", "rack", "runs", "serving")
@@ -39,8 +39,8 @@
         self.serving = serving
         self.probing = probing
 
-    def take(self, needs: Resources, *, serves: bool) -> None:
-        """Count a task that is placed here."""
+    def reserve(self, needs: Resources, *, serves: bool) -> None:
+        """Reserve capacity for a task placed on this endpoint."""
         self.free = self.free.minus(needs)
         self.runs += not serves
         self.serving += serves
@@ -48,57 +48,65 @@
 
 def place(
     step: Step,
-    rooms: Iterable[EndpointRoom],
+    endpoints: Iterable[EndpointCapacity],
     on_endpoint: Callable[[EndpointId], int],
     avoid: set[EndpointId],
-) -> EndpointRoom | None:
-    """Return the endpoint for one more task of ``step``, or ``None`` if none has room.
+) -> EndpointCapacity | None:
+    """Return the endpoint for one more task of ``step``, or ``None`` if no endpoint fits.
 
-    A task goes to the rack of its data if it can, and else where it fits best: that leaves whole
-    endpoints free for large tasks.
+    A task is placed on the rack of its data if possible, and otherwise by best fit, which leaves
+    whole endpoints free for large tasks.
 
-    Load pattern: an endpoint fails all that it starts, and so is always free, while the others are
-    full. A task that failed there would come back at once and use up its attempts in a second. So
-    it rather waits for another endpoint, and is no probe for one that is unwell.
-    Tasks that last gather on few endpoints, since each endpoint that holds one is kept from
-    leaving an idle pool; but no more than a few on one, since they disturb each other, and since
-    an endpoint that is lost takes all of them with it.
+    An endpoint that fails every task is always free while the others are full. A task that failed
+    there would be placed there again and use up its attempts within a second. So a failed task
+    waits for another endpoint, and is not used to probe an unhealthy one.
 
-    :param on_endpoint: tasks of the step that have a run on an endpoint.
+    Long-running tasks are packed on few endpoints, because each endpoint that runs one can't leave
+    an idle pool. Only a few are packed on one endpoint, because they slow each other down and all
+    of them are lost with the endpoint.
+
+    :param on_endpoint: returns the number of tasks of the step that have a run on an endpoint.
     :param avoid: endpoints where the task failed before.
     """
     needs = step.reserved
-    rooms = list(rooms)
-    best: EndpointRoom | None = None
+    endpoints = list(endpoints)
+    best: EndpointCapacity | None = None
     best_cost: tuple[float, ...] = ()
-    others = any(room.id not in avoid and _has_label(step, room) for room in rooms)
-    lasts = step.lasting or step.filler
-    for room in rooms:
-        if not needs.fits(room.free) or (room.probing and room.runs and not lasts):
+    has_others = any(
+        endpoint.id not in avoid and _has_label(step, endpoint) for endpoint in endpoints
+    )
+    is_long_running = step.lasting or step.filler
+    for endpoint in endpoints:
+        if not needs.fits(endpoint.free) or (
+            endpoint.probing and endpoint.runs and not is_long_running
+        ):
             continue
-        if not _has_label(step, room):
+        if not _has_label(step, endpoint):
             continue
-        if others and avoid and (room.id in avoid or room.probing):
+        if has_others and avoid and (endpoint.id in avoid or endpoint.probing):
             continue
-        if step.most_per_endpoint and on_endpoint(room.id) >= step.most_per_endpoint:
+        if step.most_per_endpoint and on_endpoint(endpoint.id) >= step.most_per_endpoint:
             continue
-        far = bool(step.near) and room.rack != step.near
-        left = room.free.cpu - needs.cpu
+        is_remote = bool(step.near) and endpoint.rack != step.near
+        left_cpu = endpoint.free.cpu - needs.cpu
         cost = (
-            float(far),
-            float(room.probing),
-            _crowding(room.serving) if lasts else 0.0,
-            float(left),
+            float(is_remote),
+            float(endpoint.probing),
+            _colocation_cost(endpoint.serving) if is_long_running else 0.0,
+            float(left_cpu),
         )
         if best is None or cost < best_cost:
-            best, best_cost = room, cost
+            best, best_cost = endpoint, cost
     return best
 
 
-def _has_label(step: Step, room: EndpointRoom) -> bool:
-    return not step.label or step.label in room.labels
+def _has_label(step: Step, endpoint: EndpointCapacity) -> bool:
+    return not step.label or step.label in endpoint.labels
+
 
+def _colocation_cost(serving: int) -> float:
+    """Return the cost of adding a long-running task to an endpoint that runs ``serving`` others.
 
-def _crowding(serving: int) -> float:
-    """Return the cost of one more lasting task beside ``serving`` others: gather up to a few."""
-    return float(-serving if serving < GATHERED else serving)
+    The cost falls with each task up to the preferred number and is higher beyond it.
+    """
+    return float(-serving if serving < PREFERRED_COLOCATION else serving)
--- a/src/lentilrill/upkeep/_orders.py
+++ b/src/lentilrill/upkeep/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to hosts, side by side and within the platform's rate."""
+"""Sending of orders to hosts, concurrently and within the platform's rate limit."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -6,14 +6,15 @@
 from typing import TypeVar
 
 from lentilrill.routing import TokenBucket
-from lentilrill.upkeep._contract import HostOrder
+from lentilrill.upkeep._contract import HostOrderResult
 
 __all__ = ["HostOrders"]
 
-AT_ONCE = 12
+MAX_CONCURRENT_ORDERS = 12
 SUSTAINED_SHARE = 0.8
 BURST_SHARE = 0.2
-"""Shares of the platform's rate: together one second takes no more than it allows."""
+"""Shares of the platform's rate limit for the refill and the size of the token bucket: they add up
+to one, so no second exceeds the limit."""
 
 T = TypeVar("T")
 
@@ -21,36 +22,44 @@
 class HostOrders:
     """Sends the orders of one round.
 
-    Load pattern: a surge or a wave at a site of hundreds of hosts asks for a hundred orders at
-    once, each a call of its own. One after the other the last of them go out seconds later, and
-    their hosts serve when the surge is over.
+    At a site of hundreds of hosts a surge or a wave can need a hundred orders at once, each a call
+    of its own. If they were sent one after the other, the last would go out seconds later, and
+    their hosts would run tasks only after the surge.
 
-    :param per_s: orders that the platform takes a second, from all entry hosts.
-    :param at_once: most orders that are on their way at a time.
+    :param rate_per_s: the platform's rate limit for orders of all entry hosts, per second.
+    :param max_concurrent: maximum number of concurrent orders.
     """
 
     def __init__(
-        self, per_s: float, at_once: int = AT_ONCE, clock: Callable[[], float] = time.monotonic
+        self,
+        rate_per_s: float,
+        max_concurrent: int = MAX_CONCURRENT_ORDERS,
+        clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._at_once = at_once
+        self._max_concurrent = max_concurrent
         self._clock = clock
-        self._bucket = TokenBucket(per_s * SUSTAINED_SHARE, max(1.0, per_s * BURST_SHARE), clock())
+        self._bucket = TokenBucket(
+            rate_per_s * SUSTAINED_SHARE, max(1.0, rate_per_s * BURST_SHARE), clock()
+        )
 
     def send(
-        self, targets: Sequence[T], order: Callable[[T], HostOrder | None]
-    ) -> list[tuple[T, HostOrder]]:
-        """Order each target that the rate allows; return what became of those that were ordered.
+        self, targets: Sequence[T], order: Callable[[T], HostOrderResult | None]
+    ) -> list[tuple[T, HostOrderResult]]:
+        """Send orders to as many targets as the rate limit allows; return those with their results.
 
-        Those that are left out are ordered in a later round.
+        The remaining targets are left to a later round.
 
-        :param order: sends one order; ``None`` if it was not sent. Called side by side.
+        :param order: sends one order and returns its result, or ``None`` if it wasn't sent. Called
+            from several threads.
         """
         now = self._clock()
         allowed = [target for target in targets if self._bucket.take(now)]
         if len(allowed) <= 1:
             answers = [order(target) for target in allowed]
         else:
-            with ThreadPoolExecutor(min(self._at_once, len(allowed)), "host-order") as threads:
+            with ThreadPoolExecutor(
+                min(self._max_concurrent, len(allowed)), "host-order"
+            ) as threads:
                 answers = list(threads.map(order, allowed))
         return [
             (target, answer)
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: hosts go down a few at a time, each once it is empty."""
+"""Waves of upkeep: hosts go down a few at a time, each after its endpoint is drained."""
 
 import math
 import time
@@ -11,42 +11,43 @@
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision
 from lentilrill.store import Compare, FencedRecord, KeyValue, Written
 from lentilrill.telemetry import Dependency, Event, log
-from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
-from lentilrill.upkeep._emptying import FRESH_S, Emptying
+from lentilrill.upkeep._contract import HostCalls, HostOrderResult, HostRow, HostState
+from lentilrill.upkeep._draining import ANSWER_VALID_S, EndpointDrainer
 from lentilrill.upkeep._orders import HostOrders
 from lentilrill.workloads import Wave
 
 __all__ = ["Waves"]
 
 HOST_DOWN_S = 4.0
-"""Time that a host takes in a wave: emptied, down for two seconds, and seen up again."""
-SAFETY = 1.6
-"""Factor on the time that the rest of a wave needs, for hosts that can't be emptied at once."""
-BUSY_SHARE = 0.7
-"""Share of its hosts that a pool's work fills, from which on a wave leaves it alone if it can."""
-UNTOUCHED_S = 1.2
-"""Time in which the list shows a host down after its order; one that still shows up as before then,
-with no answer to its order, was not reached by it."""
-CONFIRMED_S = 3.0
-"""Time after which a host that shows up as before, although its order was confirmed, has had its
-upkeep: longer than an upkeep takes, in case the list lags behind."""
-NOBODY = EndpointId("")
-GONE_S = 2.4
-"""Time for which a host must be missing from the list to count as gone for good."""
+"""Expected time for one host of a wave: drain, two seconds of downtime, and detection that it is up
+again."""
+DURATION_SAFETY_FACTOR = 1.6
+"""Factor on the expected time for the rest of a wave, for hosts that can't be drained at once."""
+BUSY_POOL_SHARE = 0.7
+"""Load of a pool, as a share of its hosts, from which a wave avoids its hosts while it can."""
+LOST_ORDER_S = 1.2
+"""Seconds within which the list shows a host as down after its order. If it is still shown as up
+after that and its order has no answer, the order was lost."""
+CONFIRMED_DONE_S = 3.0
+"""Seconds after which a host with a confirmed order that is still shown as up counts as done. This
+is longer than an upkeep takes, because the list may lag behind."""
+NO_ENDPOINT = EndpointId("")
+GONE_AFTER_S = 2.4
+"""Seconds for which a host must be missing from the list to count as permanently gone."""
 
 
 class Stage(Enum):
-    """Where a host of a wave is."""
+    """Stage of a host in a wave."""
 
     WAITING = "waiting"
-    EMPTYING = "emptying"
+    DRAINING = "emptying"
     ORDERED = "ordered"
-    """Its order was sent; it counts as down until the list shows it up again."""
+    """Its order may have been sent; it counts as down until the list shows it as up again."""
     DONE = "done"
 
 
-_Kept = tuple[Stage, EndpointId]
-"""What is stored of a host: its stage, and the endpoint that lived on it when it was ordered."""
+_StoredHost = tuple[Stage, EndpointId]
+"""Stored state of a host: its stage, and the endpoint that ran on it when it was ordered."""
 
 
 class _HostInWave:
@@ -55,43 +56,45 @@
         "endpoint",
         "missing_since",
         "reason",
-        "seen_down",
         "stage",
-        "up_since",
+        "still_up_since",
+        "was_down",
     )
 
-    def __init__(self, stage: Stage = Stage.WAITING, endpoint: EndpointId = NOBODY) -> None:
+    def __init__(self, stage: Stage = Stage.WAITING, endpoint: EndpointId = NO_ENDPOINT) -> None:
         self.stage = stage
         self.endpoint = endpoint
         self.missing_since: float | None = None
         self.reason = ""
-        self.seen_down = False
+        self.was_down = False
         self.confirmed = False
-        self.up_since: float | None = None
+        self.still_up_since: float | None = None
 
 
 class Waves:
-    """All waves of upkeep, while this process owns the fleet.
-
-    :param waves: waves that operators have declared, by number.
-    :param load_of: share of a pool's hosts that its work fills; 0 in standby.
-    :param state_key: key under which operators read a wave's state.
-    :param state_value: that state's value, by whether the wave is through.
-    :param orders: sends the orders of a round, those of moves too.
+    """Runs all waves of upkeep while this process owns the fleet.
+
+    :param waves: returns the waves declared by operators, by number.
+    :param load_of: returns the load of a pool as a share of its hosts; 0 in standby.
+    :param may_order: returns whether the ownership lease is still valid.
+    :param on_fenced: called with a reason when a host or the store reports a newer owner.
+    :param state_key: returns the key under which operators read a wave's state.
+    :param state_value: returns the value of that state for a completed or a running wave.
+    :param orders: sends the orders of a round; shared with the moves of hosts.
     """
 
     def __init__(
         self,
         kv: KeyValue,
         hosts: HostCalls,
-        emptying: Emptying,
+        drainer: EndpointDrainer,
         process: ProcessId,
         token: Revision,
         owner_key: str,
         waves: Callable[[], dict[int, Wave]],
         load_of: Callable[[PoolId], float],
         may_order: Callable[[], bool],
-        refused: Callable[[str], None],
+        on_fenced: Callable[[str], None],
         state_key: Callable[[int], str],
         state_value: Callable[[bool], bytes],
         orders: HostOrders,
@@ -99,7 +102,7 @@
     ) -> None:
         self._kv = kv
         self._hosts = hosts
-        self._emptying = emptying
+        self._drainer = drainer
         self._process = process
         self._token = token
         self._owner_key = owner_key
@@ -107,9 +110,9 @@
         self._load_of = load_of
         self._records = Dependency("records of waves in the store")
         self._records_by_key: dict[str, FencedRecord] = {}
-        self._began_by_wave: dict[int, float] = {}
+        self._started_by_wave: dict[int, float] = {}
         self._may_order = may_order
-        self._refused = refused
+        self._on_fenced = on_fenced
         self._state_key = state_key
         self._state_value = state_value
         self._orders = orders
@@ -119,22 +122,22 @@
         self._running: set[int] = set()
 
     @property
-    def open(self) -> list[Wave]:
-        """Waves that are not through, the oldest first."""
+    def open_waves(self) -> list[Wave]:
+        """Waves that aren't completed, in the order of their numbers."""
         return [w for number, w in sorted(self._waves().items()) if number not in self._completed]
 
     @property
-    def busy(self) -> set[HostId]:
-        """Hosts that are being emptied or are down for a wave."""
+    def busy_hosts(self) -> set[HostId]:
+        """Hosts that are being drained or are down for a wave."""
         return {
             host
             for hosts in self._hosts_by_wave.values()
             for host, state in hosts.items()
-            if state.stage in (Stage.EMPTYING, Stage.ORDERED)
+            if state.stage in (Stage.DRAINING, Stage.ORDERED)
         }
 
     def load(self) -> bool:
-        """Read how far a former owner of the fleet came."""
+        """Load the state stored by the previous owner of the fleet; return whether that worked."""
         read = self._kv.read("w/")
         if isinstance(read, Failure):
             self._records.failed(read.failure().reason)
@@ -144,85 +147,90 @@
             if item.value is None:
                 continue
             number = int(item.key.removeprefix("w/"))
-            kept = msgspec.json.decode(item.value, type=dict[HostId, _Kept])
+            stored = msgspec.json.decode(item.value, type=dict[HostId, _StoredHost])
             self._running.add(number)
             hosts = self._hosts_by_wave.setdefault(number, {})
-            for host, (stage, endpoint) in kept.items():
+            for host, (stage, endpoint) in stored.items():
                 hosts[host] = _HostInWave(stage, endpoint)
-            if kept and all(stage is Stage.DONE for stage, _ in kept.values()):
+            if stored and all(stage is Stage.DONE for stage, _ in stored.values()):
                 self._completed.add(number)
         return True
 
-    def round(self, rows: dict[HostId, HostRow]) -> None:
-        """Take each open wave a step further.
+    def run_round(self, rows: dict[HostId, HostRow]) -> None:
+        """Advance each open wave.
 
-        :param rows: the list of hosts, read a moment ago.
+        :param rows: the current list of hosts.
         """
-        for wave in self.open:
+        for wave in self.open_waves:
             hosts = self._hosts_by_wave.setdefault(wave.number, {})
             for host in wave.hosts:
                 hosts.setdefault(host, _HostInWave())
-            if wave.number not in self._running and not self._begin(wave):
+            if wave.number not in self._running and not self._start(wave):
                 continue
             for host, state in hosts.items():
-                self._follow(wave, host, state, rows.get(host))
+                self._update_host(wave, host, state, rows.get(host))
             self._advance(wave, hosts, rows)
             if all(state.stage is Stage.DONE for state in hosts.values()):
                 self._complete(wave)
 
-    def _begin(self, wave: Wave) -> bool:
-        if not self._store(wave, {}) or not self._tell_state(wave, completed=False):
+    def _start(self, wave: Wave) -> bool:
+        if not self._store(wave, {}) or not self._write_state(wave, completed=False):
             return False
         self._running.add(wave.number)
-        self._began_by_wave[wave.number] = self._clock()
+        self._started_by_wave[wave.number] = self._clock()
         log(Event.WAVE_STATE, wave=wave.number, state="running", hosts=len(wave.hosts))
         return True
 
     def _complete(self, wave: Wave) -> None:
-        if self._tell_state(wave, completed=True):
+        if self._write_state(wave, completed=True):
             self._completed.add(wave.number)
             log(Event.WAVE_STATE, wave=wave.number, state="completed", hosts=len(wave.hosts))
 
-    def _follow(self, wave: Wave, host: HostId, state: _HostInWave, row: HostRow | None) -> None:
+    def _update_host(
+        self, wave: Wave, host: HostId, state: _HostInWave, row: HostRow | None
+    ) -> None:
         if state.stage is Stage.DONE:
             return
         now = self._clock()
         if row is None:
             state.missing_since = state.missing_since or now
-            if now - state.missing_since >= GONE_S:
-                self._finish(wave, host, state, "gone")
+            if now - state.missing_since >= GONE_AFTER_S:
+                self._finish_host(wave, host, state, "gone")
             return
         state.missing_since = None
         if state.stage is not Stage.ORDERED:
             return
         if row.state is not HostState.UP:
-            state.seen_down = True
-        elif state.seen_down or (row.endpoint and row.endpoint != state.endpoint):
-            self._finish(wave, host, state, "up")
+            state.was_down = True
+        elif state.was_down or (row.endpoint and row.endpoint != state.endpoint):
+            self._finish_host(wave, host, state, "up")
         else:
-            self._follow_untouched(wave, host, state, now)
+            self._update_host_still_up(wave, host, state, now)
 
-    def _follow_untouched(self, wave: Wave, host: HostId, state: _HostInWave, now: float) -> None:
-        """Judge an ordered host that the list shows up as before.
+    def _update_host_still_up(
+        self, wave: Wave, host: HostId, state: _HostInWave, now: float
+    ) -> None:
+        """Handle an ordered host that the list still shows as up.
 
-        By time, not by rounds, which follow each other at once in a surge: an order that is still
-        on its way would count as lost, and its host not as down, so that one too many goes down.
+        The decision depends on time and not on the number of rounds, which follow each other
+        quickly during a surge. Counting rounds, an order in transit would count as lost and its
+        host as up, so that one host too many would go down.
         """
-        state.up_since = state.up_since or now
-        up_s = now - state.up_since
+        state.still_up_since = state.still_up_since or now
+        up_s = now - state.still_up_since
         if state.confirmed:
-            if up_s >= CONFIRMED_S:
-                # Guard against a wave that orders the same hosts for ever: their upkeep passed
-                # under a former owner, or between two looks, and in standby no new endpoint shows
-                # it. The platform confirms what is under way, which the list shows by now, or what
-                # has been carried out.
-                self._finish(wave, host, state, "confirmed")
-        elif up_s >= UNTOUCHED_S:
-            # Its order was lost, maybe with the owner that sent it: it is emptied and ordered
-            # again. If the first order comes after all, the second one changes nothing.
-            state.stage = Stage.EMPTYING
-
-    def _finish(self, wave: Wave, host: HostId, state: _HostInWave, how: str) -> None:
+            if up_s >= CONFIRMED_DONE_S:
+                # The upkeep took place under a previous owner or between two reads of the list, and
+                # in standby no new endpoint shows it. The platform confirms an order whose upkeep
+                # is under way, which the list shows by now, or is complete. Without this rule the
+                # wave would order the same hosts forever.
+                self._finish_host(wave, host, state, "confirmed")
+        elif up_s >= LOST_ORDER_S:
+            # The order was lost, perhaps with the owner that sent it, so the host is drained and
+            # ordered again. If the first order still arrives, the second one changes nothing.
+            state.stage = Stage.DRAINING
+
+    def _finish_host(self, wave: Wave, host: HostId, state: _HostInWave, how: str) -> None:
         state.stage = Stage.DONE
         log(Event.HOST_UP, host=host, wave=wave.number, how=how)
         self._store(wave, self._hosts_by_wave[wave.number])
@@ -230,118 +238,121 @@
     def _advance(
         self, wave: Wave, hosts: dict[HostId, _HostInWave], rows: dict[HostId, HostRow]
     ) -> None:
-        """Empty hosts and send them down, never more than the wave allows at once.
+        """Drain hosts and order their upkeep, within the wave's limit of hosts that are down.
 
-        One host more than may go down is emptied ahead, so that it is free when its turn comes.
+        One more host than the limit is drained in advance, so that it is free when its turn comes.
         """
-        asked_at = self._clock()
+        requested_at = self._clock()
         down = sum(1 for host, state in hosts.items() if _is_down(state, rows.get(host)))
-        busy = down + sum(1 for state in hosts.values() if state.stage is Stage.EMPTYING)
+        in_progress = down + sum(1 for state in hosts.values() if state.stage is Stage.DRAINING)
         chosen: list[tuple[HostId, _HostInWave]] = []
-        for host, state in self._in_order(wave, hosts, rows):
+        for host, state in self._candidates(wave, hosts, rows):
             row = rows[host]
-            if state.stage is Stage.WAITING and busy < wave.most_at_once + 1:
-                state.stage = Stage.EMPTYING
-                busy += 1
-            if state.stage is not Stage.EMPTYING:
+            if state.stage is Stage.WAITING and in_progress < wave.max_down + 1:
+                state.stage = Stage.DRAINING
+                in_progress += 1
+            if state.stage is not Stage.DRAINING:
                 continue
-            if self._is_free(host, state, row) and down + len(chosen) < wave.most_at_once:
+            if self._drain_host(host, state, row) and down + len(chosen) < wave.max_down:
                 state.endpoint = row.endpoint
                 chosen.append((host, state))
-        self._order_all(wave, hosts, chosen, asked_at)
+        self._send_orders(wave, hosts, chosen, requested_at)
 
-    def _in_order(
+    def _candidates(
         self,
         wave: Wave,
         hosts: dict[HostId, _HostInWave],
         rows: dict[HostId, HostRow],
     ) -> list[tuple[HostId, _HostInWave]]:
-        """Return hosts that are up, those of idle pools first; those of busy pools only once the
-        wave could otherwise come late.
+        """Return hosts that are up, with draining hosts first and then by increasing load of their
+        pool. Hosts of busy pools are left out while the wave can still be completed in time.
 
-        Load pattern: a wave takes a quarter of all hosts at once, for about as long as a surge
-        lasts. A pool in its surge needs all of its hosts, and an idle one none of them.
+        A wave takes a quarter of all hosts at once, for about as long as a surge lasts. A pool in
+        its surge needs all of its hosts, and an idle pool needs none of them.
         """
-        waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.EMPTYING))
-        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.most_at_once) * SAFETY
-        began = self._began_by_wave.get(wave.number, 0.0)
-        late = self._clock() - began + needed_s > wave.within_s
+        waiting = sum(1 for s in hosts.values() if s.stage in (Stage.WAITING, Stage.DRAINING))
+        needed_s = HOST_DOWN_S * math.ceil(waiting / wave.max_down) * DURATION_SAFETY_FACTOR
+        started_at = self._started_by_wave.get(wave.number, 0.0)
+        is_behind_schedule = self._clock() - started_at + needed_s > wave.within_s
         up = [
             (self._load_of(rows[host].pool), host, state)
             for host, state in hosts.items()
             if host in rows and rows[host].state is HostState.UP
         ]
-        up.sort(key=lambda entry: (entry[2].stage is not Stage.EMPTYING, entry[0]))
+        up.sort(key=lambda entry: (entry[2].stage is not Stage.DRAINING, entry[0]))
         return [
             (host, state)
             for load, host, state in up
-            if late or load < BUSY_SHARE or state.stage is Stage.EMPTYING
+            if is_behind_schedule or load < BUSY_POOL_SHARE or state.stage is Stage.DRAINING
         ]
 
-    def _order_all(
+    def _send_orders(
         self,
         wave: Wave,
         hosts: dict[HostId, _HostInWave],
         chosen: list[tuple[HostId, _HostInWave]],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        """Send hosts down, once it is stored that they may be down.
+        """Store that the chosen hosts may be down, then order their upkeep.
 
-        Guard against a wave that takes down more hosts than it may: the next owner of the fleet
-        must count those that this one ordered last, before the list of hosts shows them.
+        They are stored first because the next owner of the fleet must count the hosts that this one
+        ordered last, before the list of hosts shows them as down. Otherwise more hosts than the
+        limit could be down at once.
 
-        :param asked_at: from when on it was asked whether they are free, which holds for a while.
+        :param requested_at: time of the drain requests, whose answers are valid only for a while.
         """
         if not chosen:
             return
         for _, state in chosen:
-            state.stage, state.up_since = Stage.ORDERED, None
+            state.stage, state.still_up_since = Stage.ORDERED, None
         if not self._store(wave, hosts):
             for _, state in chosen:
-                state.stage = Stage.EMPTYING
+                state.stage = Stage.DRAINING
             return
-        sent = self._orders.send(chosen, lambda each: self._order(wave, *each, asked_at))
+        sent = self._orders.send(chosen, lambda each: self._send_order(wave, *each, requested_at))
         for (host, state), answer in sent:
-            self._ordered(wave, host, state, answer)
+            self._on_order_answer(wave, host, state, answer)
         ordered = {host for (host, _), _ in sent}
         for host, state in chosen:
             if host not in ordered:
-                state.stage = Stage.EMPTYING
+                state.stage = Stage.DRAINING
 
-    def _is_free(self, host: HostId, state: _HostInWave, row: HostRow) -> bool:
+    def _drain_host(self, host: HostId, state: _HostInWave, row: HostRow) -> bool:
         if not row.endpoint:
             return True
-        is_free, reason = self._emptying.ask(row.pool, row.endpoint)
+        is_free, reason = self._drainer.request_drain(row.pool, row.endpoint)
         if not is_free and reason != state.reason:
             state.reason = reason
             log(Event.HOST_WAITS, host=host, endpoint=row.endpoint, reason=reason)
         return is_free
 
-    def _order(
-        self, wave: Wave, host: HostId, state: _HostInWave, asked_at: float
-    ) -> HostOrder | None:
+    def _send_order(
+        self, wave: Wave, host: HostId, state: _HostInWave, requested_at: float
+    ) -> HostOrderResult | None:
         if not self._may_order():
             return None
-        if state.endpoint and self._clock() - asked_at > FRESH_S:
+        if state.endpoint and self._clock() - requested_at > ANSWER_VALID_S:
             return None
         return self._hosts.upkeep(host, wave.number, self._process, int(self._token))
 
-    def _ordered(self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrder) -> None:
+    def _on_order_answer(
+        self, wave: Wave, host: HostId, state: _HostInWave, answer: HostOrderResult
+    ) -> None:
         log(Event.HOST_ORDERED, host=host, wave=wave.number, answer=answer.value)
-        state.confirmed = answer is HostOrder.DONE
-        if answer is HostOrder.FENCED:
-            self._refused(f"host {host} knows a newer owner of the fleet")
-        elif answer is HostOrder.REFUSED:
-            self._finish(wave, host, state, "refused")
-        elif answer in (HostOrder.BUSY, HostOrder.LATER):
-            state.stage = Stage.EMPTYING
+        state.confirmed = answer is HostOrderResult.DONE
+        if answer is HostOrderResult.FENCED:
+            self._on_fenced(f"host {host} has accepted a newer owner of the fleet")
+        elif answer is HostOrderResult.REFUSED:
+            self._finish_host(wave, host, state, "refused")
+        elif answer in (HostOrderResult.BUSY, HostOrderResult.LATER):
+            state.stage = Stage.DRAINING
 
     def _store(self, wave: Wave, hosts: dict[HostId, _HostInWave]) -> bool:
         key = f"w/{wave.number}"
         stages = {host: (state.stage, state.endpoint) for host, state in hosts.items()}
         return self._write(key, msgspec.json.encode(stages))
 
-    def _tell_state(self, wave: Wave, *, completed: bool) -> bool:
+    def _write_state(self, wave: Wave, *, completed: bool) -> bool:
         return self._write(self._state_key(wave.number), self._state_value(completed))
 
     def _write(self, key: str, value: bytes) -> bool:
@@ -349,13 +360,16 @@
         record = self._records_by_key.setdefault(key, FencedRecord(self._kv, key, owner))
         written = record.write(value)
         if written is Written.NOT_OWNER:
-            self._refused("the store knows a newer owner of the fleet")
+            self._on_fenced("the store records a newer owner of the fleet")
         return written is Written.DONE
 
 
 def _is_down(state: _HostInWave, row: HostRow | None) -> bool:
-    """Whether a host counts as down: by its order, or by the list of hosts, which shows it later
-    and also tells of orders that were given up and carried out after all."""
+    """Return whether a host counts as down, by its order or by the list of hosts.
+
+    The list shows an ordered host as down only after a delay, but it also shows hosts whose order
+    was given up and carried out nevertheless.
+    """
     if state.stage is Stage.ORDERED:
         return True
     return row is not None and row.state in (HostState.UPKEEP, HostState.DOWN)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -26,7 +26,7 @@
 from lentilrill.inner import PoolPressure
 from lentilrill.membership import Member, Role
 from lentilrill.ownership import MemberRecord
-from lentilrill.scheduling import Standing
+from lentilrill.scheduling import JobTiming
 from lentilrill.settings import Document, Entitlement, InnerKeys, Plan, Pool
 from lentilrill.workloads import (
     Configuration,
@@ -43,12 +43,12 @@
     "a_configuration",
     "a_document",
     "a_job",
+    "a_job_timing",
     "a_member",
     "a_member_record",
     "a_plan",
     "a_pool",
     "a_pressure",
-    "a_standing",
     "a_step",
     "an_address",
     "an_endpoint",
@@ -177,7 +177,7 @@
 
 def an_endpoint(name: str = "e1", **changes: Any) -> EndpointEntry:
     """Return an endpoint of the pool ``notices`` with room for four small tasks."""
-    values: dict[str, Any] = {"room": Resources(4000, 8000), "labels": ("a", "r1")}
+    values: dict[str, Any] = {"capacity": Resources(4000, 8000), "labels": ("a", "r1")}
     address, zone = f"10.0.0.1:{len(name)}", ZoneId("holyoke")
     return EndpointEntry(EndpointId(name), PoolId("notices"), address, zone, **(values | changes))
 
@@ -191,14 +191,14 @@
     return Configuration(version, (queue,), (PoolEntry(PoolId("notices")),))
 
 
-def a_standing(**changes: Any) -> Standing:
-    """Return the standing of a job that can be in time, with a second of work left."""
+def a_job_timing(**changes: Any) -> JobTiming:
+    """Return the timing of a job that can meet its deadline, with one second of remaining work."""
     values: dict[str, Any] = {
         "priority": 0,
-        "lasts": False,
+        "long_running": False,
         "age_s": 0.0,
-        "left_s": 1.0,
-        "allowed_s": 2.0,
-        "left_work": 1.0,
+        "remaining_s": 1.0,
+        "deadline_s": 2.0,
+        "remaining_work": 1.0,
     }
-    return Standing(**(values | changes))
+    return JobTiming(**(values | changes))
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -1,108 +1,112 @@
-"""Decisions on work that waits, replayed on the loads that they answer."""
+"""Tests for placement, job order, admission and pace control."""
 
 from testtools import TestCase
 
 from lentilrill.ids import EndpointId, RackId
 from lentilrill.scheduling import (
-    EndpointRoom,
+    EndpointCapacity,
     Pressure,
-    may_take,
+    can_accept,
     next_pace,
     place,
     retry_after_s,
     sort_key,
 )
 from lentilrill.workloads import Resources
-from tests.builders import a_standing, a_step
+from tests.builders import a_job_timing, a_step
 
 
-def a_room(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointRoom:
-    return EndpointRoom(
+def a_capacity(name: str, cpu: int = 4000, rack: str = "r1", **changes: object) -> EndpointCapacity:
+    return EndpointCapacity(
         EndpointId(name), RackId(rack), ("a", rack), Resources(cpu, 8000), **changes
     )
 
 
 class PlacementTest(TestCase):
-    def placed(self, rooms: list[EndpointRoom], *avoid: str, **step: object) -> str | None:
+    def placed(self, endpoints: list[EndpointCapacity], *avoid: str, **step: object) -> str | None:
         names = {EndpointId(name) for name in avoid}
-        room = place(a_step(1, **step), rooms, lambda endpoint: 0, names)
-        return room.id if room is not None else None
+        placed_on = place(a_step(1, **step), endpoints, lambda endpoint: 0, names)
+        return placed_on.id if placed_on is not None else None
 
     def test_best_fit_leaves_whole_endpoints(self) -> None:
-        self.assertEqual("b", self.placed([a_room("a", 4000), a_room("b", 1500)]))
+        self.assertEqual("b", self.placed([a_capacity("a", 4000), a_capacity("b", 1500)]))
 
     def test_no_room(self) -> None:
-        self.assertIsNone(self.placed([a_room("a", 500)]))
+        self.assertIsNone(self.placed([a_capacity("a", 500)]))
 
     def test_near_its_data_first(self) -> None:
-        rooms = [a_room("a", 1000), a_room("b", 4000, "r2")]
-        self.assertEqual("b", self.placed(rooms, near=RackId("r2")))
+        endpoints = [a_capacity("a", 1000), a_capacity("b", 4000, "r2")]
+        self.assertEqual("b", self.placed(endpoints, near=RackId("r2")))
 
-    def test_not_back_to_where_it_failed(self) -> None:
-        """Thirteen jobs failed for good on one endpoint, which failed all that it started.
+    def test_a_failed_task_avoids_the_endpoint_where_it_failed(self) -> None:
+        """Thirteen jobs used up their attempts on one endpoint that failed every task.
 
-        It was always free while the others were full, so each task came back to it until its
-        attempts were used up. It waits for another endpoint, unless there is none.
+        It was always free while the others were full, so each task was placed there again. A
+        failed task must wait for another endpoint, unless there is none.
         """
-        self.assertEqual("b", self.placed([a_room("a", 1000), a_room("b")], "a"))
-        self.assertIsNone(self.placed([a_room("a", 1000), a_room("b", 0)], "a"))
-        self.assertIsNone(self.placed([a_room("a", 0), a_room("b", probing=True)], "a"))
-        self.assertEqual("a", self.placed([a_room("a", 1000)], "a"))
+        self.assertEqual("b", self.placed([a_capacity("a", 1000), a_capacity("b")], "a"))
+        self.assertIsNone(self.placed([a_capacity("a", 1000), a_capacity("b", 0)], "a"))
+        self.assertIsNone(self.placed([a_capacity("a", 0), a_capacity("b", probing=True)], "a"))
+        self.assertEqual("a", self.placed([a_capacity("a", 1000)], "a"))
 
     def test_label(self) -> None:
-        self.assertIsNone(self.placed([a_room("a")], label="gpu"))
+        self.assertIsNone(self.placed([a_capacity("a")], label="gpu"))
 
-    def test_an_unwell_endpoint_gets_one_task_at_a_time(self) -> None:
-        """Every job of a queue failed: an endpoint that failed all it started was always free,
-        and so got the next task, until the attempts of all were used up."""
-        self.assertIsNone(self.placed([a_room("a", probing=True, runs=1)]))
-        self.assertEqual("b", self.placed([a_room("a", probing=True), a_room("b")]))
+    def test_an_unhealthy_endpoint_gets_one_task_at_a_time(self) -> None:
+        """Every job of a queue used up its attempts on an endpoint that failed every task and was
+        therefore always free for the next one."""
+        self.assertIsNone(self.placed([a_capacity("a", probing=True, runs=1)]))
+        self.assertEqual("b", self.placed([a_capacity("a", probing=True), a_capacity("b")]))
 
 
 class OrderTest(TestCase):
-    def test_in_a_surge_what_can_still_be_in_time_goes_first(self) -> None:
-        """In a surge all ballots came late together: in order of arrival each waited as long as
-        every other. What can still be in time goes before what can't, the shortest first."""
-        late = a_standing(age_s=5.0)
-        long, short = a_standing(left_work=9.0), a_standing(left_work=1.0)
+    def test_in_a_surge_jobs_that_can_be_on_time_go_first(self) -> None:
+        """In order of arrival all jobs of a surge waited equally long, and all were late.
+
+        Jobs that can meet their deadline go first, shortest first, before overdue jobs.
+        """
+        late = a_job_timing(age_s=5.0)
+        long, short = a_job_timing(remaining_work=9.0), a_job_timing(remaining_work=1.0)
         self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
 
-    def test_while_all_can_be_in_time_the_tightest_goes_first(self) -> None:
-        """On calm days large plans were late: small ones that could have waited went before."""
-        tight, loose = a_standing(left_work=9.0, left_s=1.9), a_standing(left_work=1.0)
+    def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
+        """Without a surge large jobs were late, because small jobs with slack went first."""
+        tight, loose = a_job_timing(remaining_work=9.0, remaining_s=1.9), a_job_timing(
+            remaining_work=1.0
+        )
         jobs = [loose, tight]
         self.assertEqual([tight, loose], sorted(jobs, key=lambda job: sort_key(job, feasible=True)))
         self.assertEqual([loose, tight], sorted(jobs, key=sort_key))
 
     def test_urgent_queues_go_first(self) -> None:
-        urgent, later = a_standing(age_s=9.0), a_standing(priority=1)
+        urgent, later = a_job_timing(age_s=9.0), a_job_timing(priority=1)
         self.assertEqual([urgent, later], sorted([later, urgent], key=sort_key))
 
-    def test_what_lasts_goes_before_all(self) -> None:
-        lasting = a_standing(lasts=True, priority=1)
-        self.assertEqual([lasting, a_standing()], sorted([a_standing(), lasting], key=sort_key))
+    def test_long_running_jobs_go_first(self) -> None:
+        lasting = a_job_timing(long_running=True, priority=1)
+        self.assertEqual([lasting, a_job_timing()], sorted([a_job_timing(), lasting], key=sort_key))
 
 
 class AdmissionTest(TestCase):
-    def test_a_surge_beyond_the_pool_is_refused_with_an_honest_return(self) -> None:
-        self.assertTrue(may_take(Pressure(1.0)))
-        self.assertFalse(may_take(Pressure(60.0)))
+    def test_work_beyond_the_pool_is_rejected_with_a_growing_retry_delay(self) -> None:
+        self.assertTrue(can_accept(Pressure(1.0)))
+        self.assertFalse(can_accept(Pressure(60.0)))
         self.assertLess(retry_after_s(Pressure(7.0)), retry_after_s(Pressure(12.0)))
 
-    def test_late_work_is_no_reason_to_refuse_what_can_be_in_time(self) -> None:
-        """Worksheets were refused for three seconds although they would have been started at once.
+    def test_overdue_work_does_not_block_jobs_that_can_be_on_time(self) -> None:
+        """Jobs that could have started at once were rejected for three seconds after a surge.
 
-        A surge had left a backlog that was late; what waits in it goes after all that can still
-        be in time, but counted as if it went before.
+        The backlog was overdue and runs after jobs that can be on time, but was counted as if it
+        ran before them.
         """
-        self.assertTrue(may_take(Pressure(0.5, 8.0)))
-        self.assertFalse(may_take(Pressure(3.0, 8.0)))
-        self.assertFalse(may_take(Pressure(0.5, 300.0)))
+        self.assertTrue(can_accept(Pressure(0.5, 8.0)))
+        self.assertFalse(can_accept(Pressure(3.0, 8.0)))
+        self.assertFalse(can_accept(Pressure(0.5, 300.0)))
 
 
 class PacingTest(TestCase):
-    def test_fillers_stop_when_users_notice_and_come_back_slowly(self) -> None:
-        """A textbook's readers waited: what filled up their endpoint slowed their tails down."""
+    def test_fillers_stop_above_the_target_and_speed_up_slowly(self) -> None:
+        """Fillers on an endpoint raised the tail latency of the long-running task beside them."""
         self.assertEqual(0, next_pace(100, 1.2))
         self.assertEqual(50, next_pace(100, 0.9))
         self.assertEqual(60, next_pace(60, 0.7))
