--- a/src/lentilrill/ownership/__init__.py
+++ b/src/lentilrill/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry host owns which shard of the work, proved by leases in the store."""
+"""Ownership of shards by entry hosts, based on leases in the store."""
 
 from lentilrill.ownership._clock import boottime
 from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard
--- a/src/lentilrill/ownership/_clock.py
+++ b/src/lentilrill/ownership/_clock.py
@@ -1,4 +1,4 @@
-"""The clock by which a process measures its own rights."""
+"""The clock against which a process checks its own lease."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 
 def boottime() -> float:
-    """Return seconds since boot, counting the time in which the host was suspended.
+    """Return the seconds since boot, including time spent suspended.
 
-    Guard against a host that sleeps through the end of its lease: the monotonic clock stands
-    still meanwhile, so on waking the lease would seem fresh; this clock shows that it lapsed.
+    The monotonic clock stops while a host is suspended, so a lease that expired meanwhile would
+    still seem valid after the host resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/lentilrill/ownership/_hand_over.py
+++ b/src/lentilrill/ownership/_hand_over.py
@@ -1,4 +1,4 @@
-"""When an owner hands a shard to another entry host, and to which."""
+"""Decides when an owner hands a shard over to another entry host, and to which one."""
 
 from collections import Counter
 from collections.abc import Callable, Collection
@@ -14,14 +14,14 @@
 
 
 class Terms(msgspec.Struct, frozen=True):
-    """When a hand-over is worth its take-over, for which callers wait.
-
-    :param gain: an owner hands a shard over if it has more than this many times the work for its
-        strength that the other host would have with the shard.
-    :param settled_s: how long another host must have been better: one that has just come may go
-        again.
-    :param pause_s: least time between two hand-overs of one owner, and between gaining a shard and
-        handing it over: callers of all shards must not wait for take-overs at once.
+    """Conditions under which a hand-over is worth its cost: callers wait during the take-over.
+
+    :param gain: minimum ratio of the owner's load (shards per strength) to the load that the other
+        host would have with the shard.
+    :param settled_s: seconds for which another host must have been better, since a host that has
+        just joined may leave again.
+    :param pause_s: minimum time between two hand-overs of one owner, and between acquiring a shard
+        and handing it over, so that callers of all shards don't wait for take-overs at once.
     """
 
     gain: float
@@ -30,17 +30,18 @@
 
 
 USUAL_TERMS = Terms(gain=2.0, settled_s=2.0, pause_s=3.0)
-"""Two alike hosts, one of which owns two shards, must not change places."""
+"""The ratio keeps a shard from moving back and forth between two equal hosts, one of which owns two
+shards."""
 SLOWED_TERMS = Terms(gain=1.25, settled_s=1.0, pause_s=1.0)
-"""Callers of a slowed owner wait already, at each step of their jobs."""
+"""Lower limits on a slowed host: its callers already wait at each step of their jobs."""
 
 
 class HandOver:
     """Decides when a process hands over one of its shards.
 
-    :param me: the process.
-    :param takes_over: whether another host says that it can take a shard over now.
-    :param is_slowed: whether this process's host is slower than usual now.
+    :param me: this process.
+    :param takes_over: whether another host has reported that it can take over a shard now.
+    :param is_slowed: whether this host currently runs below its usual speed.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._looked_at = 0.0
 
     def changed(self, now: float) -> None:
-        """Note that a shard was gained or handed over."""
+        """Record that a shard was acquired or handed over."""
         self._changed_at = now
         self._better_since = None
 
@@ -68,16 +69,16 @@
         members: Collection[MemberRecord],
         owners_by_shard: dict[Shard, ProcessId],
     ) -> tuple[Shard, MemberRecord] | None:
-        """Return the shard to hand over now and the host that gets it, if any.
+        """Return the shard to hand over now and its new owner, if any.
 
-        :param tokens_by_shard: the own shards, at least one.
-        :param members: all entry hosts, the own one too.
+        :param tokens_by_shard: shards that this process owns, at least one.
+        :param members: all entry hosts, including this one.
         """
         if now - self._looked_at < LOOK_EVERY_S:
             return None
         self._looked_at = now
         terms = SLOWED_TERMS if self._is_slowed() else USUAL_TERMS
-        # The shard that was held longest: others may still be taken over.
+        # The longest-owned shard: the take-over of the others may still be in progress.
         shard = min(tokens_by_shard, key=lambda each: tokens_by_shard[each])
         better = self._better(shard, members, owners_by_shard, terms.gain)
         if better is None:
@@ -96,7 +97,7 @@
         owners_by_shard: dict[Shard, ProcessId],
         gain: float,
     ) -> MemberRecord | None:
-        """Return the host that would carry a shard better by ``gain``, and best."""
+        """Return the best host whose load with the shard would be lower by the ratio ``gain``."""
         owned = Counter(owners_by_shard.values())
         mine = next((member for member in members if member.process == self._me), None)
         if mine is None:
--- a/src/lentilrill/ownership/_members.py
+++ b/src/lentilrill/ownership/_members.py
@@ -1,4 +1,4 @@
-"""Records of entry hosts and owners in the store, and who claims a shard that has none."""
+"""Records of entry hosts and shard owners in the store, and the order of claims."""
 
 import zlib
 from collections import Counter
@@ -12,15 +12,15 @@
 __all__ = ["MemberRecord", "OwnerRecord", "Shard", "by_load", "rank"]
 
 Shard = NewType("Shard", str)
-"""A part of the work that has one owner at a time: a pool, or the fleet as a whole."""
+"""A unit of work with at most one owner at a time: a pool, or the fleet as a whole."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """An entry host that takes part, kept under its lease.
+    """A registered entry host; the record is bound to its lease.
 
-    :param inner: address on which it listens for other hosts.
-    :param lease: the lease under which all its keys are.
-    :param strength: how much control work it can carry, in usual cores.
+    :param inner: address on which it listens for other entry hosts.
+    :param lease: the lease to which all of its keys are bound.
+    :param strength: its capacity for control work, in usual cores.
     """
 
     process: ProcessId
@@ -32,7 +32,7 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """The owner of a shard; the key's revision is its fencing token."""
+    """The owner of a shard; the revision of its key is the fencing token."""
 
     process: ProcessId
     incarnation: Incarnation
@@ -44,12 +44,12 @@
 ) -> list[MemberRecord]:
     """Return the members in the order in which they should claim ``shard``.
 
-    Load pattern: entry hosts differ by factors of four in processor time and of twenty in
-    bandwidth, and a pool in its surge keeps one of them busy. A weak one that owns it answers
-    endpoints too late, and after a take-over may never get through its jobs. So who would have the
-    least work for its strength goes first. Among equals goes the one in whose zone the fewest
-    shards are owned, so that a zone that is cut off takes few owners along, then by a hash of shard
-    and member, so that hosts that start together don't all run for one shard.
+    Members with the lowest load for their strength come first: entry hosts differ by a factor of
+    four in processor time and of twenty in bandwidth, and a pool in a surge keeps one host busy. A
+    weak owner answers endpoints too late, and after a take-over may never finish reading the
+    pool's jobs. Ties go to the zone with the fewest owned shards, so that losing a zone affects
+    few owners, and then to a hash of shard and member, so that hosts that start together don't
+    all claim the same shard.
     """
     owned = Counter(owners_by_shard.values())
     zone_by_process = {member.process: member.zone for member in members}
@@ -69,6 +69,6 @@
     members: Collection[MemberRecord],
     owners_by_shard: dict[Shard, ProcessId],
 ) -> int:
-    """Return how many members should claim ``shard`` before ``me`` does."""
+    """Return the number of members that should claim ``shard`` before ``me``."""
     in_line = [member.process for member in by_load(shard, members, owners_by_shard)]
     return in_line.index(me) if me in in_line else len(in_line)
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -1,4 +1,4 @@
-"""This process's membership and the shards it owns."""
+"""The membership of this process and the shards that it owns."""
 
 import threading
 from collections.abc import Callable
@@ -24,40 +24,43 @@
 BOTH = "m/"
 
 OWNER_TTL_S = 1.6
-"""Lease of an entry host. Shorter than an endpoint's hold less a take-over, so that tasks outlive
-the loss of their owner; longer than three renewals and a slow answer of 0.25 s."""
+"""Time to live of an entry host's lease. Shorter than a run lease minus the time of a take-over, so
+that runs survive the loss of their owner; longer than three renewals plus a slow answer of 0.25 s.
+"""
 RENEW_S = 0.4
-"""Three renewals fit into a lease, so that one lost answer costs nothing."""
+"""Three renewals fit into one lease, so that a single lost answer has no effect."""
 SAFETY_S = 0.2
-"""By how much a right ends before its lease: an order that was checked is on its way by then."""
+"""Margin before the lease expires in which no order is given, so that an order that passed the
+check has been sent by then."""
 CLAIM_EVERY_S = 0.1
 CLAIM_STAGGER_S = 0.15
-"""Pause between the claims of first and second in line, and so on: a claim takes a few ms, so a
-race, which costs a call, is rare."""
+"""Delay between the claims of one member and the next. A claim takes a few milliseconds, so races,
+which cost a call, are rare."""
 SETTLE_S = 0.4
-"""Wait after the own start before the first claim: hosts that start together see each other."""
+"""Delay between start and first claim, so that hosts that start together see each other."""
 
 
 class _ShardTask(Protocol):
     def gained(self, shard: Shard, token: Revision) -> None:
-        """Begin to act as owner."""
+        """Start acting as the owner of ``shard``."""
 
     def lost(self, shard: Shard, *, flush: bool = False) -> None:
-        """Stop at once: another process may own the shard.
+        """Stop acting as the owner at once; another process may own the shard.
 
-        :param flush: nobody can own it yet: store what is known.
+        :param flush: whether to store unsaved state first, as no other process can own it yet.
         """
 
 
 class Ownership:
-    """Registers this process, claims shards that nobody owns, and tells who owns the others.
-
-    :param shards: the shards that exist now.
-    :param outage_everywhere: whether most entry hosts report that the store is silent.
-    :param strength: how much control work this host can carry, in usual cores.
-    :param pace: share of its usual speed at which this host works now. Its strength is told times
-        this, so that a slowed host claims last and hands over what it owns, as a weak one does.
-    :param takes_over: whether another host says that it can take a shard over now.
+    """Registers this process, claims shards without an owner, and tracks the owners of the others.
+
+    :param shards: returns the shards that currently exist.
+    :param outage_everywhere: whether most entry hosts report that the store does not answer.
+    :param strength: capacity of this host for control work, in usual cores.
+    :param pace: current speed of this host as a share of its usual speed. The published strength
+        is multiplied by it, so that a slowed host claims last and hands its shards over, as a weak
+        host does.
+    :param takes_over: whether another host has reported that it can take over a shard now.
     """
 
     def __init__(
@@ -110,20 +113,20 @@
         ]
 
     def start(self) -> None:
-        """Begin to register and claim."""
+        """Start registering and claiming."""
         self._follower.start()
         for task in self._tasks:
             task.start()
 
     @property
     def peers(self) -> list[MemberRecord]:
-        """The other entry hosts, as last read from the store."""
+        """The other registered entry hosts, as last read from the store."""
         with self._lock:
             known = list(self._members_by_process.values())
         return [member for member in known if member.process != self._process]
 
     def owner_of(self, shard: Shard) -> OwnerRecord | None:
-        """Return the owner as last read from the store."""
+        """Return the owner of ``shard``, as last read from the store."""
         with self._lock:
             owner = self._owners_by_shard.get(shard)
         return owner[0] if owner is not None else None
@@ -134,10 +137,11 @@
         return bool(self._tokens_by_shard)
 
     def may_order(self, shard: Shard) -> bool:
-        """Whether this process may act as the shard's owner at this moment.
+        """Whether this process may act as the owner of ``shard`` now.
 
-        Its lease is proved by time; or the store is silent for most hosts, so that nobody can
-        have claimed the shard. Whoever takes over counts on both, and fences first.
+        It may while its lease can't have expired, or while most hosts report that the store does
+        not answer, so that no other host can have claimed the shard. A host that takes over relies
+        on both conditions, and fences the previous owner first.
         """
         if shard not in self._tokens_by_shard:
             return False
@@ -145,11 +149,11 @@
 
     @property
     def registered(self) -> bool:
-        """Whether the process holds a lease and has seen the other hosts."""
+        """Whether this process holds a lease and has read the records of the other hosts."""
         return bool(self._lease) and self._follower.read_once.is_set()
 
     def leave(self) -> None:
-        """Give all shards up and claim none any more; the process stays a member."""
+        """Release all shards and stop claiming; the process stays a member."""
         with self._lock:
             self._leaving = True
             tokens = dict(self._tokens_by_shard)
@@ -159,10 +163,10 @@
         self._left = True
 
     def _stop(self, shard: Shard, token: Revision) -> None:
-        """Stop acting as a shard's owner while its key is still this process's.
+        """Stop acting as the owner of ``shard`` before its key is released.
 
-        A slowed host stores nothing before: what it knows of ends, endpoints list again, and the
-        next owner reads it there sooner, as after a kill.
+        A slowed host does not flush: endpoints list ended runs again, and the next owner gets them
+        from there sooner, as after a crash.
         """
         with self._lock:
             self._given_up_by_shard[shard] = token
@@ -170,13 +174,13 @@
         self._task.lost(shard, flush=self._pace() >= USUAL)
 
     def _release(self, shard: Shard, token: Revision) -> None:
-        """Let others claim a shard; nothing changes if another one has its key already."""
+        """Delete the key of ``shard``, unless another process has written it since."""
         key = OWNERS + shard
         result = self._kv.commit((Compare(key, token),), (DeleteRange(key),))
         log(Event.SHARD_RELEASED, shard=shard, token=token, result=_shown(result))
 
     def close(self) -> None:
-        """End the lease and all tasks."""
+        """Stop all threads and revoke the lease."""
         self._ended.set()
         self._wake.set()
         self._follower.close()
@@ -184,7 +188,7 @@
             self._kv.revoke(self._lease)
 
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read of the records."""
+        """Replace the cached records by a full read."""
         with self._lock:
             self._members_by_process = {}
             self._owners_by_shard = {}
@@ -192,7 +196,7 @@
         self._check_tokens()
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes of the records."""
+        """Apply changes of the records."""
         with self._lock:
             for item in items:
                 self._take(item)
@@ -214,7 +218,7 @@
             self._members_by_process[ProcessId(name)] = member
 
     def _check_tokens(self) -> None:
-        """Give up shards whose key was taken away or belongs to another one."""
+        """Drop shards whose key was deleted or belongs to another process."""
         with self._lock:
             lost = [
                 shard
@@ -222,7 +226,7 @@
                 if (held := self._owners_by_shard.get(shard)) is None or held[1] > token
             ]
         for shard in lost:
-            self._lose(shard, "its key is gone or another's")
+            self._lose(shard, "its key was deleted or belongs to another process")
 
     def _lose(self, shard: Shard, reason: str) -> None:
         with self._lock:
@@ -233,7 +237,7 @@
             self._task.lost(shard)
 
     def give_up(self, shard: Shard, reason: str) -> None:
-        """Stop owning a shard that was refused because of a newer token."""
+        """Stop owning ``shard`` after a request was refused because of a newer token."""
         self._lose(shard, reason)
 
     def _renew(self) -> None:
@@ -257,7 +261,7 @@
         log(Event.MEMBER_REGISTERED, lease=lease, process=self._process)
 
     def _tell_strength(self, lease: int) -> bool:
-        """Write this process's record with its present strength; return whether it is stored."""
+        """Write the member record with the current strength; return whether it was stored."""
         strength = self._strength * self._pace()
         record = MemberRecord(
             self._process, self._incarnation, self._zone, self._inner, lease, strength
@@ -270,13 +274,13 @@
         return True
 
     def _end_predecessor(self) -> None:
-        """End the lease of an earlier process of this host, so that its shards are free at once.
+        """Revoke the lease of this host's previous process, so that its shards are free at once.
 
-        It has surely ended: this process listens on its address, which only one can.
+        That process must have ended, since only one process can listen on its address.
         """
         read = self._kv.read(MEMBERS + self._process)
         if isinstance(read, Failure):
-            # Its shards come free with its lease, a second or two later.
+            # Its shards become free when the lease expires, a second or two later.
             self._lease_calls.failed(read.failure().reason)
             return
         for item in read.unwrap().items:
@@ -293,7 +297,7 @@
         if not isinstance(kept, Failure):
             self._lease_calls.succeeded()
             self._kept_at = max(self._kept_at, asked)
-            # The store may apply a shorter time than was asked for.
+            # The store may grant a shorter time to live than requested.
             ttl_s = min(OWNER_TTL_S, kept.unwrap())
             self._proved_until = max(self._proved_until, asked + ttl_s - SAFETY_S)
             if self._told_strength != self._strength * self._pace():
@@ -305,7 +309,7 @@
             self._lease = 0
             self._proved_until = 0.0
             for shard in list(self._tokens_by_shard):
-                self._lose(shard, "the lease has lapsed")
+                self._lose(shard, "the lease has expired")
 
     def _claim(self) -> None:
         while not self._ended.is_set():
@@ -325,7 +329,7 @@
                 guarded("release", self._release_unused)
 
     def _has_claims(self) -> bool:
-        """Whether this process owns shards or has keys of some, or any has no owner."""
+        """Whether this process owns shards or holds keys of any, or some shard has no owner."""
         if self.is_owner or self._leaving or self._absent_since:
             return True
         with self._lock:
@@ -342,8 +346,8 @@
             since = self._absent_since.setdefault(shard, now)
             owners = self._owners()
             members = list(self._members_by_process.values())
-        # Guard against one host that owns everything after an outage in which all leases ran out:
-        # it is the first one back, knows of no other, and so is the first in line for each shard.
+        # After an outage in which all leases expired, the first host to return sees no other member
+        # and would rank first for each shard. The delay grows with the shards that it owns.
         mine = sum(1 for owner in owners.values() if owner == self._process)
         before = max(mine, rank(shard, self._process, members, owners))
         if now - since < before * CLAIM_STAGGER_S:
@@ -353,7 +357,7 @@
         put = Put(key, msgspec.json.encode(record), self._lease)
         result = self._kv.commit((Compare(key, Revision(0)),), (put,))
         if isinstance(result, Failure) or not result.unwrap().succeeded:
-            # After a lost answer the watch tells whether the key is ours; see _adopt_claim.
+            # If the answer was lost, the watch shows whether the claim succeeded; see _adopt_claim.
             self._absent_since.pop(shard, None)
             log(Event.SHARD_NOT_CLAIMED, shard=shard, result=_shown(result))
             return
@@ -363,7 +367,7 @@
         self._gain(shard, token)
 
     def _adopt_claim(self, shard: Shard) -> None:
-        """Act on an own claim whose answer was lost, once the watch shows the key."""
+        """Act on a claim whose answer was lost, once the watch shows its key."""
         with self._lock:
             owner = self._owners_by_shard.get(shard)
             if owner is None or shard in self._tokens_by_shard:
@@ -389,14 +393,14 @@
         if due is None:
             return
         shard, target = due
-        # Guard against a shard that nobody acts on while the store is away.
+        # If the store is unreachable no host could take over, and the shard would have no owner.
         asked = self._clock()
         self._keep()
         if self._kept_at >= asked:
             self._pass_on(shard, tokens[shard], target)
 
     def _members_now(self) -> list[MemberRecord]:
-        """Return all members, this process with its present strength, not with the stored one."""
+        """Return all members, with this process's current strength instead of the stored one."""
         strength = self._strength * self._pace()
         return [
             (
@@ -408,10 +412,11 @@
         ]
 
     def _pass_on(self, shard: Shard, token: Revision, target: MemberRecord) -> None:
-        """Make another process the owner of a shard, which its watch tells it.
+        """Make another process the owner of ``shard``; it learns so from its watch of the store.
 
-        If that one is gone, the store refuses its lease; if it goes now, its lease lapses. After a
-        lost answer the key is another's or still this process's, which then releases it.
+        If the target has ended, the store refuses its lease; if it ends now, the key expires with
+        its lease. If the answer is lost, the key belongs either to the target or still to this
+        process, which then releases it.
         """
         began = self._clock()
         self._stop(shard, token)
@@ -437,10 +442,10 @@
         )
 
     def _release_unused(self) -> None:
-        """Release keys of this process that it doesn't act on, and won't.
+        """Release keys of this process for shards that it has stopped acting on.
 
-        The answer to a release or a hand-over was lost, or a shard was handed to this process when
-        it was about to leave.
+        Such keys are left if the answer to a release or hand-over was lost, or if another host
+        handed a shard over while this process was leaving.
         """
         with self._lock:
             unused = [
--- a/src/lentilrill/ownership/_pace.py
+++ b/src/lentilrill/ownership/_pace.py
@@ -1,4 +1,4 @@
-"""How fast a host's own work goes, against its usual speed."""
+"""Measures the current speed of a host relative to its usual speed."""
 
 import threading
 import time
@@ -11,36 +11,36 @@
 __all__ = ["USUAL", "Pace"]
 
 USUAL = 1.0
-"""Pace of a host that is not slowed."""
+"""Pace of a host at its usual speed."""
 SLOWED = 0.45
-"""Pace under which a host counts as slowed. At its usual speed an idle host's piece takes up to
-twice as long as a busy one's, whose caches are warm."""
+"""Pace below which a host counts as slowed. At its usual speed the measured work takes up to twice
+as long on an idle host as on a busy one with warm caches."""
 RECOVERED = 0.7
-"""Pace from which a slowed host counts as being at its usual speed again."""
+"""Pace from which a slowed host counts as recovered."""
 STEADY = 2.0
-"""Factor by which a slowed host's pace must have changed to be told anew."""
+"""Factor by which the pace of a slowed host must change to be reported again."""
 SAMPLE_EVERY_S = 0.2
 IDLE_SAMPLE_EVERY_S = 1.0
-"""The same on a host that owns nothing, which nobody waits for."""
+"""The interval on a host that owns no shard, where no caller waits."""
 RECENT = 3
-"""Samples whose median is the present speed: one that was interrupted does not count."""
+"""Samples whose median is the current speed, so that one interrupted sample has no effect."""
 USUAL_SAMPLES = 300
-"""Samples at usual speed, a minute's, whose median is the usual speed."""
+"""Samples whose median is the usual speed: one minute of samples at that speed."""
 FIRST_SAMPLES = 10
-"""Samples before which a host knows no usual speed; all of them count as usual."""
+"""Samples needed before the usual speed is known; all of them count as usual."""
 PIECES = 3
-"""Pieces of work a sample, of which the shortest counts: the others may have been interrupted."""
+"""Timed runs per sample, of which the shortest counts, since others may have been interrupted."""
 PIECE_STEPS = 600
-"""Steps of one piece of work: about 0.1 ms, so that a host spends a thousandth of a core on it."""
+"""Steps of one timed run: about 0.1 ms, so that sampling takes a thousandth of a core."""
 CLOCK_STEP_S = 1e-9
-"""Least time of a piece, also where the clock is coarse."""
+"""Lower bound of a run's time, for coarse clocks."""
 
 
 def _piece_s() -> float:
-    """Return the seconds that a fixed piece of work takes now, on the steady clock.
+    """Return the seconds that a fixed amount of work takes, by the monotonic clock.
 
-    Its work is the interpreter's own, like most of an owner's; it holds the interpreter for less
-    than the time after which another thread gets its turn.
+    The work is pure Python, like most work of an owner, and shorter than the interpreter's switch
+    interval between threads.
     """
     began = time.monotonic()
     value = 0
@@ -50,12 +50,12 @@
 
 
 class Pace(threading.Thread):
-    """Follows at which share of its usual speed a host's work goes.
+    """Measures a host's current speed as a share of its usual speed.
 
-    The usual speed is the host's own: the ratio of two times of the same piece of work on the same
-    host depends neither on its kind nor on its load, as the lateness of its waits does.
+    The usual speed is measured on the same host: the ratio of two times of the same work depends
+    neither on the hardware nor on the load, as delays of timed waits would.
 
-    :param piece: returns the seconds that a fixed piece of work takes now.
+    :param piece: returns the seconds that a fixed amount of work takes now.
     :param is_owner: whether this host owns any shard.
     """
 
@@ -76,12 +76,12 @@
 
     @property
     def value(self) -> float:
-        """Share of its usual speed at which this host works, 1 unless it is slowed."""
+        """Current speed as a share of the usual speed; 1 unless the host is slowed."""
         return self._value
 
     @property
     def is_slowed(self) -> bool:
-        """Whether this host works clearly more slowly than usual."""
+        """Whether this host is clearly slower than usual."""
         return self._value < USUAL
 
     def run(self) -> None:
@@ -94,7 +94,7 @@
         return SAMPLE_EVERY_S if self._is_owner() or not knows_usual else IDLE_SAMPLE_EVERY_S
 
     def close(self) -> None:
-        """End the task soon."""
+        """Stop the thread soon."""
         self._ended.set()
 
     def sample(self) -> None:
@@ -114,7 +114,7 @@
             self._value = value
 
     def _steady(self, now: float) -> float:
-        """Return the pace to tell: a change that is noise must move no shard."""
+        """Return the pace to report: noise must not cause a hand-over."""
         if now >= (RECOVERED if self.is_slowed else SLOWED):
             return USUAL
         if self.is_slowed and self._value / STEADY < now < self._value * STEADY:
--- a/tests/ownership/test_hand_over.py
+++ b/tests/ownership/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Shards that pass from an owner to a host that carries them better."""
+"""Hand-over of shards from an owner to a host with a lower load."""
 
 import itertools
 import time
@@ -14,16 +14,16 @@
 BALLOTS = Shard("ballots")
 KEY = "m/o/notices"
 STEP_S = 0.5
-"""Seconds by which the clock of all hosts moves on at once."""
+"""Seconds by which each step advances the clock of all hosts."""
 ROUND_S = 0.12
-"""Real seconds in which each host comes to a round of its own."""
+"""Real seconds in which each host completes a claim round."""
 PATIENCE_S = 12.0
 APART_S = 2.0
-"""Least time between two hand-overs of one owner."""
+"""Minimum time between two hand-overs of one owner."""
 
 
 class Task:
-    """Notes what was gained and lost, and whose key it was at the loss."""
+    """Records gained and lost shards, and whether the key was still this host's at the loss."""
 
     def __init__(self, kv: FakeKeyValue) -> None:
         self.tokens_by_shard: dict[Shard, Revision] = {}
@@ -42,7 +42,7 @@
 
 
 class Host:
-    """An entry host: its ownership, what it does, and how it is."""
+    """An entry host: its ownership and the listener that records its shards."""
 
     def __init__(self, ownership: Ownership, task: Task) -> None:
         self.ownership = ownership
@@ -86,7 +86,7 @@
         return host
 
     def owner(self, name: str, strength: float = 1.0) -> Host:
-        """Return a host that owns all shards since it is alone."""
+        """Return a host that owns all shards because it is the only one."""
         host = self.host(name, strength)
         for _ in range(6):
             self.step()
@@ -100,14 +100,14 @@
         time.sleep(ROUND_S)
 
     def passes(self, source: Host, target: Host) -> bool:
-        """Whether the shard passes from one host to another within some seconds."""
+        """Whether the shard moves from one host to another within ``PATIENCE_S``."""
         end = self.now + PATIENCE_S
         while self.now < end and NOTICES not in target.shards:
             self.step()
         return NOTICES in target.shards and NOTICES not in source.shards
 
     def key_changes(self, seconds: float) -> list[float]:
-        """Let time pass; return when a shard's key changed."""
+        """Advance the clock; return the times at which the key of a shard changed."""
         seen = self.revisions()
         times = []
         end = self.now + seconds
@@ -124,20 +124,20 @@
 
 class HandOverTest(HandOverCase):
     def test_a_weak_owner_does_not_keep_what_a_strong_host_could_carry(self) -> None:
-        """A weak host kept a large pool and fell behind, beside a strong one that owned nothing."""
+        """A weak host kept a large pool and fell behind, although a strong one owned nothing."""
         weak = self.owner("h1", strength=0.5)
         strong = self.host("h2", strength=2.0)
         self.assertTrue(self.passes(weak, strong))
 
     def test_a_slowed_owner_does_not_keep_its_shard(self) -> None:
-        """An owner too slow for its work kept its lease, and its tasks were started too late."""
+        """An owner too slow for its work kept its lease and started tasks too late."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.pace_by_name["h1"] = 0.2
         self.assertTrue(self.passes(slowed, other))
 
     def test_an_owner_stops_and_flushes_before_its_key_changes_hands(self) -> None:
-        """Two hosts ordered for one pool, and the ends that the first one knew were lost."""
+        """Two hosts gave orders for one pool, and ends of runs seen only by the first were lost."""
         weak = self.owner("h1", strength=0.5)
         self.assertTrue(self.passes(weak, self.host("h2", strength=2.0)))
         self.assertEqual([True], weak.task.flushes)
@@ -157,7 +157,7 @@
             self.assertFalse(weak.ownership.may_order(NOTICES))
 
     def test_a_shard_given_to_a_host_that_leaves_is_claimed_by_another(self) -> None:
-        """A pool stood still until a host that had just begun to leave had ended."""
+        """A pool handed over to a leaving host had no acting owner until that host had ended."""
         weak = self.owner("h1", strength=0.5)
         leaving = self.host("h2", strength=2.0)
         leaving.ownership.leave()
@@ -167,7 +167,7 @@
         self.assertIn(True, weak.task.flushes)
 
     def test_a_shard_that_a_lost_host_should_get_is_claimed_again(self) -> None:
-        """A pool had no owner after its hand-over to a host that had just been lost."""
+        """A pool had no owner after its hand-over to a host that had just failed."""
         weak = self.owner("h1", strength=0.5)
         strong = self.host("h2", strength=2.0)
         self.hosts.remove(strong)
@@ -183,7 +183,7 @@
         self.pace_by_name = dict.fromkeys(names, pace)
 
     def test_it_hands_over_to_a_host_that_has_a_shard_already(self) -> None:
-        """On a small site each host had a shard, so a slowed one kept its own."""
+        """On a small site each host owned a shard, so a slowed host kept its own."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.shards = {NOTICES, BALLOTS}
@@ -194,7 +194,7 @@
         self.assertTrue(self.passes(slowed, other))
 
     def test_it_stops_but_stores_nothing_before_its_key_changes_hands(self) -> None:
-        """Nobody acted for a pool for seconds, while its slowed owner stored what it knew."""
+        """A pool had no acting owner for seconds while its slowed owner flushed its state."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
@@ -203,7 +203,7 @@
         self.assertEqual([True], slowed.task.was_own)
 
     def test_its_shard_does_not_go_to_another_slowed_host(self) -> None:
-        """A zone was slowed, and its shards went from one of its hosts to the next."""
+        """A zone was slowed, and its shards moved from one of its hosts to the next."""
         slowed = self.owner("h1")
         alike = [self.host(f"h{number}") for number in range(2, 6)]
         quick = self.host("h6", strength=0.5)
@@ -212,7 +212,7 @@
         self.assertEqual([[]] * len(alike), [host.task.flushes for host in alike])
 
     def test_a_host_that_is_quick_again_takes_nothing_back(self) -> None:
-        """Callers waited for a second take-over when the former owner's host had recovered."""
+        """Callers waited for a second take-over after the previous owner's host had recovered."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
@@ -221,7 +221,7 @@
         self.assertEqual([], self.key_changes(20.0))
 
     def test_a_host_that_is_slowed_for_a_moment_keeps_its_shards(self) -> None:
-        """Callers waited for a take-over from a host that was well again before its end."""
+        """Callers waited for a take-over from a host that recovered before it was complete."""
         self.owner("h1")
         self.host("h2")
         self.assertEqual([], self.key_changes(4.0))
@@ -236,14 +236,14 @@
 
 class HandOverGuardTest(HandOverCase):
     def test_no_shard_goes_to_and_fro_between_alike_hosts(self) -> None:
-        """Callers waited at each take-over, for hosts that were no better than the former ones."""
+        """Callers waited for take-overs by hosts that were no better than the previous owners."""
         self.shards = {NOTICES, BALLOTS}
         self.owner("h1")
         self.host("h2")
         self.assertEqual([], self.key_changes(20.0))
 
     def test_shards_are_not_handed_over_all_at_once(self) -> None:
-        """A host that came back took all shards at the same moment, and all callers waited."""
+        """A returning host got all shards at the same moment, and all callers waited."""
         self.shards = {Shard(name) for name in ("a", "b", "c")}
         self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
@@ -252,7 +252,7 @@
             self.assertGreaterEqual(latter - former, APART_S)
 
     def test_nothing_is_handed_over_while_the_store_is_silent(self) -> None:
-        """An owner let go of a shard that nobody could take while the store was away."""
+        """An owner released a shard during a store outage, when no host could claim it."""
         weak = self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
         self.kv.down = True
@@ -260,7 +260,7 @@
         self.assertEqual([], weak.task.flushes)
 
     def test_nothing_is_handed_over_to_a_host_that_is_unfit(self) -> None:
-        """A shard went to a host that was late itself, or about to leave."""
+        """A shard was handed over to a host that was overloaded itself, or about to leave."""
         weak = self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
         self.unfit.add("h2")
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -1,4 +1,4 @@
-"""Claims of shards under leases."""
+"""Claiming shards under leases."""
 
 import msgspec
 from testtools import TestCase
@@ -18,7 +18,7 @@
 
 
 class Task:
-    """Notes which shards were gained and lost."""
+    """Records which shards were gained and lost."""
 
     def __init__(self) -> None:
         self.tokens_by_shard: dict[Shard, Revision] = {}
@@ -80,8 +80,8 @@
     def test_the_first_host_back_does_not_take_everything(self) -> None:
         """After an outage one host owned all five pools and the fleet, and fell behind.
 
-        All leases had run out; the first host that was back saw no other one, and claimed each
-        shard within a few milliseconds, before the others had registered.
+        All leases had expired. The first host to return saw no other member and claimed each shard
+        within a few milliseconds, before the others had registered.
         """
         self.shards = {Shard(name) for name in ("a", "b", "c")}
         ownership, task = self.member()
@@ -95,9 +95,9 @@
             self.assertTrue(eventually(lambda owned=owned: len(task.tokens_by_shard) == owned))
 
     def test_a_right_ends_with_its_lease(self) -> None:
-        """An owner that was suspended went on giving orders after another one had taken over.
+        """A suspended owner went on giving orders after another host had taken over.
 
-        The clock that measures its right counts the time of a suspension.
+        The clock for the lease must count the time spent suspended.
         """
         ownership, _ = self.owning()
         self.kv.down = True
@@ -106,10 +106,11 @@
         self.assertFalse(ownership.may_order(NOTICES))
 
     def test_work_goes_on_while_nobody_can_claim(self) -> None:
-        """In an outage of the store every task of every pool was killed.
+        """In a store outage every task of every pool was killed.
 
-        Owners could not prove their leases and stopped renewing those of their tasks. While most
-        hosts report the store silent nobody can claim, so owners go on.
+        Owners could not renew their own leases and stopped renewing the run leases of their tasks.
+        While most hosts report that the store does not answer, no host can claim, so owners may
+        go on.
         """
         ownership, _ = self.owning()
         self.kv.down = self.outage = True
@@ -125,9 +126,9 @@
         self.assertFalse(ownership.may_order(NOTICES))
 
     def test_a_claim_whose_answer_was_lost_is_acted_on(self) -> None:
-        """A pool had an owner who did not know it, and its jobs stood still.
+        """A claim took effect but its answer was lost, so the owner did not act and jobs stalled.
 
-        The claim had taken effect and its answer was lost; the watch shows the claimant its key.
+        The watch shows the owner its own key.
         """
         ownership, task = self.member()
         self.assertTrue(eventually(lambda: ownership.registered))
@@ -138,9 +139,9 @@
         self.assertEqual(item.revision, task.tokens_by_shard[NOTICES])
 
     def test_a_restarted_host_ends_its_former_lease(self) -> None:
-        """After a crash a pool waited for the end of its owner's lease, though the host was back.
+        """After a crash a pool waited for its owner's lease to expire, although the host was back.
 
-        The new process listens on the former one's address, which proves that that has ended.
+        The new process listens on the address of the old one, which proves that the old one ended.
         """
         lease = self.kv.lease(9.0).unwrap()
         former = MemberRecord(
@@ -168,10 +169,10 @@
         self.assertEqual(1, rank(NOTICES, ProcessId("h1"), members, owners))
 
     def test_strong_hosts_own_shards_before_weak_ones(self) -> None:
-        """Half of the room checks were answered after half a minute, others never.
+        """Half of a pool's jobs were answered after half a minute, others never.
 
-        Their pool was owned by an entry host with a quarter of the others' processor and a link
-        that took longer for the stored jobs than a read may take: it never got through them.
+        The owner had a quarter of the other hosts' processor time, and a link on which reading the
+        stored jobs took longer than the timeout of a read, so it never loaded all of them.
         """
         members = [a_record("weak", strength=0.25), a_record("strong", strength=2.0)]
         owners: dict[Shard, ProcessId] = {}
@@ -180,7 +181,7 @@
             owners[Shard(f"pool-{owned}")] = ProcessId("strong")
 
     def test_owners_spread_over_zones(self) -> None:
-        """A zone was cut off, and three of four pools lost their owner at once."""
+        """A network partition of one zone took away the owners of three of four pools at once."""
         members = [
             a_record(name, zone=zone) for name, zone in (("a1", "a"), ("a2", "a"), ("b1", "b"))
         ]
--- a/tests/ownership/test_pace.py
+++ b/tests/ownership/test_pace.py
@@ -1,4 +1,4 @@
-"""How a host finds out that it is slowed."""
+"""Detection of a slowed host."""
 
 from testtools import TestCase
 
@@ -7,7 +7,7 @@
 IDLE_S = 200e-6
 BUSY_S = 100e-6
 SECOND = 5
-"""Samples a second."""
+"""Samples per second."""
 
 
 class PaceTest(TestCase):
@@ -21,7 +21,7 @@
         return self.interrupted_s.pop() if self.interrupted_s else self.piece_s
 
     def seconds(self, seconds: int, piece_s: float) -> set[float]:
-        """Let pieces of work take as long for some seconds; return the paces told meanwhile."""
+        """Sample for some seconds with runs of ``piece_s``; return the paces reported meanwhile."""
         self.piece_s = piece_s
         told = set()
         for _ in range(seconds * SECOND):
@@ -30,7 +30,7 @@
         return told
 
     def test_a_slowed_host_knows_within_a_second(self) -> None:
-        """An owner five times slower than usual went on as if it were well."""
+        """An owner five times slower than usual was not detected as slowed."""
         self.seconds(60, BUSY_S)
         self.seconds(1, 5 * BUSY_S)
         self.assertAlmostEqual(0.2, self.pace.value)
@@ -44,26 +44,26 @@
         self.assertFalse(self.pace.is_slowed)
 
     def test_a_host_that_stays_slowed_does_not_take_it_for_its_usual_speed(self) -> None:
-        """A host that had been slowed for a minute got shards again, and was as slow as before."""
+        """A host got shards again after a minute of being slowed, although it was still slow."""
         self.seconds(60, BUSY_S)
         self.seconds(1, 5 * BUSY_S)
         self.assertAlmostEqual(0.2, min(self.seconds(600, 5 * BUSY_S)))
         self.assertTrue(self.pace.is_slowed)
 
     def test_load_does_not_count_as_being_slowed(self) -> None:
-        """Shards left a well owner whose surge had ended, as idle hosts' caches are cold."""
+        """A healthy owner handed shards over after a surge, as cold caches made it seem slow."""
         self.seconds(60, BUSY_S)
         self.assertEqual({1.0}, self.seconds(60, IDLE_S))
         self.assertEqual({1.0}, self.seconds(60, BUSY_S))
 
     def test_an_interrupted_piece_does_not_count(self) -> None:
-        """An owner handed its shard over since its host had paused for a moment."""
+        """An owner handed its shard over because its host had paused for a moment."""
         self.seconds(60, BUSY_S)
         self.interrupted_s = [50 * BUSY_S] * 3
         self.assertEqual({1.0}, self.seconds(1, BUSY_S))
 
     def test_noise_of_a_slowed_host_is_not_told(self) -> None:
-        """Each small change of a slowed host's speed cost a write to the store."""
+        """Each small change in the speed of a slowed host caused a write to the store."""
         self.seconds(60, BUSY_S)
         self.seconds(1, 5 * BUSY_S)
         told = self.pace.value
@@ -71,7 +71,7 @@
             self.assertEqual({told}, self.seconds(1, factor * BUSY_S))
 
     def test_a_host_that_starts_slowed_learns_its_usual_speed_later(self) -> None:
-        """A host that started while it was slowed could never count as slowed again."""
+        """A host that started while slowed was never detected as slowed afterwards."""
         self.seconds(5, 10 * BUSY_S)
         self.assertEqual({1.0}, self.seconds(60, BUSY_S))
         self.seconds(1, 5 * BUSY_S)
