--- a/src/lentilrill/intake/__init__.py
+++ b/src/lentilrill/intake/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs from callers: accepted by a commit in the store, shown, cancelled, or refused."""
+"""Job requests of callers: accepting (by a commit in the store), refusing, showing, cancelling."""
 
 from lentilrill.intake._group import GroupCommit
 from lentilrill.intake._intake import SILENT_STORE_S, Intake
--- a/src/lentilrill/intake/_doubts.py
+++ b/src/lentilrill/intake/_doubts.py
@@ -1,4 +1,4 @@
-"""Jobs that may be stored although their callers were not told so."""
+"""Jobs whose commit has an unknown result, so that they may be stored."""
 
 import threading
 import time
@@ -9,17 +9,17 @@
 __all__ = ["Doubts"]
 
 KEPT_S = 60.0
-"""How long a doubt is kept: callers who got no clear answer ask again within seconds."""
+"""Time for which a job is kept: callers without a definite answer retry within seconds."""
 MOST_KEPT = 2000
-"""Bound of the doubts kept, the newest: an outage of the store leaves some for each caller."""
+"""Maximum number of jobs kept, the newest ones: a store outage leaves several for each caller."""
 
 
 class Doubts:
-    """Remembers, on each entry host, jobs whose commit got no answer on any of them.
+    """Jobs whose commit got no answer, on this or any other entry host.
 
-    Guard against a refusal that is untrue: a commit's answer is lost, the caller is told that the
-    outcome is unknown and asks again at another host, which can't commit and would refuse the
-    job as one that never runs, although it is stored.
+    Without them a host could refuse a job that is stored: the answer to a commit is lost, the
+    caller gets an unknown outcome and retries at another host, and that host can't commit and
+    would answer that the job never runs.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self._noted_by_job: OrderedDict[JobId, float] = OrderedDict()
 
     def note(self, job: JobId) -> None:
-        """Note that a job may be stored."""
+        """Record that a job may be stored."""
         with self._lock:
             self._noted_by_job[job] = time.monotonic()
             self._noted_by_job.move_to_end(job)
--- a/src/lentilrill/intake/_group.py
+++ b/src/lentilrill/intake/_group.py
@@ -1,4 +1,4 @@
-"""Commits of many callers in one call of the store."""
+"""Group commit: the writes of many callers in one call to the store."""
 
 import threading
 import time
@@ -16,28 +16,28 @@
 __all__ = ["LONGEST_S", "Committed", "GroupCommit"]
 
 WRITES_A_COMMIT = 16
-"""The store takes 32 entries a call: a condition and a write for each job."""
+"""The store takes 32 entries per call: one condition and one write for each job."""
 COMMITS_AT_ONCE = 4
-"""Bound of the commits in flight: hosts that all use it stay within the store's writes."""
+"""Maximum number of commits in flight: all hosts together stay within the store's write rate."""
 SLOW_S = 0.1
-"""Age of a commit in flight from which others are sent beside it; most take a few ms."""
+"""Age from which a commit in flight no longer delays the next one; most take a few ms."""
 REPEAT_S = 0.45
-"""Time without an answer after which a create is sent beside the commit that has it: more than a
-slow store takes, and than a lost answer costs the store's client."""
+"""Time without an answer after which a create is sent again while its commit is still in flight. It
+is longer than a slow store takes, and than the store's client needs to notice a lost answer."""
 MOST_TRIES = 3
-"""How often one create is sent."""
+"""Maximum number of times that one create is sent."""
 LONGEST_S = 2.2
-"""How long a caller who names no bound is held for its commit; most wait 3 s for an answer."""
+"""Maximum wait for a commit if the caller gives none; most callers wait 3 s for an answer."""
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """What became of one write.
+    """The result of one create.
 
-    :param known: whether it is in the store, written now or before; ``None``: it may be, or may
-        be written yet.
-    :param sent: whether the write was handed to the store; one that was not never happens.
-    :param revision: of the write; 0 if it was there before its first try.
-    :param stored: what is in the store, if that is not what was to be written.
+    :param known: whether the key is in the store, written now or before; ``None`` if unknown: it
+        may be there, or may still be written.
+    :param sent: whether the write was sent to the store; an unsent write never takes effect.
+    :param revision: revision of the write; 0 if the key existed before the first attempt.
+    :param stored: the stored value, if this create's own earlier attempt wrote it.
     """
 
     known: bool | None
@@ -51,11 +51,11 @@
 
 
 class _Create:
-    """One key to be created, for all callers who wait for it.
+    """A key to be created, shared by all callers that wait for it.
 
-    :ivar queued: since when it has waited to be sent; ``None``: it does not.
-    :ivar out: how many commits with it are in flight.
-    :ivar doubts: how many commits with it may have taken effect, or may yet.
+    :ivar queued: when it was queued for sending; ``None`` if it is not queued.
+    :ivar out: number of commits in flight that contain it.
+    :ivar doubts: number of commits containing it that may have taken effect, or still may.
     """
 
     __slots__ = ("done", "doubts", "out", "outcome", "put", "queued", "sent", "tries", "waiting")
@@ -73,12 +73,12 @@
 
 
 class GroupCommit:
-    """Creates keys; what arrives while a commit is under way goes into the next one.
+    """Creates keys in batches: creates that arrive during a commit go into the next one.
 
-    Load pattern: callers come in bursts, and the store counts calls, not jobs. A burst of sixteen
-    costs one call, and a lone caller waits for nobody. A commit that is late holds only its own
-    callers: others go beside it, and its creates are sent again, which does no harm, since a
-    create takes effect once.
+    Callers come in bursts, and the store limits calls, not jobs. A burst of sixteen costs one call,
+    and a single caller doesn't wait for others. A slow commit delays only its own callers: other
+    commits start while it is in flight, and its creates are sent again, which is safe because a
+    create takes effect at most once.
     """
 
     def __init__(self, kv: KeyValue) -> None:
@@ -94,20 +94,20 @@
         ]
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start committing."""
         for thread in self._threads:
             thread.start()
 
     def close(self) -> None:
-        """End after what is queued."""
+        """Stop once the queue is empty."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
 
     def create(self, key: str, value: bytes, wait_s: float = LONGEST_S) -> Committed:
-        """Write ``key`` unless it exists, and wait for the outcome.
+        """Write ``key`` unless it exists, and wait for the result.
 
-        :param wait_s: seconds after which the caller is answered anyway.
+        :param wait_s: maximum time to wait, in seconds.
         """
         until = time.monotonic() + wait_s
         create = self._join(Put(key, value), wait_s)
@@ -120,7 +120,7 @@
         return self._leave(create)
 
     def _join(self, put: Put, wait_s: float) -> _Create | None:
-        """Queue a create, or wait beside those who have; ``None`` if it can't be sent in time."""
+        """Queue a create, or join a pending one; ``None`` if it can't be sent in time."""
         now = time.monotonic()
         with self._changed:
             create = self._creates_by_key.get(put.key)
@@ -141,7 +141,7 @@
         return oldest is not None and now - oldest > wait_s / 2
 
     def _hurry(self, create: _Create) -> None:
-        """Have a create sent that waits behind a slow commit, or is in one."""
+        """Send a create (again) if it is queued behind a slow commit, or is part of one."""
         now = time.monotonic()
         with self._changed:
             if create.queued is None and now - create.sent >= REPEAT_S:
@@ -155,7 +155,7 @@
             self._queue.append(create)
 
     def _leave(self, create: _Create) -> Committed:
-        """Return what a caller is told; what nobody waits for any more is not sent."""
+        """Return the result for one caller; drop the create if no caller waits for it any more."""
         with self._changed:
             create.waiting -= 1
             if create.outcome is not None:
@@ -173,7 +173,7 @@
             self._over(batch)
 
     def _next(self) -> list[_Create]:
-        """Wait for creates that are to be sent now; none once this is closed."""
+        """Wait for the next batch of creates to send; empty once this is closed."""
         with self._changed:
             while not self._may_begin(time.monotonic()):
                 if self._closed:
@@ -198,7 +198,7 @@
         return all(now - begun >= SLOW_S for begun in self._begun_by_thread.values())
 
     def _commit(self, creates: list[_Create]) -> None:
-        """Commit creates together, without those that the store has already."""
+        """Commit creates in one call, leaving out those whose keys already exist."""
         while creates:
             compares = tuple(Compare(create.put.key, Revision(0)) for create in creates)
             result = self._kv.commit(compares, tuple(create.put for create in creates))
@@ -219,7 +219,7 @@
             creates = [create for create in creates if create.put.key not in found_by_key]
 
     def _commit_each(self, creates: list[_Create]) -> None:
-        """Have each create told by its own commit, as the store does not say which one failed."""
+        """Commit each create by itself, since the store didn't say which condition failed."""
         if len(creates) == 1:
             self._settle(creates, Committed(True))
             return
@@ -241,7 +241,7 @@
                 self._tell(create, outcome)
 
     def _over(self, batch: list[_Create]) -> None:
-        """Send again what has no answer, or give it up."""
+        """Queue creates without an answer again, or give them up."""
         with self._changed:
             del self._begun_by_thread[threading.get_ident()]
             now = time.monotonic()
@@ -267,10 +267,10 @@
 
 
 def _stored(create: _Create, item: Item) -> Committed:
-    """Return what a create found: its own earlier try, or what somebody else stored.
+    """Return the result for a key that exists, from an earlier attempt or another writer.
 
-    Guard against a job that runs a second time: an owner is told of what was written now only, as
-    it may have forgotten a job that ended long ago.
+    Only the former has a revision, with which the owner is notified: an owner that has forgotten
+    a job that ended long ago would run it a second time.
     """
     if item.value != create.put.value:
         return Committed(True)
--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -1,4 +1,4 @@
-"""What an entry host does for callers of jobs, whether or not it owns their pool."""
+"""Handling of job requests on an entry host, whether or not it owns their pool."""
 
 import itertools
 import threading
@@ -32,31 +32,32 @@
 __all__ = ["Intake"]
 
 SILENT_STORE_S = 1.0
-"""Silence of the store after which jobs are refused at once and callers are better sent to another
-host: two renewals of the lease in a row had no answer."""
+"""Time without an answer from the store after which jobs are refused at once and this host reports
+that it is not ready: two lease renewals in a row had no answer."""
 ASK_S = 0.35
-"""Wait for an owner's answer before the store is read instead: a round trip takes a few ms."""
+"""Timeout for an owner's answer before the store is read instead; a round trip takes a few ms."""
 QUICK_ASK_S = 0.1
-"""The same before a refusal, which must not keep its caller waiting."""
+"""Timeout of the query before a refusal, which must not keep the caller waiting."""
 HELD_SHARE = 0.8
-"""Share of its caller's wait for which a request is held for its commit, so that the answer still
-reaches the caller, and a refusal can be checked with the owner before."""
+"""Share of the caller's timeout to spend on the commit. The rest leaves time to query the owner
+before a refusal, and for the answer to reach the caller."""
 
 
 class _Peers(Protocol):
     def send(self, address: str, message: Message) -> None:
-        """Send a message, which may be lost."""
+        """Send a message, which may get lost."""
 
 
 class Intake:
     """Accepts, cancels and shows jobs.
 
-    :param owned: the owner task of a pool, if this process owns it.
-    :param owner_of: who owns a pool, as far as is known.
-    :param pressure_of: how busy a pool's owner says it is; ``None`` if nobody says so.
-    :param pools: all pools that are known.
-    :param others: inner addresses of the other entry hosts.
-    :param silent_s: seconds since the store last answered this host.
+    :param owned: returns the pool's owner task, if this process owns the pool.
+    :param owner_of: returns the owner record of a pool, if known.
+    :param pressure_of: returns the pressure reported by a pool's owner; ``None`` if there is no
+        recent report.
+    :param pools: returns all known pools.
+    :param others: returns the inner addresses of the other entry hosts.
+    :param silent_s: returns the seconds since the store last answered this host.
     """
 
     def __init__(
@@ -85,23 +86,23 @@
         self._waiting_by_ask: dict[int, _Question] = {}
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start committing."""
         self._group.start()
 
     def close(self) -> None:
-        """End after what is queued."""
+        """Stop once all queued commits are done."""
         self._group.close()
 
     def submit(self, job: Job, wait_s: float | None = None) -> tuple[JobAnswer, float]:
         """Accept a job, or refuse it at once.
 
-        :param wait_s: seconds for which the caller waits for an answer, if known.
-        :return: what became of it, and the seconds after which a refused caller should come back.
+        :param wait_s: the caller's timeout in seconds, if known.
+        :return: the answer, and the seconds after which a refused caller should retry.
         """
         began = time.monotonic()
         known = self._pressure_of(job.pool)
         pressure = Pressure(known.wait_s, known.late_wait_s) if known is not None else None
-        # A job that may be stored is committed again, which tells, however busy its pool is.
+        # A job that may be stored is committed again even in an overloaded pool, to get its result.
         if pressure is not None and not may_take(pressure) and job.id not in self._doubts:
             return self._refuse(
                 job,
@@ -113,10 +114,12 @@
             )
         silent_s = self._silent_s()
         if silent_s >= SILENT_STORE_S:
-            # Refused before anything is sent, so that it surely never runs; a commit that gets no
-            # answer could not be told to the caller as refused.
+            # Refuse before anything is sent, so that the job certainly never runs. A commit without
+            # an answer would leave the outcome unknown.
             retry_s = outage_retry_s(silent_s)
-            return self._refuse(job, JobAnswer.UNAVAILABLE, retry_s, reason="the store is silent")
+            return self._refuse(
+                job, JobAnswer.UNAVAILABLE, retry_s, reason="the store does not answer"
+            )
         value = msgspec.msgpack.encode(job)
         done = self._group.create(f"in/{job.pool}/j/{job.id}", value, _bounded(wait_s))
         answer = _answer_of(done)
@@ -134,7 +137,7 @@
     def _refuse(
         self, job: Job, answer: JobAnswer, retry_s: float, **why: object
     ) -> tuple[JobAnswer, float]:
-        """Refuse a job, unless it is stored or may be from an earlier attempt of its caller's."""
+        """Refuse a job, unless an earlier attempt of its caller stored it or may have."""
         if job.id in self._doubts:
             answer = JobAnswer.UNKNOWN
         elif self._ask_owner(job.pool, job.id, QUICK_ASK_S) is not None:
@@ -143,20 +146,20 @@
         return answer, retry_s
 
     def _doubt(self, job: JobId) -> None:
-        """Remember, here and on the other hosts, that a job may be stored."""
+        """Record on this and all other hosts that a job may be stored."""
         self._doubts.note(job)
         for address in self._others():
             self._peers.send(address, JobDoubted(job))
 
     def doubted(self, batch: Batch, message: JobDoubted) -> None:
-        """Take another host's word that a job may be stored."""
+        """Record another host's report that a job may be stored."""
         del batch
         self._doubts.note(message.job)
 
     def cancel(self, pool: PoolId, job: JobId, wait_s: float | None = None) -> JobAnswer:
         """Cancel a job.
 
-        :param wait_s: seconds for which the caller waits for an answer, if known.
+        :param wait_s: the caller's timeout in seconds, if known.
         """
         until = time.monotonic() + _bounded(wait_s)
         found = self._find(pool, job)
@@ -181,7 +184,7 @@
         return answer
 
     def show(self, pool: PoolId, job: JobId) -> tuple[JobAnswer, JobState | None]:
-        """Return a job's state; ``ABSENT`` if there is no such job."""
+        """Return the state of a job; ``ABSENT`` if there is no such job."""
         found = self._find(pool, job)
         if not found.is_sure:
             return JobAnswer.UNAVAILABLE, None
@@ -190,12 +193,12 @@
         return JobAnswer.ACCEPTED, found.state
 
     def waiting(self, pool: PoolId, queue: QueueId) -> int | None:
-        """Return how many accepted jobs of a queue have not begun; ``None`` if nobody says so."""
+        """Return how many accepted jobs of a queue have not started; ``None`` if unknown."""
         known = self._pressure_of(pool)
         return known.waiting_by_queue.get(queue, 0) if known is not None else None
 
     def told(self, batch: Batch, message: JobTold) -> None:
-        """Take an owner's answer."""
+        """Handle an owner's answer to a query."""
         del batch
         with self._lock:
             question = self._waiting_by_ask.pop(message.ask, None)
@@ -204,8 +207,11 @@
             question.done.set()
 
     def _find(self, pool: PoolId, job: JobId) -> "_Found":
-        """Find a job: at its pool's owner, else in the store, there also in other pools, since
-        its queue may have had another pool when it was accepted."""
+        """Find a job at its pool's owner, else in the store.
+
+        The store is searched in all pools, since the queue may have had another pool when the job
+        was accepted.
+        """
         state = self._ask_owner(pool, job)
         if state is not None:
             return _Found(True, pool, state)
@@ -235,11 +241,11 @@
         return JobState(told.state) if told is not None and told.is_owner and told.state else None
 
     def _read(self, pool: PoolId, job: JobId) -> "_Found":
-        """Read a job's records of one pool."""
+        """Read the records of a job in one pool."""
         items = []
         for key in (f"in/{pool}/j/{job}", progress_key(pool, job), f"in/{pool}/x/{job}"):
-            # Guard against a take-over that never ends: callers who ask while no owner answers
-            # would use up this host's calls, and its own pools could not be loaded any more.
+            # Low priority: while no owner answers, callers' queries would use up this host's calls
+            # to the store, and its own pools could not be loaded, so a take-over would never end.
             read = self._kv.get(key, Priority.LATER)
             if isinstance(read, Failure):
                 log(Event.JOB_NOT_READ, job=job, pool=pool, reason=read.failure().reason)
@@ -275,7 +281,7 @@
 
 
 class _Found(msgspec.Struct, frozen=True):
-    """Where a job is.
+    """The result of looking up a job.
 
     :param is_sure: whether the store could be read; if not, the job may exist.
     """
@@ -294,7 +300,7 @@
 
 
 def _bounded(wait_s: float | None) -> float:
-    """Return the seconds for which a caller may be held for a commit."""
+    """Return the maximum time to wait for a commit, given the caller's timeout."""
     if wait_s is None:
         return LONGEST_S
     return min(LONGEST_S, wait_s * HELD_SHARE)
@@ -303,5 +309,5 @@
 def _answer_of(done: Committed) -> JobAnswer:
     if done.known:
         return JobAnswer.ACCEPTED
-    # Once the commit was handed to the store, the job may run: that is not a refusal.
+    # Once the commit was sent to the store, the job may run, so it can't count as refused.
     return JobAnswer.UNKNOWN if done.sent else JobAnswer.UNAVAILABLE
--- a/tests/intake/fakes.py
+++ b/tests/intake/fakes.py
@@ -1,4 +1,4 @@
-"""An intake on a store in memory, with peers that only note what they are sent."""
+"""An intake with an in-memory store, and peers that only record messages."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class Peers:
-    """Notes messages, and answers questions if told how."""
+    """Records messages, and answers queries by ``answer`` if it is set."""
 
     def __init__(self) -> None:
         self.sent: list[object] = []
@@ -30,7 +30,7 @@
 
 
 class IntakeCase(TestCase):
-    """An entry host's intake, the pools' owner, and a job that nobody has handed in.
+    """An entry host's intake, the pools' owner, and a job that was not submitted yet.
 
     :cvar peers_at: addresses of the other entry hosts.
     """
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -19,7 +19,7 @@
 from tests.intake.fakes import POOL, IntakeCase
 
 TRIES = 3
-"""How often one create is sent."""
+"""Maximum number of times that one create is sent."""
 
 
 class IntakeTest(IntakeCase):
@@ -38,9 +38,9 @@
         self.assertEqual(revision, self.kv.revision)
 
     def test_a_lost_answer_is_no_refusal(self) -> None:
-        """A job that a caller had been told not to have run was embossed all the same.
+        """A caller was told that a job would not run, and it ran.
 
-        The answers to its commit were lost; whether one took effect or not, the job may run.
+        The answers to its commits were lost. Whether one took effect or not, the job may run.
         """
         for fate in (lose_answer, lose_request):
             self.kv.commits.extend([fate] * TRIES)
@@ -48,10 +48,10 @@
             self.kv.items_by_key.clear()
 
     def test_a_job_that_may_be_stored_is_never_refused(self) -> None:
-        """A caller was told three times that a job would never run; it ran.
+        """A caller was told three times that a job would never run, and it ran.
 
-        The answer to its commit was lost, which the caller was told. Then the store went silent,
-        and the host that the caller asked next refused the job as one that had not been sent.
+        The answer to its commit was lost, and the caller got an unknown outcome. Then the store
+        stopped answering, and the next host refused the job as one that had not been sent.
         """
         self.kv.commits.extend([lose_answer] * TRIES)
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
@@ -69,7 +69,7 @@
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
     def test_a_job_that_its_owner_knows_is_never_refused(self) -> None:
-        """A caller's repeat was refused as never to run, a second after it had been accepted."""
+        """A repeated request was refused as never to run, a second after its job was accepted."""
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.intake.submit(self.job)
         self.peers.answer = lambda ask: self.intake.told(
@@ -83,7 +83,7 @@
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
     def test_callers_come_back_later_the_longer_an_outage_lasts(self) -> None:
-        """All five tries of a caller fell into the first four seconds of an outage of five."""
+        """All five attempts of a caller fell into the first four seconds of an outage of five."""
         self.silent_s = 1.2
         first = self.intake.submit(self.job)[1]
         self.silent_s = 2.5
@@ -132,17 +132,17 @@
         self.assertEqual(JobState.COMPLETED, self.intake.show(POOL, self.job.id)[1])
 
     def test_questions_leave_calls_for_the_owner(self) -> None:
-        """After an outage a pool stood still for as long as its callers asked for their jobs.
+        """After an outage a pool made no progress while its callers queried their jobs.
 
-        No owner answered yet, so each question read the store; together they used up the host's
-        calls, and the owner on that host could not read its jobs. Questions wait behind it.
+        No owner answered yet, so each query read the store. Together they used up the host's calls,
+        and the owner on that host could not load its jobs. Queries must have a lower priority.
         """
         self.intake.submit(self.job)
         self.intake.show(POOL, self.job.id)
         self.assertEqual({Priority.LATER}, set(self.kv.priorities))
 
     def test_absent_only_if_the_store_says_so(self) -> None:
-        """A clerk was told that an accepted job does not exist, while the store was away."""
+        """A caller was told that an accepted job does not exist, during a store outage."""
         self.assertIs(JobAnswer.ABSENT, self.intake.show(POOL, self.job.id)[0])
         self.kv.down = True
         self.assertIs(JobAnswer.UNAVAILABLE, self.intake.show(POOL, self.job.id)[0])
--- a/tests/intake/test_slow_store.py
+++ b/tests/intake/test_slow_store.py
@@ -1,4 +1,4 @@
-"""Callers of jobs while the store answers late, or not at all."""
+"""Job requests while the store answers late, or not at all."""
 
 import threading
 import time
@@ -16,7 +16,7 @@
 
 SOON_S = 0.4
 ALL_OUT = 8
-"""More calls than are ever in flight at once."""
+"""More calls than can be in flight at once."""
 
 
 class SlowStoreTest(IntakeCase):
@@ -26,12 +26,12 @@
         self.addCleanup(self.answering.set)
 
     def late(self, call: Callable[[], Result]) -> Result:
-        """Fate of a call that is carried out once the store answers again."""
+        """Carry out a call once the store answers again."""
         self.answering.wait(5.0)
         return call()
 
     def submit_beside(self, job: Job, wait_s: float | None = None) -> Callable[[], JobAnswer]:
-        """Hand a job in on another thread; what is returned waits for its answer."""
+        """Submit a job on another thread; return a function that waits for its answer."""
         answers: list[JobAnswer] = []
         caller = threading.Thread(
             target=lambda: answers.append(self.intake.submit(job, wait_s)[0]), daemon=True
@@ -45,7 +45,7 @@
         return answer
 
     def test_a_late_commit_holds_nobody_who_comes_after_it(self) -> None:
-        """One answer of the store was late, and all who came after it waited as long."""
+        """One late answer of the store delayed all callers that came after it."""
         self.kv.commits.append(self.late)
         self.submit_beside(self.job)
         began = time.monotonic()
@@ -55,14 +55,14 @@
         self.assertLess(time.monotonic() - began, SOON_S)
 
     def test_a_caller_is_answered_within_its_own_wait(self) -> None:
-        """A caller who waits for a second was held for two, and had gone without an answer."""
+        """A caller with a timeout of one second was held for two, and left without an answer."""
         self.kv.commits.extend([self.late] * ALL_OUT)
         began = time.monotonic()
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job, 0.3)[0])
         self.assertLess(time.monotonic() - began, 0.3)
 
     def test_a_late_answer_is_settled_by_the_same_create(self) -> None:
-        """A caller was told after seconds that nobody knows, while the store answered others."""
+        """A caller got an unknown outcome after seconds, while the store answered others."""
         self.kv.commits.append(self.late)
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job, 1.0)[0])
         revision = self.kv.revision
@@ -71,13 +71,13 @@
         self.assertEqual(revision, self.kv.revision)
 
     def test_a_lost_answer_is_settled_by_the_same_create(self) -> None:
-        """A caller was told that nobody knows, though one more call would have told."""
+        """A caller got an unknown outcome, although one more call would have settled it."""
         for name, fate in (("b", lose_answer), ("c", lose_request)):
             self.kv.commits.append(fate)
             self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(a_job(name))[0])
 
     def test_the_owner_is_told_of_a_job_whose_first_answer_was_lost(self) -> None:
-        """An accepted job waited until its owner came upon it in the store."""
+        """An accepted job waited until its owner found it in the store."""
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.kv.commits.append(lose_answer)
         self.intake.submit(self.job)
@@ -87,7 +87,7 @@
         self.assertEqual((stored.value, stored.revision), (told.value, told.revision))
 
     def test_the_owner_is_not_told_of_a_job_that_was_there_before(self) -> None:
-        """A job that had ended long ago, handed in again, would have begun anew at its owner."""
+        """A job that had ended long ago and was submitted again would have run again."""
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.kv.put(f"in/notices/j/{self.job.id}", b"another hand-in")
         self.kv.commits.append(lose_request)
@@ -95,7 +95,7 @@
         self.assertEqual([], self.peers.sent)
 
     def test_refused_at_once_while_the_queue_stands_still(self) -> None:
-        """Callers waited in a queue of writes that could not empty before they had gone."""
+        """Callers waited in a write queue that could not be sent before their timeout."""
         self.kv.commits.extend([self.late] * ALL_OUT)
         held = []
         for name in "123456":
@@ -113,7 +113,7 @@
         self.assertNotIn(f"in/notices/j/{self.job.id}", self.kv.items_by_key)
 
     def test_what_is_told_as_refused_is_never_written(self) -> None:
-        """A caller who was refused after a wait in the queue had its job run all the same."""
+        """A job ran although its caller had been refused after waiting in the queue."""
         self.kv.commits.extend([self.late] * ALL_OUT)
         jobs = [a_job(name) for name in "0123456789abcdef"]
         callers = []
@@ -133,7 +133,7 @@
             self.assertNotIn(f"in/notices/j/{job.id}", self.kv.items_by_key)
 
     def test_one_job_handed_in_twice_is_written_once(self) -> None:
-        """Two hand-ins of one job were in two commits at once."""
+        """Two submissions of one job went into two commits at once."""
         self.kv.commits.append(self.late)
         first = self.submit_beside(self.job, 1.0)
         second = self.submit_beside(self.job, 1.0)
@@ -143,7 +143,7 @@
         self.assertEqual(2, self.kv.revision)
 
     def test_a_stored_job_beside_new_ones_is_no_fault_of_theirs(self) -> None:
-        """Each job of a commit was sent by itself, one by one, since one was stored already."""
+        """The jobs of a commit were sent one by one, because one of them was already stored."""
         self.intake.submit(self.job)
         self.kv.commits.append(self.late)
         first = self.submit_beside(a_job("f"))
@@ -157,7 +157,7 @@
         self.assertLessEqual(self.kv.calls["commit"], 5)
 
     def test_each_held_caller_leaves_one_line(self) -> None:
-        """Nobody could tell what had become of a caller who was held for seconds."""
+        """The log didn't show the outcome for a caller that was held for seconds."""
         self.kv.commits.extend([self.late] * ALL_OUT)
         with self.assertLogs(level="INFO") as logs:
             self.intake.submit(self.job, 0.3)
