--- a/src/lentilrill/entry/__init__.py
+++ b/src/lentilrill/entry/__init__.py
@@ -1,4 +1,4 @@
-"""One entry host on the users' platform: all of its parts in one process."""
+"""The process of an entry host on the users' platform."""
 
 from lentilrill.entry._process import EntryProcess
 
--- a/src/lentilrill/entry/_audience.py
+++ b/src/lentilrill/entry/_audience.py
@@ -1,4 +1,4 @@
-"""To whom an entry host tells its news, and when."""
+"""Which entry hosts get the status of this one, and when."""
 
 import zlib
 from collections.abc import Sequence
@@ -12,23 +12,23 @@
 __all__ = ["REFRESH_S", "TELL_EVERY_S", "BriefTurn", "brief", "neighbours"]
 
 TELL_EVERY_S = 0.3
-"""Least time between two tellings to the same host, but for a need that has risen."""
+"""Minimum time between two messages to the same host, except when a pool's need has risen."""
 REFRESH_S = 0.7
-"""Time after which news are told again though nothing has changed: half of the time for which they
-count, so that one lost message changes nothing."""
+"""Time after which an unchanged status is sent again: less than half of the time for which it is
+valid, so that one lost message has no effect."""
 NEIGHBOURS = 2
-"""Hosts that each host tells its version of the configuration, whatever it owns."""
+"""Number of hosts that get this host's configuration version even if it owns no shard."""
 WAIT_STEP_S = 0.2
 LATE_STEP_S = 1.0
-"""Changes of a pool's waits that matter to whoever takes jobs for it."""
+"""Changes of a pool's waiting times that matter to hosts that accept jobs for it."""
 
 
 def neighbours(me: ProcessId, peers: Sequence[MemberRecord]) -> list[MemberRecord]:
     """Return the hosts that follow ``me`` on a ring of all hosts.
 
-    Load pattern: hundreds of entry hosts at rest. Told from each to each, news cost every host
-    more with each host that there is. Each knows a few others instead, so that a host which the
-    store turns away still gets a newer configuration from one that it does not.
+    With hundreds of idle entry hosts, sending from each to each would cost every host more with
+    each additional one. A few neighbours are enough for a host that the store refuses to serve to
+    get a newer configuration from one that it serves.
     """
 
     def distance(peer: MemberRecord) -> int:
@@ -42,19 +42,19 @@
 
 
 def brief(pressure: PoolPressure) -> PoolPressure:
-    """Return what whoever takes jobs needs of a pool's pressure.
+    """Return a pool's pressure reduced to what hosts need to accept jobs.
 
-    The lists of endpoints, most of its bytes, are for the fleet's owner alone.
+    The lists of endpoints make up most of its size, and only the fleet's owner needs them.
     """
     return msgspec.structs.replace(pressure, idle=(), late=(), light=())
 
 
 class BriefTurn:
-    """Decides when others are told of the pressure of the own pools, if there are any.
+    """Decides when to send the pressure of this host's pools, if any, to the other hosts.
 
-    Load pattern: at rest pressure does not change, and telling all hosts of each pool is most of
-    what its owner sends. In a surge its wait changes by tenths of a second from round to round, and
-    a host that takes jobs by an old one takes on too many.
+    At rest the pressure does not change, and sending it to all hosts is most of a pool owner's
+    traffic. In a surge the wait changes by tenths of a second from round to round, and a host with
+    an outdated value accepts too many jobs.
     """
 
     def __init__(self) -> None:
@@ -62,14 +62,14 @@
         self._told_by_pool: dict[PoolId, PoolPressure] = {}
 
     def is_due(self, pressures: tuple[PoolPressure, ...], now: float) -> bool:
-        """Whether to tell now."""
+        """Whether to send now."""
         since_s = now - self._told_at
         if since_s < TELL_EVERY_S:
             return False
         return since_s >= REFRESH_S or any(self._has_changed(each) for each in pressures)
 
     def told(self, pressures: tuple[PoolPressure, ...], now: float) -> None:
-        """Note that they were told."""
+        """Record that ``pressures`` were sent."""
         self._told_at = now
         self._told_by_pool = {pressure.pool: pressure for pressure in pressures}
 
--- a/src/lentilrill/entry/_books.py
+++ b/src/lentilrill/entry/_books.py
@@ -1,4 +1,4 @@
-"""What an entry host knows from records of operators and endpoints."""
+"""In-memory copies of the records of operators and endpoints."""
 
 import threading
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 
 
 class ConfigurationBook:
-    """The newest configuration seen, and the waves of upkeep.
+    """The newest configuration received, and the upkeep waves.
 
-    Guard against a configuration that reverts: whatever comes late, from a stale read or from a
-    peer, has a lower version than the one in force, and is dropped.
+    A configuration with a lower version than the one in force comes from a stale read or a late
+    message of a peer, and is ignored, so that the configuration never reverts.
     """
 
     def __init__(self, changed: Callable[[], None] = lambda: None) -> None:
@@ -38,13 +38,13 @@
         return self.current.version if self.current is not None else -1
 
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+        """Replace the cached records by a full read."""
         with self._lock:
             self.waves_by_number = {}
         self.changed(items)
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes."""
+        """Apply changed records."""
         for item in items:
             if item.value is None:
                 continue
@@ -56,7 +56,7 @@
                     self.waves_by_number[wave.number] = wave
 
     def offer(self, value: bytes) -> None:
-        """Put a configuration in force if it is newer."""
+        """Put an encoded configuration in force if it is newer than the current one."""
         offered = decode_configuration(value)
         if offered is None:
             return
@@ -74,20 +74,20 @@
 
 
 class EndpointBook:
-    """Endpoints that are registered in the store, by pool."""
+    """Endpoints registered in the store."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._by_key: dict[str, EndpointEntry] = {}
 
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+        """Replace the cached records by a full read."""
         with self._lock:
             self._by_key = {}
         self.changed(items)
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes."""
+        """Apply changed records."""
         with self._lock:
             for item in items:
                 entry = None
@@ -99,6 +99,6 @@
                     self._by_key[item.key] = entry
 
     def of_pool(self, pool: PoolId) -> dict[EndpointId, EndpointEntry]:
-        """Return a pool's endpoints by id."""
+        """Return the endpoints of a pool by id."""
         with self._lock:
             return {entry.id: entry for entry in self._by_key.values() if entry.pool == pool}
--- a/src/lentilrill/entry/_news.py
+++ b/src/lentilrill/entry/_news.py
@@ -1,4 +1,4 @@
-"""News that entry hosts tell each other."""
+"""Exchange of status messages between entry hosts."""
 
 import threading
 import time
@@ -16,37 +16,38 @@
 __all__ = ["NewsDesk"]
 
 LOOK_EVERY_S = 0.1
-"""Pause between two reckonings of what the own pools need."""
+"""Pause between two calculations of the need of this host's pools."""
 LOOK_SHARE = 0.05
-"""Most of its time that a host spends on that."""
+"""Maximum share of its time that a host spends on these calculations."""
 LATE_FRESH_S = 5.0
-"""How long a peer's word that it takes over counts on a slowed host, which hears its peers late. If
-that one has gone meanwhile, so has its lease, and the store refuses to write under that."""
+"""Time for which a peer's report that it can take over is valid on a slowed host, which handles
+messages late. If the peer has ended meanwhile, so has its lease, and the store refuses a write
+under it."""
 RISE_HOSTS = 1.0
-"""By how much a pool's need must have risen for news of it to go out before their turn."""
+"""Rise of a pool's need, in hosts, that is sent at once instead of at the next interval."""
 ASK_SILENT_S = 0.45
-"""Silence of the store after which an owner asks all hosts whether they reach it: a renewal that
-got no answer. By the time that the silence counts, their words are here."""
+"""Time without an answer from the store after which an owner queries all hosts about it: one lease
+renewal. Their answers arrive before the time is long enough to count as an outage."""
 ASKED_S = 1.0
-"""How long a host that might take a shard over is asked whether it can after it was last named."""
+"""Time for which a take-over candidate is queried after the last interest in it."""
 MOST_ASKED = 12
 CLOCK_ERROR = 0.02
-"""By how much a peer's clock may run slow."""
+"""Share by which a peer's clock may run slow."""
 
 
 class NewsDesk(threading.Thread):
-    """Tells peers this host's news, and keeps theirs.
+    """Sends this host's status to its peers, and keeps theirs.
 
-    Each host tells only those who decide by it: the fleet's owner gets the whole pressure of each
-    pool, all hosts get what they take jobs by, and whether a host reaches the store or can take a
-    shard over is asked by those who want to know.
+    Status goes only to hosts that use it: the fleet's owner gets the full pressure of each pool,
+    all hosts get what they need to accept jobs, and hosts that need to know whether a peer reaches
+    the store or can take over a shard query it.
 
-    :param pressures: pools that this host owns.
-    :param store_silent_s: seconds since the store last answered this host.
-    :param risen: called when a pool needs more hosts than was known before.
+    :param pressures: returns the pressure of the pools that this host owns.
+    :param store_silent_s: returns the seconds since the store last answered this host.
+    :param risen: called when a pool's need has risen since its last report.
     :param takes_over: whether this host can take over a shard now.
-    :param is_slowed: whether this host is slower than usual now.
-    :param fleet_address: where the fleet's owner listens; empty if there is none.
+    :param is_slowed: whether this host currently runs below its usual speed.
+    :param fleet_address: returns the address of the fleet's owner; empty if there is none.
     :param is_owner: whether this host owns any shard.
     """
 
@@ -88,21 +89,21 @@
         node.on(Configured, self._configured)
 
     def run(self) -> None:
-        """Tell news until closed."""
+        """Send status messages until closed."""
         pause_s = LOOK_EVERY_S
         while not self._ended.wait(pause_s):
             began = time.monotonic()
             guarded("news", self._tell_if_due)
             took_s = time.monotonic() - began
-            # Only what the own pools need has to be told between two turns.
+            # Only a risen need of own pools has to be sent between two regular sends.
             least_s = LOOK_EVERY_S if self._is_owner() else TELL_EVERY_S
             pause_s = min(TELL_EVERY_S, max(least_s, took_s / LOOK_SHARE))
 
     def _tell_if_due(self) -> None:
-        """Tell each audience when it is its turn.
+        """Send to each group of recipients when it is due.
 
-        Load pattern: a surge doubles within a second, and each tenth of a second by which its
-        hosts come later is a tenth in which its jobs wait. So a rise goes out at once.
+        A risen need is sent at once: a surge doubles within a second, and its jobs wait for as long
+        as its additional hosts are delayed.
         """
         now = time.monotonic()
         pressures = self._pressures()
@@ -118,9 +119,9 @@
             self._ask()
 
     def _tell(self, pressures: tuple[PoolPressure, ...]) -> None:
-        """Tell all hosts of the own pools but the fleet's owner, which knows more.
+        """Send the reduced pressure of own pools to all hosts but the fleet's owner.
 
-        A host that owns none tells its neighbours only.
+        The fleet's owner gets the full one. A host that owns no pool sends to its neighbours only.
         """
         peers = self._peers()
         self._follow(peers)
@@ -133,7 +134,7 @@
         self._send([peer.inner for peer in told], news)
 
     def _ask(self) -> None:
-        """Ask for what this host is about to decide by."""
+        """Query hosts whose status this host needs for a decision."""
         now = time.monotonic()
         with self._lock:
             for process, named_at in list(self._named_at.items()):
@@ -146,7 +147,7 @@
             self._send(asked, self._news((), asks=True))
 
     def _follow(self, peers: list[MemberRecord]) -> None:
-        """Note which hosts are registered."""
+        """Record which hosts are registered."""
         now = time.monotonic()
         with self._lock:
             for peer in peers:
@@ -166,24 +167,27 @@
                 self._node.send(address, news)
 
     def close(self) -> None:
-        """End the task soon."""
+        """Stop the thread soon."""
         self._ended.set()
 
     def pressure_of(self, pool: PoolId) -> PoolPressure | None:
-        """Return the newest pressure of a pool, if it is fresh."""
+        """Return the newest pressure of a pool, if it is recent enough."""
         with self._lock:
             heard, pressure = self._pressure_by_pool.get(pool, (0.0, None))
         return pressure if time.monotonic() - heard < FRESH_S else None
 
     def takes_over(self, process: ProcessId) -> bool:
-        """Whether another host has just said that it can take over a shard; it is asked if not."""
+        """Whether another host has recently reported that it can take over a shard.
+
+        The host is queried for some time after each call.
+        """
         with self._lock:
             self._named_at[process] = time.monotonic()
             said_at = self._takes_over_at.get(process, -LATE_FRESH_S)
         return time.monotonic() - said_at < (LATE_FRESH_S if self._is_slowed() else FRESH_S)
 
     def outage_everywhere(self) -> bool:
-        """Whether the store is silent for all entry hosts that are heard, which are most."""
+        """Whether no reporting host reaches the store, and these hosts are a majority."""
         with self._lock:
             return self._silence.is_everywhere(self._store_silent_s(), time.monotonic())
 
@@ -203,10 +207,10 @@
             self._node.send(batch.reply_to, self._news(()))
 
     def _said_at(self, batch: Batch, news: HostNews) -> float:
-        """Return when news were sent, by this process's monotonic clock.
+        """Return when a status was sent, by this process's monotonic clock.
 
-        Guard against old news that count as new: a busy host reads them seconds late. Suspended
-        hosts' steady clocks stand still, so the other clock is used.
+        A busy host handles messages seconds late, and must not take an old status for a new one.
+        The sender's time is its time since boot, as monotonic clocks stop on a suspended host.
         """
         now = time.monotonic()
         if not news.sent_s:
@@ -220,7 +224,7 @@
             return now - max(0.0, read_at - clock.moment_of(news.sent_s, read_at))
 
     def _note(self, pressure: PoolPressure, said_at: float) -> bool:
-        """Keep a pool's pressure; return whether the pool needs more hosts than before."""
+        """Record a pool's pressure; return whether its need has risen."""
         with self._lock:
             _, held = self._pressure_by_pool.get(pressure.pool, (0.0, None))
             if held is not None and held.token > pressure.token:
--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -1,4 +1,4 @@
-"""Puts an entry host's parts together."""
+"""Assembles the parts of an entry host."""
 
 import threading
 import time
@@ -44,23 +44,23 @@
 __all__ = ["EntryProcess"]
 
 NOTICE_S = 2.4
-"""How long a stopping host goes on taking callers: the balancer asks once a second, and sends none
-after two refusals."""
+"""Time for which a draining host still serves callers: the load balancer checks readiness once a
+second, and stops sending after two failed checks."""
 OWNER_KEYS = "m/o/"
 ENDPOINTS_PAUSE_S = 0.3
-"""Pause between two watch calls for endpoints, which write there every second or so each: one call
-for all changes of the pause, and a host that was moved in is used as soon."""
+"""Pause between two watch calls for endpoints, each of which writes about once a second. One call
+gets all changes made during the pause; a host moved into a pool waits no longer than this."""
 STOP_S = 1.2
-"""Wait for a server to stop: it lets the requests under way finish for a second."""
+"""Timeout for stopping a server, which gives its requests one second to finish."""
 FLEET_STOP_S = 1.1
-"""Wait for the last order of a fleet's owner before its key changes hands; an order without an
-answer is given up after 1 s."""
+"""Timeout for the last order of the fleet's owner before its key is handed over. An order without
+an answer is given up after 1 s."""
 GRACE_SHARE = 0.75
-"""Share of the grace after which a stopping host ends, whatever is still in flight."""
+"""Share of the grace period after which a draining host ends even with requests in flight."""
 
 
 class EntryProcess:
-    """One entry host: callers, shards, and its part in what all hosts know."""
+    """One entry host: its servers for callers, its shards, and its exchange with other hosts."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -143,7 +143,7 @@
         self._node.on(ReleaseTold, self._release_told)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         for follower in self._followers:
             follower.start()
@@ -157,7 +157,7 @@
             threading.Thread(target=server.serve, name="serve", daemon=True).start()
 
     def drain(self) -> None:
-        """Hand over what this host owns, let callers go elsewhere, finish, and end."""
+        """Release all shards, let callers move to other hosts, finish open requests, and stop."""
         began = time.monotonic()
         self._leaving = True
         self._ownership.leave()
@@ -169,14 +169,14 @@
         self._news.close()
         self._pace.close()
         self._ownership.close()
-        # Guard against a process that is killed at the end of its grace although it is through: a
-        # server that was not stopped keeps threads, and these keep the interpreter.
+        # Stop these servers too: threads of a running server keep the interpreter alive, and the
+        # process would be killed at the end of its grace period.
         self._stop(self._plain)
         left_s = self._settings.grace_s * GRACE_SHARE - (time.monotonic() - began)
         self._node.close(linger_s=max(0.1, min(0.5, left_s)))
 
     def _stop(self, servers: list[Any]) -> None:
-        """Stop servers side by side: each takes up to a second."""
+        """Stop servers concurrently, since each takes up to a second."""
         stops = [threading.Thread(target=server.stop, daemon=True) for server in servers]
         for stop in stops:
             stop.start()
@@ -185,7 +185,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this host."""
         return (
             not self._leaving
             and self._configuration.current is not None
@@ -201,7 +201,7 @@
         if configuration is None:
             return set()
         used = {queue.pool for queue in configuration.queues}
-        # A standby pool has nothing to run, unless a queue names it.
+        # A standby pool needs an owner only if a queue uses it.
         pools = {pool.id for pool in configuration.pools if not pool.standby or pool.id in used}
         return {FLEET} | {Shard(pool) for pool in pools}
 
@@ -217,7 +217,7 @@
     # Shards
 
     def gained(self, shard: Shard, token: Revision) -> None:
-        """Begin to act as owner of a shard."""
+        """Start acting as the owner of ``shard``."""
         if shard == FLEET:
             self._fleet = self._fleet_owner(token)
             self._fleet.start()
@@ -244,16 +244,16 @@
         owner.start()
 
     def lost(self, shard: Shard, *, flush: bool = False) -> None:
-        """Stop acting as owner of a shard.
+        """Stop acting as the owner of ``shard``.
 
-        :param flush: nobody can own it yet, and there is time to store what is known.
+        :param flush: whether to store unsaved state first, as no other process can own it yet.
         """
         if shard == FLEET:
             if self._fleet is not None:
                 self._fleet.close()
                 if flush or self._pace.is_slowed:
-                    # Its round may be in the midst of orders, which the next owner's must not meet.
-                    # A slowed host hands over without a flush.
+                    # Wait for a round in progress, since its orders must not overlap with those of
+                    # the next owner. A slowed host hands over without a flush but waits as well.
                     self._fleet.join(FLEET_STOP_S)
             return
         with self._lock:
@@ -306,7 +306,7 @@
         return configuration.pools if configuration is not None else ()
 
     def _load_of(self, pool: PoolId) -> float:
-        """Return the share of a pool's hosts that its work fills, as its owner says."""
+        """Return a pool's need as a share of its hosts, as reported by its owner; 0 if unknown."""
         said = self._news.pressure_of(pool)
         return said.need / max(1, said.hosts) if said is not None else 0.0
 
@@ -317,7 +317,7 @@
     def _dial(self, entry: EndpointEntry) -> EndpointCalls:
         return HttpEndpoint(entry, self.metrics)
 
-    # Messages of other hosts
+    # Messages from other hosts
 
     def _accepted(self, batch: Batch, message: JobAccepted) -> None:
         del batch
--- a/src/lentilrill/entry/_silence.py
+++ b/src/lentilrill/entry/_silence.py
@@ -1,4 +1,4 @@
-"""Whether the store is silent for everybody, or only for some hosts."""
+"""Detection of a store outage that affects all entry hosts, not only some."""
 
 import msgspec
 
@@ -7,28 +7,28 @@
 __all__ = ["FRESH_S", "SILENT_S", "StoreSilence"]
 
 FRESH_S = 1.6
-"""How long a host's word counts: five rounds of news, so that some lost messages change nothing."""
+"""Time for which a status is valid: five send intervals, so that a few messages may be lost."""
 SILENT_S = 0.9
-"""Silence of the store after which a host counts it as away: two renewals without an answer."""
+"""Time without an answer after which the store counts as down for a host: two lease renewals."""
 REMEMBERED_S = 30.0
-"""How long a host counts as one that may claim after it was last heard of: longer than an outage in
-which all leases run out and all hosts register anew, at most a few seconds after each other."""
+"""Time after its last registration or report for which a host counts as one that may claim. It is
+longer than an outage in which all leases expire and all hosts register again within seconds."""
 
 
 class _Said(msgspec.Struct):
-    """What a host said last, and when, by this process's monotonic clock."""
+    """The last report of a host, and its time by this process's monotonic clock."""
 
     at: float
     silent_s: float
 
 
 class StoreSilence:
-    """What the entry hosts say of the store, and which hosts there are.
+    """Tracks which entry hosts exist and what they report about the store.
 
-    Hosts are remembered beyond their registration. Guard against two owners of one shard: leases
-    run out in an outage, so that just after it the store names few hosts. If a zone is cut off in
-    that moment, its hosts would be most of those that are named, take the cut for an outage, and
-    go on ordering beside the owners that the others claim.
+    Hosts are kept beyond their registration, to prevent two owners of one shard. Leases expire in
+    an outage, so right after it few hosts are registered. If a network partition then cuts off a
+    zone, its hosts could be a majority of the registered ones, take the partition for an outage,
+    and go on giving orders beside the new owners on the other side.
     """
 
     def __init__(self) -> None:
@@ -36,18 +36,19 @@
         self._seen_by_process: dict[ProcessId, float] = {}
 
     def seen(self, process: ProcessId, now: float) -> None:
-        """Note that a host is registered."""
+        """Record that a host is registered."""
         self._seen_by_process[process] = now
 
     def said(self, process: ProcessId, silent_s: float, now: float) -> None:
-        """Note for how long the store has been silent for another host, as it says."""
+        """Record a host's report of the time since the store last answered it."""
         self._said_by_process[process] = _Said(now, silent_s)
         self.seen(process, now)
 
     def is_everywhere(self, own_silent_s: float, now: float) -> bool:
-        """Return whether the store is silent for most hosts and nobody says otherwise.
+        """Return whether the store is down for a majority of hosts and no host reports otherwise.
 
-        One host that reaches the store can claim what this one owns, so its word is enough.
+        A single host that reaches the store could claim this host's shards, so its report is enough
+        to rule an outage out.
         """
         if own_silent_s < SILENT_S:
             return False
--- a/tests/entry/fakes.py
+++ b/tests/entry/fakes.py
@@ -8,7 +8,7 @@
 
 
 class FakeNode:
-    """Notes what is to be sent, by address."""
+    """Records the messages to be sent, with their addresses."""
 
     process = ProcessId("h0")
     address = "10.0.0.0:1"
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What an entry host believes from records and from its peers."""
+"""What an entry host derives from stored records and from the status of its peers."""
 
 import time
 from unittest.mock import patch
@@ -29,10 +29,10 @@
 
 class ConfigurationBookTest(TestCase):
     def test_an_older_version_never_comes_back(self) -> None:
-        """A clerk's queue was there, then unknown, then there again.
+        """A new queue was known, then unknown, then known again.
 
-        A host had taken the new configuration from a peer; then its own read of the store, which
-        was stale, brought the old one.
+        A host had received the new configuration from a peer, and then applied the old one from a
+        stale read of the store.
         """
         book = ConfigurationBook()
         book.offer(a_record(7, "/new/"))
@@ -93,9 +93,9 @@
         self.desk._heard(Batch(ProcessId(host), Incarnation(1), "10.0.0.1:1", ()), news)
 
     def test_an_outage_is_everywhere_only_if_most_say_so(self) -> None:
-        """Two hosts owned one pool: one of them, cut off with its zone, took the cut for an outage.
+        """Two hosts owned one pool, as one of them took a network partition for a store outage.
 
-        It hears the hosts of its own zone only, and these are no majority.
+        It receives reports from hosts of its own zone only, and these are no majority.
         """
         for host in ("h0", "h1"):
             self.hear(host, HostNews(5.0, -1))
@@ -106,11 +106,11 @@
         self.assertFalse(self.desk.outage_everywhere())
 
     def test_a_cut_just_after_an_outage_is_no_outage(self) -> None:
-        """A book was embossed twice: two hosts owned the pool for five seconds.
+        """Two hosts owned a pool for five seconds, and a job ran twice.
 
-        In an outage of the store all leases ran out. Just after it, when only two other hosts had
-        registered anew, a zone was cut off: both of its hosts were silent, the store's list named
-        two others, and so the owner in the zone took the cut for an outage and went on.
+        In a store outage all leases expired. A zone was partitioned right after it, when only two
+        other hosts had registered again. Both hosts of the zone lost the store and the list of
+        hosts had only two others, so the owner in the zone took the partition for an outage.
         """
         self.members = self.members[4:]
         self.desk._tell(())
@@ -118,7 +118,7 @@
         self.assertFalse(self.desk.outage_everywhere())
 
     def test_one_host_that_reaches_the_store_is_enough(self) -> None:
-        """Tasks ran twice: the store turned most hosts away and served one, which claimed."""
+        """Tasks ran twice: the store served only one host, which claimed the others' shards."""
         for n in range(5):
             self.hear(f"h{n}", HostNews(5.0, -1))
         self.assertTrue(self.desk.outage_everywhere())
@@ -132,9 +132,10 @@
         self.assertFalse(self.desk.outage_everywhere())
 
     def test_a_rise_of_a_pool_s_need_is_acted_on_at_once(self) -> None:
-        """In a surge each pool's hosts came three tenths of a second later than they could have.
+        """In a surge the additional hosts of each pool came 0.3 s later than necessary.
 
-        Its owner told its need by the clock, and the fleet's owner began its rounds by another.
+        The pool's owner sent its need at fixed intervals, and the fleet's owner started its rounds
+        at intervals of its own.
         """
         pool = PoolId("notices")
         for need in (2.0, 2.5, 6.0, 6.1, 3.0):
@@ -151,7 +152,7 @@
         self.assertEqual(9, said.token)
 
     def test_only_a_host_that_says_so_now_takes_a_shard_over(self) -> None:
-        """A shard went to a host that was leaving, or had not been heard for seconds."""
+        """A shard was handed over to a host that was leaving, or had not reported for seconds."""
         host = ProcessId("h1")
         self.assertFalse(self.desk.takes_over(host))
         self.hear("h1", HostNews(0.0, -1, takes_over=True))
@@ -163,7 +164,7 @@
         self.assertFalse(self.desk.takes_over(host))
 
     def test_a_slowed_host_counts_what_it_heard_seconds_ago(self) -> None:
-        """A slowed owner came to its peers' news late, found nobody fit, and kept its shard."""
+        """A slowed owner handled reports late, and kept its shard as no report seemed recent."""
         host = ProcessId("h1")
         self.is_slowed = True
         self.assertFalse(self.desk.takes_over(host))
--- a/tests/entry/test_news.py
+++ b/tests/entry/test_news.py
@@ -1,4 +1,4 @@
-"""To whom an entry host tells its news, and what it makes of late ones."""
+"""Recipients and times of an entry host's status messages, and the handling of late ones."""
 
 import time
 from typing import Any
@@ -41,7 +41,7 @@
         )
 
     def tick(self, after_s: float = 0.1) -> list[tuple[str, Any]]:
-        """Return what is sent at the next look, some seconds later."""
+        """Advance the clock; return the messages that are sent then."""
         self.now += after_s
         self.node.sent.clear()
         self.desk._tell_if_due()
@@ -53,21 +53,21 @@
 
 class AudienceTest(NewsCase):
     def test_a_host_at_rest_tells_a_few_however_many_there_are(self) -> None:
-        """At a site of 97 entry hosts each one spent most of its processor time on news."""
+        """At a site of 97 entry hosts each spent most of its processor time on status messages."""
         sent = [self.tick() for _ in range(20)]
         told = sum(len(each) for each in sent)
         self.assertLessEqual(told, 2 * (2.0 / REFRESH_S + 1))
         self.assertEqual(2, len({address for each in sent for address, _ in each}))
 
     def test_the_fleets_owner_hears_of_a_rise_at_once(self) -> None:
-        """Hosts came later to a surge than they could have."""
+        """Additional hosts came later to a surge than necessary."""
         self.pressures = (a_pressure(need=2.0),)
         self.tick(1.0)
         self.pressures = (a_pressure(need=9.0),)
         self.assertIn(FLEET, [address for address, _ in self.tick()])
 
     def test_only_the_fleets_owner_gets_lists_of_endpoints(self) -> None:
-        """An owner of a large pool sent megabits a second to hosts that had no use for them."""
+        """An owner of a large pool sent megabits per second to hosts that didn't use the data."""
         idle = tuple(EndpointId(f"e{n}") for n in range(60))
         self.pressures = (a_pressure(idle=idle),)
         for address, news in self.tick(1.0):
@@ -75,7 +75,7 @@
             self.assertEqual(idle if address == FLEET else (), pressure.idle, address)
 
     def test_all_hosts_hear_of_a_pool_before_what_they_know_is_old(self) -> None:
-        """A host refused nothing for a pool that was full: it knew nothing of it any more."""
+        """A host refused no jobs for a full pool, because the pressure it knew had expired."""
         self.pressures = (a_pressure(),)
         self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(1.0)}))
         self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(REFRESH_S)}))
@@ -89,7 +89,7 @@
         self.assertFalse(turn.is_due((a_pressure(wait_s=0.9),), later - 0.1))
 
     def test_an_owner_asks_all_hosts_whether_they_reach_the_store(self) -> None:
-        """An owner stopped ordering in an outage that was everywhere, as nobody told it so."""
+        """An owner stopped giving orders in a store outage, as no other host reported it."""
         self.silent_s = 0.5
         self.assertEqual([], [news for _, news in self.tick(1.0) if news.asks])
         self.is_owner = True
@@ -103,14 +103,14 @@
         self.assertFalse(news.asks)
 
     def test_a_host_that_might_take_over_is_asked(self) -> None:
-        """A weak owner kept its shard: it had heard nothing of the host that it would go to."""
+        """A weak owner kept its shard, as it had no report from the host that should get it."""
         self.assertFalse(self.desk.takes_over(ProcessId("h7")))
         asked = [address for address, news in self.tick() if news.asks]
         self.assertEqual(["10.0.0.7:1"], asked)
         self.assertEqual([], [news for _, news in self.tick(2.0) if news.asks])
 
     def test_a_host_with_an_old_configuration_gets_the_newer_one(self) -> None:
-        """A host that the store turned away went on by a configuration of minutes ago."""
+        """A host that the store refused to serve used a configuration that was minutes old."""
         record = msgspec.json.encode({"version": 3, "routes": [], "services": []})
         self.hear(HostNews(0.0, 3))
         self.assertEqual(1, len(self.node.sent))
@@ -123,7 +123,7 @@
 
 class LateNewsTest(NewsCase):
     def test_news_that_are_read_late_are_old(self) -> None:
-        """A busy fleet's owner moved hosts by needs of seconds ago, which it took for new."""
+        """A busy fleet owner moved hosts by values that were seconds old and seemed new."""
         pool = PoolId("notices")
         self.hear(HostNews(0.0, -1, (a_pressure(),), sent_s=70.0))
         self.assertIsNotNone(self.desk.pressure_of(pool))
