--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -22,7 +22,7 @@
     ReleaseTold,
 )
 from lentilrill.intake import SILENT_STORE_S, Intake
-from lentilrill.ownership import Ownership, Pace, Shard
+from lentilrill.ownership import Ownership, PaceMonitor, Shard
 from lentilrill.platform import (
     ENDPOINTS,
     OPERATORS,
@@ -75,7 +75,7 @@
         self._pools_by_id: dict[PoolId, PoolOwner] = {}
         self._fleet: FleetOwner | None = None
         self._leaving = False
-        self._pace = Pace(self.metrics, is_owner=lambda: self._ownership.is_owner)
+        self._pace = PaceMonitor(self.metrics, is_owner=lambda: self._ownership.is_owner)
         self._ownership = Ownership(
             self._kv,
             settings.process,
@@ -87,7 +87,7 @@
             lambda: self._news.outage_everywhere(),
             settings.limits.strength,
             lambda: self._pace.value,
-            takes_over=lambda process: self._news.takes_over(process),
+            can_take_over=lambda process: self._news.takes_over(process),
         )
         self._news = NewsDesk(
             self._node,
@@ -216,7 +216,7 @@
 
     # Shards
 
-    def gained(self, shard: Shard, token: Revision) -> None:
+    def on_gained(self, shard: Shard, token: Revision) -> None:
         """Start acting as the owner of ``shard``."""
         if shard == FLEET:
             self._fleet = self._fleet_owner(token)
@@ -243,7 +243,7 @@
             former.close()
         owner.start()
 
-    def lost(self, shard: Shard, *, flush: bool = False) -> None:
+    def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
         """Stop acting as the owner of ``shard``.
 
         :param flush: whether to store unsaved state first, as no other process can own it yet.
--- a/src/lentilrill/ownership/__init__.py
+++ b/src/lentilrill/ownership/__init__.py
@@ -2,7 +2,15 @@
 
 from lentilrill.ownership._clock import boottime
 from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard
-from lentilrill.ownership._ownership import OWNER_TTL_S, Ownership
-from lentilrill.ownership._pace import Pace
+from lentilrill.ownership._ownership import LEASE_TTL_S, Ownership
+from lentilrill.ownership._pace import PaceMonitor
 
-__all__ = ["OWNER_TTL_S", "MemberRecord", "OwnerRecord", "Ownership", "Pace", "Shard", "boottime"]
+__all__ = [
+    "LEASE_TTL_S",
+    "MemberRecord",
+    "OwnerRecord",
+    "Ownership",
+    "PaceMonitor",
+    "Shard",
+    "boottime",
+]
--- a/src/lentilrill/ownership/_hand_over.py
+++ b/src/lentilrill/ownership/_hand_over.py
@@ -6,63 +6,63 @@
 import msgspec
 
 from lentilrill.ids import ProcessId, Revision
-from lentilrill.ownership._members import MemberRecord, Shard, by_load
+from lentilrill.ownership._members import MemberRecord, Shard, claim_order
 
-__all__ = ["HandOver"]
+__all__ = ["HandOverPolicy"]
 
-LOOK_EVERY_S = 0.2
+CHECK_INTERVAL_S = 0.2
 
 
-class Terms(msgspec.Struct, frozen=True):
+class Thresholds(msgspec.Struct, frozen=True):
     """Conditions under which a hand-over is worth its cost: callers wait during the take-over.
 
-    :param gain: minimum ratio of the owner's load (shards per strength) to the load that the other
-        host would have with the shard.
-    :param settled_s: seconds for which another host must have been better, since a host that has
+    :param min_load_ratio: minimum ratio of the owner's load (shards per strength) to the load that
+        the other host would have with the shard.
+    :param min_better_s: seconds for which another host must have been better, since a host that has
         just joined may leave again.
-    :param pause_s: minimum time between two hand-overs of one owner, and between acquiring a shard
-        and handing it over, so that callers of all shards don't wait for take-overs at once.
+    :param min_interval_s: minimum time between two hand-overs of one owner, and between acquiring a
+        shard and handing it over, so that callers of all shards don't wait at once.
     """
 
-    gain: float
-    settled_s: float
-    pause_s: float
+    min_load_ratio: float
+    min_better_s: float
+    min_interval_s: float
 
 
-USUAL_TERMS = Terms(gain=2.0, settled_s=2.0, pause_s=3.0)
+DEFAULT_THRESHOLDS = Thresholds(min_load_ratio=2.0, min_better_s=2.0, min_interval_s=3.0)
 """The ratio keeps a shard from moving back and forth between two equal hosts, one of which owns two
 shards."""
-SLOWED_TERMS = Terms(gain=1.25, settled_s=1.0, pause_s=1.0)
+SLOWED_THRESHOLDS = Thresholds(min_load_ratio=1.25, min_better_s=1.0, min_interval_s=1.0)
 """Lower limits on a slowed host: its callers already wait at each step of their jobs."""
 
 
-class HandOver:
+class HandOverPolicy:
     """Decides when a process hands over one of its shards.
 
     :param me: this process.
-    :param takes_over: whether another host has reported that it can take over a shard now.
+    :param can_take_over: whether another host has reported that it can take over a shard now.
     :param is_slowed: whether this host currently runs below its usual speed.
     """
 
     def __init__(
         self,
         me: ProcessId,
-        takes_over: Callable[[ProcessId], bool],
+        can_take_over: Callable[[ProcessId], bool],
         is_slowed: Callable[[], bool],
     ) -> None:
         self._me = me
-        self._takes_over = takes_over
+        self._can_take_over = can_take_over
         self._is_slowed = is_slowed
         self._better_since: float | None = None
         self._changed_at = 0.0
-        self._looked_at = 0.0
+        self._checked_at = 0.0
 
-    def changed(self, now: float) -> None:
+    def record_change(self, now: float) -> None:
         """Record that a shard was acquired or handed over."""
         self._changed_at = now
         self._better_since = None
 
-    def due(
+    def next_hand_over(
         self,
         now: float,
         tokens_by_shard: dict[Shard, Revision],
@@ -74,38 +74,44 @@
         :param tokens_by_shard: shards that this process owns, at least one.
         :param members: all entry hosts, including this one.
         """
-        if now - self._looked_at < LOOK_EVERY_S:
+        if now - self._checked_at < CHECK_INTERVAL_S:
             return None
-        self._looked_at = now
-        terms = SLOWED_TERMS if self._is_slowed() else USUAL_TERMS
+        self._checked_at = now
+        thresholds = SLOWED_THRESHOLDS if self._is_slowed() else DEFAULT_THRESHOLDS
         # The longest-owned shard: the take-over of the others may still be in progress.
         shard = min(tokens_by_shard, key=lambda each: tokens_by_shard[each])
-        better = self._better(shard, members, owners_by_shard, terms.gain)
+        better = self._find_better(shard, members, owners_by_shard, thresholds.min_load_ratio)
         if better is None:
             self._better_since = None
             return None
         if self._better_since is None:
             self._better_since = now
-        if now - self._better_since < terms.settled_s or now - self._changed_at < terms.pause_s:
+        if (
+            now - self._better_since < thresholds.min_better_s
+            or now - self._changed_at < thresholds.min_interval_s
+        ):
             return None
         return shard, better
 
-    def _better(
+    def _find_better(
         self,
         shard: Shard,
         members: Collection[MemberRecord],
         owners_by_shard: dict[Shard, ProcessId],
-        gain: float,
+        min_load_ratio: float,
     ) -> MemberRecord | None:
-        """Return the best host whose load with the shard would be lower by the ratio ``gain``."""
-        owned = Counter(owners_by_shard.values())
-        mine = next((member for member in members if member.process == self._me), None)
-        if mine is None:
+        """Return the least loaded host that would reduce the load by ``min_load_ratio``, if any."""
+        shards_by_process = Counter(owners_by_shard.values())
+        own_record = next((member for member in members if member.process == self._me), None)
+        if own_record is None:
             return None
-        work = owned[self._me] / mine.strength
-        for member in by_load(shard, members, owners_by_shard):
-            if work <= gain * (owned[member.process] + 1) / member.strength:
+        own_load = shards_by_process[self._me] / own_record.strength
+        for member in claim_order(shard, members, owners_by_shard):
+            if (
+                own_load
+                <= min_load_ratio * (shards_by_process[member.process] + 1) / member.strength
+            ):
                 return None
-            if member.process != self._me and self._takes_over(member.process):
+            if member.process != self._me and self._can_take_over(member.process):
                 return member
         return None
--- a/src/lentilrill/ownership/_members.py
+++ b/src/lentilrill/ownership/_members.py
@@ -9,7 +9,7 @@
 
 from lentilrill.ids import Incarnation, ProcessId, ZoneId
 
-__all__ = ["MemberRecord", "OwnerRecord", "Shard", "by_load", "rank"]
+__all__ = ["MemberRecord", "OwnerRecord", "Shard", "claim_order", "claim_rank"]
 
 Shard = NewType("Shard", str)
 """A unit of work with at most one owner at a time: a pool, or the fleet as a whole."""
@@ -39,7 +39,7 @@
     inner: str
 
 
-def by_load(
+def claim_order(
     shard: Shard, members: Collection[MemberRecord], owners_by_shard: dict[Shard, ProcessId]
 ) -> list[MemberRecord]:
     """Return the members in the order in which they should claim ``shard``.
@@ -51,24 +51,24 @@
     few owners, and then to a hash of shard and member, so that hosts that start together don't
     all claim the same shard.
     """
-    owned = Counter(owners_by_shard.values())
+    shards_by_process = Counter(owners_by_shard.values())
     zone_by_process = {member.process: member.zone for member in members}
-    owned_in_zone = Counter(zone_by_process.get(process) for process in owners_by_shard.values())
+    shards_by_zone = Counter(zone_by_process.get(process) for process in owners_by_shard.values())
 
-    def order(member: MemberRecord) -> tuple[float, int, int]:
-        work = (owned[member.process] + 1) / member.strength
-        tie = zlib.crc32(f"{shard}/{member.process}".encode())
-        return work, owned_in_zone[member.zone], tie
+    def sort_key(member: MemberRecord) -> tuple[float, int, int]:
+        load = (shards_by_process[member.process] + 1) / member.strength
+        tie_break = zlib.crc32(f"{shard}/{member.process}".encode())
+        return load, shards_by_zone[member.zone], tie_break
 
-    return sorted(members, key=order)
+    return sorted(members, key=sort_key)
 
 
-def rank(
+def claim_rank(
     shard: Shard,
     me: ProcessId,
     members: Collection[MemberRecord],
     owners_by_shard: dict[Shard, ProcessId],
 ) -> int:
     """Return the number of members that should claim ``shard`` before ``me``."""
-    in_line = [member.process for member in by_load(shard, members, owners_by_shard)]
-    return in_line.index(me) if me in in_line else len(in_line)
+    ordered = [member.process for member in claim_order(shard, members, owners_by_shard)]
+    return ordered.index(me) if me in ordered else len(ordered)
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -11,40 +11,40 @@
 from lentilrill.faults import FaultKind
 from lentilrill.ids import Incarnation, ProcessId, Revision, ZoneId
 from lentilrill.ownership._clock import boottime
-from lentilrill.ownership._hand_over import HandOver
-from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard, rank
-from lentilrill.ownership._pace import USUAL
+from lentilrill.ownership._hand_over import HandOverPolicy
+from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard, claim_rank
+from lentilrill.ownership._pace import NORMAL_PACE
 from lentilrill.store import Compare, DeleteRange, Follower, Item, KeyValue, Put
 from lentilrill.telemetry import Dependency, Event, guarded, log
 
-__all__ = ["OWNER_TTL_S", "Ownership"]
+__all__ = ["LEASE_TTL_S", "Ownership"]
 
-MEMBERS = "m/n/"
-OWNERS = "m/o/"
-BOTH = "m/"
+MEMBER_PREFIX = "m/n/"
+OWNER_PREFIX = "m/o/"
+RECORD_PREFIX = "m/"
 
-OWNER_TTL_S = 1.6
+LEASE_TTL_S = 1.6
 """Time to live of an entry host's lease. Shorter than a run lease minus the time of a take-over, so
 that runs survive the loss of their owner; longer than three renewals plus a slow answer of 0.25 s.
 """
-RENEW_S = 0.4
+RENEW_INTERVAL_S = 0.4
 """Three renewals fit into one lease, so that a single lost answer has no effect."""
-SAFETY_S = 0.2
+LEASE_MARGIN_S = 0.2
 """Margin before the lease expires in which no order is given, so that an order that passed the
 check has been sent by then."""
-CLAIM_EVERY_S = 0.1
+CLAIM_INTERVAL_S = 0.1
 CLAIM_STAGGER_S = 0.15
 """Delay between the claims of one member and the next. A claim takes a few milliseconds, so races,
 which cost a call, are rare."""
-SETTLE_S = 0.4
+FIRST_CLAIM_DELAY_S = 0.4
 """Delay between start and first claim, so that hosts that start together see each other."""
 
 
-class _ShardTask(Protocol):
-    def gained(self, shard: Shard, token: Revision) -> None:
+class _ShardListener(Protocol):
+    def on_gained(self, shard: Shard, token: Revision) -> None:
         """Start acting as the owner of ``shard``."""
 
-    def lost(self, shard: Shard, *, flush: bool = False) -> None:
+    def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
         """Stop acting as the owner at once; another process may own the shard.
 
         :param flush: whether to store unsaved state first, as no other process can own it yet.
@@ -55,12 +55,12 @@
     """Registers this process, claims shards without an owner, and tracks the owners of the others.
 
     :param shards: returns the shards that currently exist.
-    :param outage_everywhere: whether most entry hosts report that the store does not answer.
+    :param is_store_outage: whether most entry hosts report that the store does not answer.
     :param strength: capacity of this host for control work, in usual cores.
     :param pace: current speed of this host as a share of its usual speed. The published strength
         is multiplied by it, so that a slowed host claims last and hands its shards over, as a weak
         host does.
-    :param takes_over: whether another host has reported that it can take over a shard now.
+    :param can_take_over: whether another host has reported that it can take over a shard now.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         zone: ZoneId,
         inner: str,
         shards: Callable[[], set[Shard]],
-        task: _ShardTask,
-        outage_everywhere: Callable[[], bool] = lambda: False,
+        listener: _ShardListener,
+        is_store_outage: Callable[[], bool] = lambda: False,
         strength: float = 1.0,
         pace: Callable[[], float] = lambda: 1.0,
-        takes_over: Callable[[ProcessId], bool] = lambda process: False,
+        can_take_over: Callable[[ProcessId], bool] = lambda process: False,
         clock: Callable[[], float] = boottime,
     ) -> None:
         self._kv = kv
@@ -84,46 +84,48 @@
         self._zone = zone
         self._inner = inner
         self._shards = shards
-        self._task = task
-        self._outage_everywhere = outage_everywhere
+        self._listener = listener
+        self._is_store_outage = is_store_outage
         self._strength = strength
         self._pace = pace
-        self._hand_over = HandOver(process, takes_over, lambda: pace() < USUAL)
+        self._hand_over_policy = HandOverPolicy(
+            process, can_take_over, lambda: pace() < NORMAL_PACE
+        )
         self._clock = clock
         self._lock = threading.RLock()
         self._lease = 0
-        self._proved_until = 0.0
-        self._kept_at = 0.0
-        self._told_strength = 0.0
+        self._lease_valid_until = 0.0
+        self._renewed_at = 0.0
+        self._stored_strength = 0.0
         self._members_by_process: dict[ProcessId, MemberRecord] = {}
         self._owners_by_shard: dict[Shard, tuple[OwnerRecord, Revision]] = {}
         self._tokens_by_shard: dict[Shard, Revision] = {}
-        self._absent_since: dict[Shard, float] = {}
-        self._given_up_by_shard: dict[Shard, Revision] = {}
+        self._unowned_since: dict[Shard, float] = {}
+        self._released_tokens_by_shard: dict[Shard, Revision] = {}
         self._lease_calls = Dependency("lease in the store")
-        self._began = clock()
+        self._started_at = clock()
         self._ended = threading.Event()
         self._leaving = False
-        self._left = False
+        self._has_left = False
         self._wake = threading.Event()
-        self._follower = Follower(kv, BOTH, self)
-        self._tasks = [
-            threading.Thread(target=self._renew, name="ownership-renew", daemon=True),
-            threading.Thread(target=self._claim, name="ownership-claim", daemon=True),
+        self._follower = Follower(kv, RECORD_PREFIX, self)
+        self._threads = [
+            threading.Thread(target=self._renew_loop, name="ownership-renew", daemon=True),
+            threading.Thread(target=self._claim_loop, name="ownership-claim", daemon=True),
         ]
 
     def start(self) -> None:
         """Start registering and claiming."""
         self._follower.start()
-        for task in self._tasks:
-            task.start()
+        for thread in self._threads:
+            thread.start()
 
     @property
     def peers(self) -> list[MemberRecord]:
         """The other registered entry hosts, as last read from the store."""
         with self._lock:
-            known = list(self._members_by_process.values())
-        return [member for member in known if member.process != self._process]
+            members = list(self._members_by_process.values())
+        return [member for member in members if member.process != self._process]
 
     def owner_of(self, shard: Shard) -> OwnerRecord | None:
         """Return the owner of ``shard``, as last read from the store."""
@@ -145,7 +147,7 @@
         """
         if shard not in self._tokens_by_shard:
             return False
-        return self._clock() < self._proved_until or self._outage_everywhere()
+        return self._clock() < self._lease_valid_until or self._is_store_outage()
 
     @property
     def registered(self) -> bool:
@@ -158,26 +160,26 @@
             self._leaving = True
             tokens = dict(self._tokens_by_shard)
         for shard, token in tokens.items():
-            self._stop(shard, token)
+            self._stop_acting(shard, token)
             self._release(shard, token)
-        self._left = True
+        self._has_left = True
 
-    def _stop(self, shard: Shard, token: Revision) -> None:
+    def _stop_acting(self, shard: Shard, token: Revision) -> None:
         """Stop acting as the owner of ``shard`` before its key is released.
 
         A slowed host does not flush: endpoints list ended runs again, and the next owner gets them
         from there sooner, as after a crash.
         """
         with self._lock:
-            self._given_up_by_shard[shard] = token
+            self._released_tokens_by_shard[shard] = token
             self._tokens_by_shard.pop(shard, None)
-        self._task.lost(shard, flush=self._pace() >= USUAL)
+        self._listener.on_lost(shard, flush=self._pace() >= NORMAL_PACE)
 
     def _release(self, shard: Shard, token: Revision) -> None:
         """Delete the key of ``shard``, unless another process has written it since."""
-        key = OWNERS + shard
+        key = OWNER_PREFIX + shard
         result = self._kv.commit((Compare(key, token),), (DeleteRange(key),))
-        log(Event.SHARD_RELEASED, shard=shard, token=token, result=_shown(result))
+        log(Event.SHARD_RELEASED, shard=shard, token=token, result=_result_text(result))
 
     def close(self) -> None:
         """Stop all threads and revoke the lease."""
@@ -193,19 +195,19 @@
             self._members_by_process = {}
             self._owners_by_shard = {}
         self.changed(items)
-        self._check_tokens()
+        self._drop_lost_shards()
 
     def changed(self, items: tuple[Item, ...]) -> None:
         """Apply changes of the records."""
         with self._lock:
             for item in items:
-                self._take(item)
-        self._check_tokens()
+                self._apply(item)
+        self._drop_lost_shards()
         self._wake.set()
 
-    def _take(self, item: Item) -> None:
-        is_owner = item.key.startswith(OWNERS)
-        name = item.key.removeprefix(OWNERS if is_owner else MEMBERS)
+    def _apply(self, item: Item) -> None:
+        is_owner = item.key.startswith(OWNER_PREFIX)
+        name = item.key.removeprefix(OWNER_PREFIX if is_owner else MEMBER_PREFIX)
         if is_owner:
             self._owners_by_shard.pop(Shard(name), None)
             if item.value is not None:
@@ -217,7 +219,7 @@
             member = msgspec.json.decode(item.value, type=MemberRecord)
             self._members_by_process[ProcessId(name)] = member
 
-    def _check_tokens(self) -> None:
+    def _drop_lost_shards(self) -> None:
         """Drop shards whose key was deleted or belongs to another process."""
         with self._lock:
             lost = [
@@ -232,108 +234,110 @@
         with self._lock:
             token = self._tokens_by_shard.pop(shard, None)
         if token is not None:
-            self._given_up_by_shard[shard] = token
+            self._released_tokens_by_shard[shard] = token
             log(Event.SHARD_LOST, shard=shard, token=token, reason=reason)
-            self._task.lost(shard)
+            self._listener.on_lost(shard)
 
     def give_up(self, shard: Shard, reason: str) -> None:
         """Stop owning ``shard`` after a request was refused because of a newer token."""
         self._lose(shard, reason)
 
-    def _renew(self) -> None:
+    def _renew_loop(self) -> None:
         while not self._ended.is_set():
-            guarded("lease", self._keep if self._lease else self._register)
-            self._ended.wait(RENEW_S if self._lease else RENEW_S / 3)
+            guarded("lease", self._renew_lease if self._lease else self._register)
+            self._ended.wait(RENEW_INTERVAL_S if self._lease else RENEW_INTERVAL_S / 3)
 
     def _register(self) -> None:
-        self._end_predecessor()
-        asked = self._clock()
-        granted = self._kv.lease(OWNER_TTL_S)
+        self._revoke_previous_lease()
+        requested_at = self._clock()
+        granted = self._kv.lease(LEASE_TTL_S)
         if isinstance(granted, Failure):
             self._lease_calls.failed(granted.failure().reason)
             return
         lease = granted.unwrap()
-        if not self._tell_strength(lease):
+        if not self._write_member_record(lease):
             return
         self._lease_calls.succeeded()
-        self._proved_until = asked + OWNER_TTL_S - SAFETY_S
+        self._lease_valid_until = requested_at + LEASE_TTL_S - LEASE_MARGIN_S
         self._lease = lease
         log(Event.MEMBER_REGISTERED, lease=lease, process=self._process)
 
-    def _tell_strength(self, lease: int) -> bool:
+    def _write_member_record(self, lease: int) -> bool:
         """Write the member record with the current strength; return whether it was stored."""
         strength = self._strength * self._pace()
         record = MemberRecord(
             self._process, self._incarnation, self._zone, self._inner, lease, strength
         )
-        put = Put(MEMBERS + self._process, msgspec.json.encode(record), lease)
+        put = Put(MEMBER_PREFIX + self._process, msgspec.json.encode(record), lease)
         if isinstance(written := self._kv.commit((), (put,)), Failure):
             self._lease_calls.failed(written.failure().reason)
             return False
-        self._told_strength = strength
+        self._stored_strength = strength
         return True
 
-    def _end_predecessor(self) -> None:
+    def _revoke_previous_lease(self) -> None:
         """Revoke the lease of this host's previous process, so that its shards are free at once.
 
         That process must have ended, since only one process can listen on its address.
         """
-        read = self._kv.read(MEMBERS + self._process)
+        read = self._kv.read(MEMBER_PREFIX + self._process)
         if isinstance(read, Failure):
             # Its shards become free when the lease expires, a second or two later.
             self._lease_calls.failed(read.failure().reason)
             return
         for item in read.unwrap().items:
-            if item.key != MEMBERS + self._process or item.value is None:
+            if item.key != MEMBER_PREFIX + self._process or item.value is None:
                 continue
             old = msgspec.json.decode(item.value, type=MemberRecord)
             if old.inner == self._inner and old.incarnation != self._incarnation:
                 self._kv.revoke(old.lease)
                 log(Event.PREDECESSOR_ENDED, lease=old.lease, process=old.process)
 
-    def _keep(self) -> None:
-        asked = self._clock()
-        kept = self._kv.keep_alive(self._lease)
-        if not isinstance(kept, Failure):
+    def _renew_lease(self) -> None:
+        requested_at = self._clock()
+        renewed = self._kv.keep_alive(self._lease)
+        if not isinstance(renewed, Failure):
             self._lease_calls.succeeded()
-            self._kept_at = max(self._kept_at, asked)
+            self._renewed_at = max(self._renewed_at, requested_at)
             # The store may grant a shorter time to live than requested.
-            ttl_s = min(OWNER_TTL_S, kept.unwrap())
-            self._proved_until = max(self._proved_until, asked + ttl_s - SAFETY_S)
-            if self._told_strength != self._strength * self._pace():
-                self._tell_strength(self._lease)
+            ttl_s = min(LEASE_TTL_S, renewed.unwrap())
+            self._lease_valid_until = max(
+                self._lease_valid_until, requested_at + ttl_s - LEASE_MARGIN_S
+            )
+            if self._stored_strength != self._strength * self._pace():
+                self._write_member_record(self._lease)
             return
-        self._lease_calls.failed(kept.failure().reason)
-        if kept.failure().kind is FaultKind.CONFLICT:
-            log(Event.LEASE_LAPSED, lease=self._lease, reason=kept.failure().reason)
+        self._lease_calls.failed(renewed.failure().reason)
+        if renewed.failure().kind is FaultKind.CONFLICT:
+            log(Event.LEASE_LAPSED, lease=self._lease, reason=renewed.failure().reason)
             self._lease = 0
-            self._proved_until = 0.0
+            self._lease_valid_until = 0.0
             for shard in list(self._tokens_by_shard):
                 self._lose(shard, "the lease has expired")
 
-    def _claim(self) -> None:
+    def _claim_loop(self) -> None:
         while not self._ended.is_set():
-            self._wake.wait(CLAIM_EVERY_S)
+            self._wake.wait(CLAIM_INTERVAL_S)
             self._wake.clear()
-            if not self.registered or self._clock() - self._began < SETTLE_S:
+            if not self.registered or self._clock() - self._started_at < FIRST_CLAIM_DELAY_S:
                 continue
-            if not self._has_claims():
+            if not self._needs_claim_round():
                 continue
-            if self._clock() >= self._proved_until:
+            if self._clock() >= self._lease_valid_until:
                 continue
             if not self._leaving:
                 for shard in sorted(self._shards()):
                     guarded("claim", partial(self._claim_if_due, shard))
                 guarded("hand-over", self._hand_over_if_due)
-            if not self._leaving or self._left:
+            if not self._leaving or self._has_left:
                 guarded("release", self._release_unused)
 
-    def _has_claims(self) -> bool:
+    def _needs_claim_round(self) -> bool:
         """Whether this process owns shards or holds keys of any, or some shard has no owner."""
-        if self.is_owner or self._leaving or self._absent_since:
+        if self.is_owner or self._leaving or self._unowned_since:
             return True
         with self._lock:
-            owners = self._owners()
+            owners = self._owner_processes()
         return self._process in owners.values() or not self._shards() <= owners.keys()
 
     def _claim_if_due(self, shard: Shard) -> None:
@@ -341,30 +345,30 @@
         self._adopt_claim(shard)
         with self._lock:
             if shard in self._owners_by_shard or shard in self._tokens_by_shard:
-                self._absent_since.pop(shard, None)
+                self._unowned_since.pop(shard, None)
                 return
-            since = self._absent_since.setdefault(shard, now)
-            owners = self._owners()
+            since = self._unowned_since.setdefault(shard, now)
+            owners = self._owner_processes()
             members = list(self._members_by_process.values())
         # After an outage in which all leases expired, the first host to return sees no other member
         # and would rank first for each shard. The delay grows with the shards that it owns.
-        mine = sum(1 for owner in owners.values() if owner == self._process)
-        before = max(mine, rank(shard, self._process, members, owners))
-        if now - since < before * CLAIM_STAGGER_S:
+        owned_count = sum(1 for owner in owners.values() if owner == self._process)
+        claim_position = max(owned_count, claim_rank(shard, self._process, members, owners))
+        if now - since < claim_position * CLAIM_STAGGER_S:
             return
-        key = OWNERS + shard
+        key = OWNER_PREFIX + shard
         record = OwnerRecord(self._process, self._incarnation, self._inner)
         put = Put(key, msgspec.json.encode(record), self._lease)
         result = self._kv.commit((Compare(key, Revision(0)),), (put,))
         if isinstance(result, Failure) or not result.unwrap().succeeded:
             # If the answer was lost, the watch shows whether the claim succeeded; see _adopt_claim.
-            self._absent_since.pop(shard, None)
-            log(Event.SHARD_NOT_CLAIMED, shard=shard, result=_shown(result))
+            self._unowned_since.pop(shard, None)
+            log(Event.SHARD_NOT_CLAIMED, shard=shard, result=_result_text(result))
             return
         token = result.unwrap().revision
         with self._lock:
             self._owners_by_shard[shard] = (record, token)
-        self._gain(shard, token)
+        self._acquire(shard, token)
 
     def _adopt_claim(self, shard: Shard) -> None:
         """Act on a claim whose answer was lost, once the watch shows its key."""
@@ -373,33 +377,35 @@
             if owner is None or shard in self._tokens_by_shard:
                 return
             record, token = owner
-            if not self._is_mine(record) or token == self._given_up_by_shard.get(shard):
+            if not self._is_own(record) or token == self._released_tokens_by_shard.get(shard):
                 return
-        self._gain(shard, token)
+        self._acquire(shard, token)
 
-    def _is_mine(self, record: OwnerRecord) -> bool:
+    def _is_own(self, record: OwnerRecord) -> bool:
         return record.process == self._process and record.incarnation == self._incarnation
 
-    def _owners(self) -> dict[Shard, ProcessId]:
+    def _owner_processes(self) -> dict[Shard, ProcessId]:
         return {shard: record.process for shard, (record, _) in self._owners_by_shard.items()}
 
     def _hand_over_if_due(self) -> None:
         with self._lock:
             if not self._tokens_by_shard:
                 return
-            members = self._members_now()
+            members = self._current_members()
             tokens = dict(self._tokens_by_shard)
-            due = self._hand_over.due(self._clock(), tokens, members, self._owners())
-        if due is None:
+            planned = self._hand_over_policy.next_hand_over(
+                self._clock(), tokens, members, self._owner_processes()
+            )
+        if planned is None:
             return
-        shard, target = due
+        shard, target = planned
         # If the store is unreachable no host could take over, and the shard would have no owner.
-        asked = self._clock()
-        self._keep()
-        if self._kept_at >= asked:
-            self._pass_on(shard, tokens[shard], target)
+        requested_at = self._clock()
+        self._renew_lease()
+        if self._renewed_at >= requested_at:
+            self._transfer(shard, tokens[shard], target)
 
-    def _members_now(self) -> list[MemberRecord]:
+    def _current_members(self) -> list[MemberRecord]:
         """Return all members, with this process's current strength instead of the stored one."""
         strength = self._strength * self._pace()
         return [
@@ -411,23 +417,23 @@
             for member in self._members_by_process.values()
         ]
 
-    def _pass_on(self, shard: Shard, token: Revision, target: MemberRecord) -> None:
+    def _transfer(self, shard: Shard, token: Revision, target: MemberRecord) -> None:
         """Make another process the owner of ``shard``; it learns so from its watch of the store.
 
         If the target has ended, the store refuses its lease; if it ends now, the key expires with
         its lease. If the answer is lost, the key belongs either to the target or still to this
         process, which then releases it.
         """
-        began = self._clock()
-        self._stop(shard, token)
-        stopped = self._clock()
-        key = OWNERS + shard
+        started_at = self._clock()
+        self._stop_acting(shard, token)
+        stopped_at = self._clock()
+        key = OWNER_PREFIX + shard
         record = OwnerRecord(target.process, target.incarnation, target.inner)
         put = Put(key, msgspec.json.encode(record), target.lease)
         result = self._kv.commit((Compare(key, token),), (put,))
         now = self._clock()
         with self._lock:
-            self._hand_over.changed(now)
+            self._hand_over_policy.record_change(now)
             if isinstance(result, Success) and result.unwrap().succeeded:
                 self._owners_by_shard[shard] = (record, result.unwrap().revision)
         log(
@@ -436,9 +442,9 @@
             token=token,
             to=target.process,
             pace=self._pace(),
-            stopped_s=round(stopped - began, 3),
-            written_s=round(now - stopped, 3),
-            result=_shown(result),
+            stopped_s=round(stopped_at - started_at, 3),
+            written_s=round(now - stopped_at, 3),
+            result=_result_text(result),
         )
 
     def _release_unused(self) -> None:
@@ -451,22 +457,22 @@
             unused = [
                 (shard, token)
                 for shard, (record, token) in self._owners_by_shard.items()
-                if self._is_mine(record)
+                if self._is_own(record)
                 and shard not in self._tokens_by_shard
-                and (self._leaving or token == self._given_up_by_shard.get(shard))
+                and (self._leaving or token == self._released_tokens_by_shard.get(shard))
             ]
         for shard, token in unused:
             self._release(shard, token)
 
-    def _gain(self, shard: Shard, token: Revision) -> None:
+    def _acquire(self, shard: Shard, token: Revision) -> None:
         with self._lock:
             if self._leaving:
                 return
             self._tokens_by_shard[shard] = token
-            self._hand_over.changed(self._clock())
+            self._hand_over_policy.record_change(self._clock())
         log(Event.SHARD_CLAIMED, shard=shard, token=token)
-        self._task.gained(shard, token)
+        self._listener.on_gained(shard, token)
 
 
-def _shown(result: object) -> str:
+def _result_text(result: object) -> str:
     return result.failure().reason if isinstance(result, Failure) else "done"
--- a/tests/ownership/test_hand_over.py
+++ b/tests/ownership/test_hand_over.py
@@ -17,12 +17,12 @@
 """Seconds by which each step advances the clock of all hosts."""
 ROUND_S = 0.12
 """Real seconds in which each host completes a claim round."""
-PATIENCE_S = 12.0
-APART_S = 2.0
+TIMEOUT_S = 12.0
+MIN_INTERVAL_S = 2.0
 """Minimum time between two hand-overs of one owner."""
 
 
-class Task:
+class Listener:
     """Records gained and lost shards, and whether the key was still this host's at the loss."""
 
     def __init__(self, kv: FakeKeyValue) -> None:
@@ -31,10 +31,10 @@
         self.was_own: list[bool] = []
         self._kv = kv
 
-    def gained(self, shard: Shard, token: Revision) -> None:
+    def on_gained(self, shard: Shard, token: Revision) -> None:
         self.tokens_by_shard[shard] = token
 
-    def lost(self, shard: Shard, *, flush: bool = False) -> None:
+    def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
         token = self.tokens_by_shard.pop(shard, None)
         item = self._kv.items_by_key.get(f"m/o/{shard}")
         self.flushes.append(flush)
@@ -44,13 +44,13 @@
 class Host:
     """An entry host: its ownership and the listener that records its shards."""
 
-    def __init__(self, ownership: Ownership, task: Task) -> None:
+    def __init__(self, ownership: Ownership, listener: Listener) -> None:
         self.ownership = ownership
-        self.task = task
+        self.listener = listener
 
     @property
     def shards(self) -> set[Shard]:
-        return set(self.task.tokens_by_shard)
+        return set(self.listener.tokens_by_shard)
 
 
 class HandOverCase(TestCase):
@@ -64,7 +64,7 @@
         self.hosts: list[Host] = []
 
     def host(self, name: str, strength: float = 1.0) -> Host:
-        task = Task(self.kv)
+        listener = Listener(self.kv)
         ownership = Ownership(
             self.kv,
             ProcessId(name),
@@ -72,16 +72,16 @@
             ZoneId("holyoke"),
             f"10.0.0.{name[-1]}:1",
             lambda: self.shards,
-            task,
+            listener,
             strength=strength,
             pace=lambda: self.pace_by_name.get(name, 1.0),
-            takes_over=lambda process: process not in self.unfit,
+            can_take_over=lambda process: process not in self.unfit,
             clock=lambda: self.now,
         )
         ownership.start()
         self.addCleanup(ownership.close)
         self.assertTrue(eventually(lambda: ownership.registered))
-        host = Host(ownership, task)
+        host = Host(ownership, listener)
         self.hosts.append(host)
         return host
 
@@ -96,12 +96,12 @@
     def step(self) -> None:
         self.now += STEP_S
         for host in self.hosts:
-            host.ownership._keep()
+            host.ownership._renew_lease()
         time.sleep(ROUND_S)
 
-    def passes(self, source: Host, target: Host) -> bool:
-        """Whether the shard moves from one host to another within ``PATIENCE_S``."""
-        end = self.now + PATIENCE_S
+    def moves(self, source: Host, target: Host) -> bool:
+        """Whether the shard moves from one host to another within ``TIMEOUT_S``."""
+        end = self.now + TIMEOUT_S
         while self.now < end and NOTICES not in target.shards:
             self.step()
         return NOTICES in target.shards and NOTICES not in source.shards
@@ -123,25 +123,25 @@
 
 
 class HandOverTest(HandOverCase):
-    def test_a_weak_owner_does_not_keep_what_a_strong_host_could_carry(self) -> None:
+    def test_a_weak_owner_hands_over_to_a_strong_host(self) -> None:
         """A weak host kept a large pool and fell behind, although a strong one owned nothing."""
         weak = self.owner("h1", strength=0.5)
         strong = self.host("h2", strength=2.0)
-        self.assertTrue(self.passes(weak, strong))
+        self.assertTrue(self.moves(weak, strong))
 
     def test_a_slowed_owner_does_not_keep_its_shard(self) -> None:
         """An owner too slow for its work kept its lease and started tasks too late."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.pace_by_name["h1"] = 0.2
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
 
-    def test_an_owner_stops_and_flushes_before_its_key_changes_hands(self) -> None:
+    def test_an_owner_stops_and_flushes_before_it_hands_its_key_over(self) -> None:
         """Two hosts gave orders for one pool, and ends of runs seen only by the first were lost."""
         weak = self.owner("h1", strength=0.5)
-        self.assertTrue(self.passes(weak, self.host("h2", strength=2.0)))
-        self.assertEqual([True], weak.task.flushes)
-        self.assertEqual([True], weak.task.was_own)
+        self.assertTrue(self.moves(weak, self.host("h2", strength=2.0)))
+        self.assertEqual([True], weak.listener.flushes)
+        self.assertEqual([True], weak.listener.was_own)
 
     def test_a_hand_over_without_an_answer_leaves_one_owner(self) -> None:
         """A shard had no owner, or two, after the answer to its hand-over was lost."""
@@ -151,9 +151,9 @@
             weak = self.owner("h1", strength=0.5)
             strong = self.host("h2", strength=2.0)
             self.kv.commits.append(fate)
-            self.assertTrue(self.passes(weak, strong))
+            self.assertTrue(self.moves(weak, strong))
             token = self.kv.items_by_key[KEY].revision
-            self.assertEqual(token, strong.task.tokens_by_shard[NOTICES])
+            self.assertEqual(token, strong.listener.tokens_by_shard[NOTICES])
             self.assertFalse(weak.ownership.may_order(NOTICES))
 
     def test_a_shard_given_to_a_host_that_leaves_is_claimed_by_another(self) -> None:
@@ -163,8 +163,8 @@
         leaving.ownership.leave()
         self.key_changes(8.0)
         self.unfit.add("h2")
-        self.assertTrue(self.passes(leaving, weak))
-        self.assertIn(True, weak.task.flushes)
+        self.assertTrue(self.moves(leaving, weak))
+        self.assertIn(True, weak.listener.flushes)
 
     def test_a_shard_that_a_lost_host_should_get_is_claimed_again(self) -> None:
         """A pool had no owner after its hand-over to a host that had just failed."""
@@ -175,7 +175,7 @@
         self.kv._leases.pop(strong.ownership._lease)
         self.assertTrue(eventually(lambda: bool(self.key_changes(STEP_S))))
         self.unfit.add("h2")
-        self.assertTrue(self.passes(strong, weak))
+        self.assertTrue(self.moves(strong, weak))
 
 
 class SlowedOwnerTest(HandOverCase):
@@ -191,16 +191,16 @@
             self.step()
         self.assertEqual({BALLOTS}, other.shards)
         self.slow("h1", pace=0.3)
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
 
-    def test_it_stops_but_stores_nothing_before_its_key_changes_hands(self) -> None:
+    def test_it_stops_without_a_flush_before_it_hands_its_key_over(self) -> None:
         """A pool had no acting owner for seconds while its slowed owner flushed its state."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
-        self.assertTrue(self.passes(slowed, other))
-        self.assertEqual([False], slowed.task.flushes)
-        self.assertEqual([True], slowed.task.was_own)
+        self.assertTrue(self.moves(slowed, other))
+        self.assertEqual([False], slowed.listener.flushes)
+        self.assertEqual([True], slowed.listener.was_own)
 
     def test_its_shard_does_not_go_to_another_slowed_host(self) -> None:
         """A zone was slowed, and its shards moved from one of its hosts to the next."""
@@ -208,15 +208,15 @@
         alike = [self.host(f"h{number}") for number in range(2, 6)]
         quick = self.host("h6", strength=0.5)
         self.slow("h1", "h2", "h3", "h4", "h5", pace=0.1)
-        self.assertTrue(self.passes(slowed, quick))
-        self.assertEqual([[]] * len(alike), [host.task.flushes for host in alike])
+        self.assertTrue(self.moves(slowed, quick))
+        self.assertEqual([[]] * len(alike), [host.listener.flushes for host in alike])
 
-    def test_a_host_that_is_quick_again_takes_nothing_back(self) -> None:
+    def test_a_recovered_host_takes_no_shard_back(self) -> None:
         """Callers waited for a second take-over after the previous owner's host had recovered."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
         self.slow()
         self.assertEqual([], self.key_changes(20.0))
 
@@ -235,7 +235,7 @@
 
 
 class HandOverGuardTest(HandOverCase):
-    def test_no_shard_goes_to_and_fro_between_alike_hosts(self) -> None:
+    def test_no_shard_moves_back_and_forth_between_equal_hosts(self) -> None:
         """Callers waited for take-overs by hosts that were no better than the previous owners."""
         self.shards = {NOTICES, BALLOTS}
         self.owner("h1")
@@ -249,7 +249,7 @@
         self.host("h2", strength=2.0)
         times = self.key_changes(20.0)
         for former, latter in itertools.pairwise(times):
-            self.assertGreaterEqual(latter - former, APART_S)
+            self.assertGreaterEqual(latter - former, MIN_INTERVAL_S)
 
     def test_nothing_is_handed_over_while_the_store_is_silent(self) -> None:
         """An owner released a shard during a store outage, when no host could claim it."""
@@ -257,7 +257,7 @@
         self.host("h2", strength=2.0)
         self.kv.down = True
         self.key_changes(10.0)
-        self.assertEqual([], weak.task.flushes)
+        self.assertEqual([], weak.listener.flushes)
 
     def test_nothing_is_handed_over_to_a_host_that_is_unfit(self) -> None:
         """A shard was handed over to a host that was overloaded itself, or about to leave."""
@@ -265,4 +265,4 @@
         self.host("h2", strength=2.0)
         self.unfit.add("h2")
         self.assertEqual([], self.key_changes(10.0))
-        self.assertEqual([], weak.task.flushes)
+        self.assertEqual([], weak.listener.flushes)
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -5,7 +5,7 @@
 
 from lentilrill.ids import Incarnation, ProcessId, Revision, ZoneId
 from lentilrill.ownership import MemberRecord, OwnerRecord, Ownership, Shard
-from lentilrill.ownership._members import rank
+from lentilrill.ownership._members import claim_rank
 from lentilrill.store import Put
 from tests.execution.fakes import eventually
 from tests.fakes import FakeKeyValue, lose_answer
@@ -17,17 +17,17 @@
     return MemberRecord(ProcessId(name), Incarnation(1), ZoneId(zone), "10.0.0.1:1", 1, strength)
 
 
-class Task:
+class Listener:
     """Records which shards were gained and lost."""
 
     def __init__(self) -> None:
         self.tokens_by_shard: dict[Shard, Revision] = {}
         self.losses: list[Shard] = []
 
-    def gained(self, shard: Shard, token: Revision) -> None:
+    def on_gained(self, shard: Shard, token: Revision) -> None:
         self.tokens_by_shard[shard] = token
 
-    def lost(self, shard: Shard, *, flush: bool = False) -> None:
+    def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
         del flush
         self.losses.append(shard)
         self.tokens_by_shard.pop(shard, None)
@@ -42,8 +42,8 @@
 
         self.shards = {NOTICES}
 
-    def member(self, name: str = "h1", incarnation: int = 1) -> tuple[Ownership, Task]:
-        task = Task()
+    def member(self, name: str = "h1", incarnation: int = 1) -> tuple[Ownership, Listener]:
+        listener = Listener()
         ownership = Ownership(
             self.kv,
             ProcessId(name),
@@ -51,31 +51,31 @@
             ZoneId("holyoke"),
             f"10.0.0.1:{name[-1]}",
             lambda: self.shards,
-            task,
+            listener,
             lambda: self.outage,
             clock=lambda: self.now,
         )
         ownership.start()
         self.addCleanup(ownership.close)
-        return ownership, task
+        return ownership, listener
 
-    def owning(self) -> tuple[Ownership, Task]:
-        ownership, task = self.member()
+    def owning(self) -> tuple[Ownership, Listener]:
+        ownership, listener = self.member()
         self.assertTrue(eventually(lambda: ownership.registered))
         self.now += 1.0
-        self.assertTrue(eventually(lambda: NOTICES in task.tokens_by_shard))
-        return ownership, task
+        self.assertTrue(eventually(lambda: NOTICES in listener.tokens_by_shard))
+        return ownership, listener
 
     def test_one_owner_at_a_time(self) -> None:
-        first, task = self.owning()
-        other, other_task = self.member("h2")
+        first, listener = self.owning()
+        other, other_listener = self.member("h2")
         self.assertTrue(eventually(lambda: other.registered))
         self.now += 1.0
         self.assertTrue(eventually(lambda: other.owner_of(NOTICES) is not None))
-        self.assertEqual({}, other_task.tokens_by_shard)
+        self.assertEqual({}, other_listener.tokens_by_shard)
         first.leave()
-        self.assertEqual([NOTICES], task.losses)
-        self.assertTrue(eventually(lambda: NOTICES in other_task.tokens_by_shard))
+        self.assertEqual([NOTICES], listener.losses)
+        self.assertTrue(eventually(lambda: NOTICES in other_listener.tokens_by_shard))
 
     def test_the_first_host_back_does_not_take_everything(self) -> None:
         """After an outage one host owned all five pools and the fleet, and fell behind.
@@ -84,17 +84,17 @@
         within a few milliseconds, before the others had registered.
         """
         self.shards = {Shard(name) for name in ("a", "b", "c")}
-        ownership, task = self.member()
+        ownership, listener = self.member()
         self.now += 1.0
-        self.assertTrue(eventually(lambda: bool(task.tokens_by_shard)))
+        self.assertTrue(eventually(lambda: bool(listener.tokens_by_shard)))
         for shard in self.shards:
             ownership._claim_if_due(shard)
-        self.assertEqual(1, len(task.tokens_by_shard))
+        self.assertEqual(1, len(listener.tokens_by_shard))
         for owned in (2, 3):
             self.now += owned * 0.15
-            self.assertTrue(eventually(lambda owned=owned: len(task.tokens_by_shard) == owned))
+            self.assertTrue(eventually(lambda owned=owned: len(listener.tokens_by_shard) == owned))
 
-    def test_a_right_ends_with_its_lease(self) -> None:
+    def test_an_owner_may_not_order_after_its_lease(self) -> None:
         """A suspended owner went on giving orders after another host had taken over.
 
         The clock for the lease must count the time spent suspended.
@@ -105,7 +105,7 @@
         self.now += 5.0
         self.assertFalse(ownership.may_order(NOTICES))
 
-    def test_work_goes_on_while_nobody_can_claim(self) -> None:
+    def test_an_owner_keeps_acting_in_a_store_outage(self) -> None:
         """In a store outage every task of every pool was killed.
 
         Owners could not renew their own leases and stopped renewing the run leases of their tasks.
@@ -118,11 +118,11 @@
         self.assertTrue(ownership.may_order(NOTICES))
 
     def test_a_key_that_was_taken_away_ends_ownership(self) -> None:
-        ownership, task = self.owning()
-        token = task.tokens_by_shard[NOTICES]
+        ownership, listener = self.owning()
+        token = listener.tokens_by_shard[NOTICES]
         self.kv.put("m/o/notices", b'{"process":"h9","incarnation":1,"inner":"10.0.0.9:1"}')
-        self.assertTrue(eventually(lambda: task.losses == [NOTICES]))
-        self.assertNotEqual(token, task.tokens_by_shard.get(NOTICES))
+        self.assertTrue(eventually(lambda: listener.losses == [NOTICES]))
+        self.assertNotEqual(token, listener.tokens_by_shard.get(NOTICES))
         self.assertFalse(ownership.may_order(NOTICES))
 
     def test_a_claim_whose_answer_was_lost_is_acted_on(self) -> None:
@@ -130,13 +130,13 @@
 
         The watch shows the owner its own key.
         """
-        ownership, task = self.member()
+        ownership, listener = self.member()
         self.assertTrue(eventually(lambda: ownership.registered))
         self.kv.commits.append(lose_answer)
         self.now += 1.0
-        self.assertTrue(eventually(lambda: NOTICES in task.tokens_by_shard))
+        self.assertTrue(eventually(lambda: NOTICES in listener.tokens_by_shard))
         item = self.kv.items_by_key["m/o/notices"]
-        self.assertEqual(item.revision, task.tokens_by_shard[NOTICES])
+        self.assertEqual(item.revision, listener.tokens_by_shard[NOTICES])
 
     def test_a_restarted_host_ends_its_former_lease(self) -> None:
         """After a crash a pool waited for its owner's lease to expire, although the host was back.
@@ -155,18 +155,18 @@
                 Put("m/o/notices", msgspec.json.encode(owner), lease),
             ),
         )
-        ownership, task = self.member("h1", incarnation=2)
+        ownership, listener = self.member("h1", incarnation=2)
         self.assertTrue(eventually(lambda: ownership.registered))
         self.now += 1.0
-        self.assertTrue(eventually(lambda: NOTICES in task.tokens_by_shard))
+        self.assertTrue(eventually(lambda: NOTICES in listener.tokens_by_shard))
 
 
 class RankTest(TestCase):
     def test_the_host_with_the_fewest_shards_claims_first(self) -> None:
         members = [a_record("h1"), a_record("h2")]
         owners = {Shard("ballots"): ProcessId("h1")}
-        self.assertEqual(0, rank(NOTICES, ProcessId("h2"), members, owners))
-        self.assertEqual(1, rank(NOTICES, ProcessId("h1"), members, owners))
+        self.assertEqual(0, claim_rank(NOTICES, ProcessId("h2"), members, owners))
+        self.assertEqual(1, claim_rank(NOTICES, ProcessId("h1"), members, owners))
 
     def test_strong_hosts_own_shards_before_weak_ones(self) -> None:
         """Half of a pool's jobs were answered after half a minute, others never.
@@ -177,7 +177,7 @@
         members = [a_record("weak", strength=0.25), a_record("strong", strength=2.0)]
         owners: dict[Shard, ProcessId] = {}
         for owned in range(4):
-            self.assertEqual(0, rank(NOTICES, ProcessId("strong"), members, owners), owned)
+            self.assertEqual(0, claim_rank(NOTICES, ProcessId("strong"), members, owners), owned)
             owners[Shard(f"pool-{owned}")] = ProcessId("strong")
 
     def test_owners_spread_over_zones(self) -> None:
@@ -186,5 +186,5 @@
             a_record(name, zone=zone) for name, zone in (("a1", "a"), ("a2", "a"), ("b1", "b"))
         ]
         owners = {Shard("ballots"): ProcessId("a1")}
-        self.assertEqual(0, rank(NOTICES, ProcessId("b1"), members, owners))
-        self.assertEqual(1, rank(NOTICES, ProcessId("a2"), members, owners))
+        self.assertEqual(0, claim_rank(NOTICES, ProcessId("b1"), members, owners))
+        self.assertEqual(1, claim_rank(NOTICES, ProcessId("a2"), members, owners))
--- a/tests/ownership/test_pace.py
+++ b/tests/ownership/test_pace.py
@@ -2,41 +2,41 @@
 
 from testtools import TestCase
 
-from lentilrill.ownership import Pace
+from lentilrill.ownership import PaceMonitor
 
 IDLE_S = 200e-6
 BUSY_S = 100e-6
-SECOND = 5
+SAMPLES_PER_S = 5
 """Samples per second."""
 
 
 class PaceTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.piece_s = BUSY_S
+        self.run_s = BUSY_S
         self.interrupted_s: list[float] = []
-        self.pace = Pace(piece=self.piece)
+        self.pace = PaceMonitor(benchmark=self.benchmark)
 
-    def piece(self) -> float:
-        return self.interrupted_s.pop() if self.interrupted_s else self.piece_s
+    def benchmark(self) -> float:
+        return self.interrupted_s.pop() if self.interrupted_s else self.run_s
 
-    def seconds(self, seconds: int, piece_s: float) -> set[float]:
-        """Sample for some seconds with runs of ``piece_s``; return the paces reported meanwhile."""
-        self.piece_s = piece_s
-        told = set()
-        for _ in range(seconds * SECOND):
+    def seconds(self, seconds: int, run_s: float) -> set[float]:
+        """Sample for some seconds with runs of ``run_s``; return the paces reported meanwhile."""
+        self.run_s = run_s
+        reported = set()
+        for _ in range(seconds * SAMPLES_PER_S):
             self.pace.sample()
-            told.add(self.pace.value)
-        return told
+            reported.add(self.pace.value)
+        return reported
 
-    def test_a_slowed_host_knows_within_a_second(self) -> None:
+    def test_a_slowed_host_is_detected_within_a_second(self) -> None:
         """An owner five times slower than usual was not detected as slowed."""
         self.seconds(60, BUSY_S)
         self.seconds(1, 5 * BUSY_S)
         self.assertAlmostEqual(0.2, self.pace.value)
         self.assertTrue(self.pace.is_slowed)
 
-    def test_a_host_that_is_quick_again_counts_as_such(self) -> None:
+    def test_a_host_that_recovers_no_longer_counts_as_slowed(self) -> None:
         """A host that had been slowed for a while got no shard for the rest of the day."""
         self.seconds(60, BUSY_S)
         self.seconds(600, 20 * BUSY_S)
@@ -62,13 +62,13 @@
         self.interrupted_s = [50 * BUSY_S] * 3
         self.assertEqual({1.0}, self.seconds(1, BUSY_S))
 
-    def test_noise_of_a_slowed_host_is_not_told(self) -> None:
+    def test_noise_of_a_slowed_host_is_not_reported(self) -> None:
         """Each small change in the speed of a slowed host caused a write to the store."""
         self.seconds(60, BUSY_S)
         self.seconds(1, 5 * BUSY_S)
-        told = self.pace.value
+        reported = self.pace.value
         for factor in (4, 6, 5, 7, 4):
-            self.assertEqual({told}, self.seconds(1, factor * BUSY_S))
+            self.assertEqual({reported}, self.seconds(1, factor * BUSY_S))
 
     def test_a_host_that_starts_slowed_learns_its_usual_speed_later(self) -> None:
         """A host that started while slowed was never detected as slowed afterwards."""
