--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -21,7 +21,7 @@
     ReleaseState,
     ReleaseTold,
 )
-from lentilrill.intake import SILENT_STORE_S, Intake
+from lentilrill.intake import MAX_STORE_SILENT_S, Intake
 from lentilrill.ownership import Ownership, PaceMonitor, Shard
 from lentilrill.platform import (
     ENDPOINTS,
@@ -136,9 +136,9 @@
         ]
         self._node.on(JobAccepted, self._accepted)
         self._node.on(JobCancelled, self._cancelled)
-        self._node.on(JobDoubted, self._intake.doubted)
+        self._node.on(JobDoubted, self._intake.on_job_doubted)
         self._node.on(JobAsk, self._asked)
-        self._node.on(JobTold, self._intake.told)
+        self._node.on(JobTold, self._intake.on_job_told)
         self._node.on(ReleaseAsk, self._release_asked)
         self._node.on(ReleaseTold, self._release_told)
 
@@ -189,7 +189,7 @@
         return (
             not self._leaving
             and self._configuration.current is not None
-            and self._kv.silent_s < SILENT_STORE_S
+            and self._kv.silent_s < MAX_STORE_SILENT_S
         )
 
     def _readiness(self, path: str) -> tuple[int, bytes]:
--- a/src/lentilrill/intake/_doubts.py
+++ b/src/lentilrill/intake/_doubts.py
@@ -6,15 +6,15 @@
 
 from lentilrill.ids import JobId
 
-__all__ = ["Doubts"]
+__all__ = ["UnconfirmedJobs"]
 
-KEPT_S = 60.0
+RETENTION_S = 60.0
 """Time for which a job is kept: callers without a definite answer retry within seconds."""
-MOST_KEPT = 2000
+MAX_JOBS = 2000
 """Maximum number of jobs kept, the newest ones: a store outage leaves several for each caller."""
 
 
-class Doubts:
+class UnconfirmedJobs:
     """Jobs whose commit got no answer, on this or any other entry host.
 
     Without them a host could refuse a job that is stored: the answer to a commit is lost, the
@@ -24,17 +24,17 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._noted_by_job: OrderedDict[JobId, float] = OrderedDict()
+        self._added_at_by_job: OrderedDict[JobId, float] = OrderedDict()
 
-    def note(self, job: JobId) -> None:
+    def add(self, job: JobId) -> None:
         """Record that a job may be stored."""
         with self._lock:
-            self._noted_by_job[job] = time.monotonic()
-            self._noted_by_job.move_to_end(job)
-            if len(self._noted_by_job) > MOST_KEPT:
-                self._noted_by_job.popitem(last=False)
+            self._added_at_by_job[job] = time.monotonic()
+            self._added_at_by_job.move_to_end(job)
+            if len(self._added_at_by_job) > MAX_JOBS:
+                self._added_at_by_job.popitem(last=False)
 
     def __contains__(self, job: JobId) -> bool:
         with self._lock:
-            noted = self._noted_by_job.get(job)
-        return noted is not None and time.monotonic() - noted < KEPT_S
+            added_at = self._added_at_by_job.get(job)
+        return added_at is not None and time.monotonic() - added_at < RETENTION_S
--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -21,8 +21,8 @@
     Message,
     PoolPressure,
 )
-from lentilrill.intake._doubts import Doubts
-from lentilrill.intake._group import LONGEST_S, Committed, GroupCommit
+from lentilrill.intake._doubts import UnconfirmedJobs
+from lentilrill.intake._group import MAX_WAIT_S, CommitResult, GroupCommit
 from lentilrill.ownership import OwnerRecord
 from lentilrill.scheduling import Pressure, may_take, outage_retry_s, retry_after_s
 from lentilrill.store import KeyValue, Priority
@@ -31,14 +31,14 @@
 
 __all__ = ["Intake"]
 
-SILENT_STORE_S = 1.0
+MAX_STORE_SILENT_S = 1.0
 """Time without an answer from the store after which jobs are refused at once and this host reports
 that it is not ready: two lease renewals in a row had no answer."""
-ASK_S = 0.35
+OWNER_QUERY_TIMEOUT_S = 0.35
 """Timeout for an owner's answer before the store is read instead; a round trip takes a few ms."""
-QUICK_ASK_S = 0.1
+REFUSAL_QUERY_TIMEOUT_S = 0.1
 """Timeout of the query before a refusal, which must not keep the caller waiting."""
-HELD_SHARE = 0.8
+COMMIT_WAIT_SHARE = 0.8
 """Share of the caller's timeout to spend on the commit. The rest leaves time to query the owner
 before a refusal, and for the answer to reach the caller."""
 
@@ -51,47 +51,47 @@
 class Intake:
     """Accepts, cancels and shows jobs.
 
-    :param owned: returns the pool's owner task, if this process owns the pool.
+    :param local_owner_of: returns the pool's owner task, if this process owns the pool.
     :param owner_of: returns the owner record of a pool, if known.
     :param pressure_of: returns the pressure reported by a pool's owner; ``None`` if there is no
         recent report.
     :param pools: returns all known pools.
-    :param others: returns the inner addresses of the other entry hosts.
-    :param silent_s: returns the seconds since the store last answered this host.
+    :param peer_addresses: returns the inner addresses of the other entry hosts.
+    :param store_silent_s: returns the seconds since the store last answered this host.
     """
 
     def __init__(
         self,
         kv: KeyValue,
         peers: _Peers,
-        owned: Callable[[PoolId], PoolOwner | None],
+        local_owner_of: Callable[[PoolId], PoolOwner | None],
         owner_of: Callable[[PoolId], OwnerRecord | None],
         pressure_of: Callable[[PoolId], PoolPressure | None],
         pools: Callable[[], list[PoolId]],
-        others: Callable[[], list[str]] = list,
-        silent_s: Callable[[], float] = lambda: 0.0,
+        peer_addresses: Callable[[], list[str]] = list,
+        store_silent_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._kv = kv
         self._peers = peers
-        self._owned = owned
+        self._local_owner_of = local_owner_of
         self._owner_of = owner_of
         self._pressure_of = pressure_of
         self._pools = pools
-        self._others = others
-        self._silent_s = silent_s
-        self._doubts = Doubts()
-        self._group = GroupCommit(kv)
-        self._asks = itertools.count(1)
+        self._peer_addresses = peer_addresses
+        self._store_silent_s = store_silent_s
+        self._unconfirmed = UnconfirmedJobs()
+        self._group_commit = GroupCommit(kv)
+        self._ask_ids = itertools.count(1)
         self._lock = threading.Lock()
-        self._waiting_by_ask: dict[int, _Question] = {}
+        self._query_by_ask: dict[int, _OwnerQuery] = {}
 
     def start(self) -> None:
         """Start committing."""
-        self._group.start()
+        self._group_commit.start()
 
     def close(self) -> None:
         """Stop once all queued commits are done."""
-        self._group.close()
+        self._group_commit.close()
 
     def submit(self, job: Job, wait_s: float | None = None) -> tuple[JobAnswer, float]:
         """Accept a job, or refuse it at once.
@@ -99,94 +99,96 @@
         :param wait_s: the caller's timeout in seconds, if known.
         :return: the answer, and the seconds after which a refused caller should retry.
         """
-        began = time.monotonic()
-        known = self._pressure_of(job.pool)
-        pressure = Pressure(known.wait_s, known.late_wait_s) if known is not None else None
+        started_at = time.monotonic()
+        reported = self._pressure_of(job.pool)
+        pressure = Pressure(reported.wait_s, reported.late_wait_s) if reported is not None else None
         # A job that may be stored is committed again even in an overloaded pool, to get its result.
-        if pressure is not None and not may_take(pressure) and job.id not in self._doubts:
+        if pressure is not None and not may_take(pressure) and job.id not in self._unconfirmed:
             return self._refuse(
                 job,
                 JobAnswer.OVERLOADED,
                 retry_after_s(pressure),
                 wait_s=pressure.wait_s,
                 late_s=pressure.late_s,
-                token=known.token if known is not None else 0,
+                token=reported.token if reported is not None else 0,
             )
-        silent_s = self._silent_s()
-        if silent_s >= SILENT_STORE_S:
+        store_silent_s = self._store_silent_s()
+        if store_silent_s >= MAX_STORE_SILENT_S:
             # Refuse before anything is sent, so that the job certainly never runs. A commit without
             # an answer would leave the outcome unknown.
-            retry_s = outage_retry_s(silent_s)
+            retry_s = outage_retry_s(store_silent_s)
             return self._refuse(
                 job, JobAnswer.UNAVAILABLE, retry_s, reason="the store does not answer"
             )
         value = msgspec.msgpack.encode(job)
-        done = self._group.create(f"in/{job.pool}/j/{job.id}", value, _bounded(wait_s))
-        answer = _answer_of(done)
-        took_s = round(time.monotonic() - began, 3)
+        result = self._group_commit.create(
+            f"in/{job.pool}/j/{job.id}", value, _commit_wait_s(wait_s)
+        )
+        answer = _answer_of(result)
+        took_s = round(time.monotonic() - started_at, 3)
         if answer is JobAnswer.UNAVAILABLE:
-            retry_s = outage_retry_s(silent_s)
+            retry_s = outage_retry_s(store_silent_s)
             return self._refuse(job, answer, retry_s, reason="not committed", took_s=took_s)
-        self._log_submit(job, answer, revision=done.revision, took_s=took_s)
-        if answer is JobAnswer.ACCEPTED and done.revision:
-            self._tell_owner(job, done.stored or value, done.revision)
+        self._log_submit(job, answer, revision=result.revision, took_s=took_s)
+        if answer is JobAnswer.ACCEPTED and result.revision:
+            self._notify_owner(job, result.stored or value, result.revision)
         elif answer is JobAnswer.UNKNOWN:
-            self._doubt(job.id)
+            self._report_unconfirmed(job.id)
         return answer, 0.0
 
     def _refuse(
-        self, job: Job, answer: JobAnswer, retry_s: float, **why: object
+        self, job: Job, answer: JobAnswer, retry_s: float, **fields: object
     ) -> tuple[JobAnswer, float]:
         """Refuse a job, unless an earlier attempt of its caller stored it or may have."""
-        if job.id in self._doubts:
+        if job.id in self._unconfirmed:
             answer = JobAnswer.UNKNOWN
-        elif self._ask_owner(job.pool, job.id, QUICK_ASK_S) is not None:
+        elif self._query_owner(job.pool, job.id, REFUSAL_QUERY_TIMEOUT_S) is not None:
             answer = JobAnswer.ACCEPTED
-        self._log_submit(job, answer, **why)
+        self._log_submit(job, answer, **fields)
         return answer, retry_s
 
-    def _doubt(self, job: JobId) -> None:
+    def _report_unconfirmed(self, job: JobId) -> None:
         """Record on this and all other hosts that a job may be stored."""
-        self._doubts.note(job)
-        for address in self._others():
+        self._unconfirmed.add(job)
+        for address in self._peer_addresses():
             self._peers.send(address, JobDoubted(job))
 
-    def doubted(self, batch: Batch, message: JobDoubted) -> None:
+    def on_job_doubted(self, batch: Batch, message: JobDoubted) -> None:
         """Record another host's report that a job may be stored."""
         del batch
-        self._doubts.note(message.job)
+        self._unconfirmed.add(message.job)
 
     def cancel(self, pool: PoolId, job: JobId, wait_s: float | None = None) -> JobAnswer:
         """Cancel a job.
 
         :param wait_s: the caller's timeout in seconds, if known.
         """
-        until = time.monotonic() + _bounded(wait_s)
-        found = self._find(pool, job)
-        if not found.is_sure:
+        deadline = time.monotonic() + _commit_wait_s(wait_s)
+        found = self._find_job(pool, job)
+        if not found.is_conclusive:
             return JobAnswer.UNAVAILABLE
-        home = found.pool
-        if home is None or found.state is None:
+        job_pool = found.pool
+        if job_pool is None or found.state is None:
             return JobAnswer.ABSENT
         if found.state.is_final:
             return JobAnswer.ACCEPTED
-        left_s = max(0.0, until - time.monotonic())
-        done = self._group.create(f"in/{home}/x/{job}", b"{}", left_s)
-        answer = _answer_of(done)
-        log(Event.CANCEL_ANSWERED, job=job, pool=home, answer=answer.value)
+        remaining_s = max(0.0, deadline - time.monotonic())
+        result = self._group_commit.create(f"in/{job_pool}/x/{job}", b"{}", remaining_s)
+        answer = _answer_of(result)
+        log(Event.CANCEL_ANSWERED, job=job, pool=job_pool, answer=answer.value)
         if answer is JobAnswer.ACCEPTED:
-            owner = self._owned(home)
-            record = self._owner_of(home)
+            owner = self._local_owner_of(job_pool)
+            record = self._owner_of(job_pool)
             if owner is not None:
                 owner.cancel(job)
             elif record is not None:
-                self._peers.send(record.inner, JobCancelled(home, job))
+                self._peers.send(record.inner, JobCancelled(job_pool, job))
         return answer
 
     def show(self, pool: PoolId, job: JobId) -> tuple[JobAnswer, JobState | None]:
         """Return the state of a job; ``ABSENT`` if there is no such job."""
-        found = self._find(pool, job)
-        if not found.is_sure:
+        found = self._find_job(pool, job)
+        if not found.is_conclusive:
             return JobAnswer.UNAVAILABLE, None
         if found.state is None:
             return JobAnswer.ABSENT, None
@@ -194,53 +196,57 @@
 
     def waiting(self, pool: PoolId, queue: QueueId) -> int | None:
         """Return how many accepted jobs of a queue have not started; ``None`` if unknown."""
-        known = self._pressure_of(pool)
-        return known.waiting_by_queue.get(queue, 0) if known is not None else None
+        reported = self._pressure_of(pool)
+        return reported.waiting_by_queue.get(queue, 0) if reported is not None else None
 
-    def told(self, batch: Batch, message: JobTold) -> None:
+    def on_job_told(self, batch: Batch, message: JobTold) -> None:
         """Handle an owner's answer to a query."""
         del batch
         with self._lock:
-            question = self._waiting_by_ask.pop(message.ask, None)
-        if question is not None:
-            question.answer = message
-            question.done.set()
+            query = self._query_by_ask.pop(message.ask, None)
+        if query is not None:
+            query.answer = message
+            query.done.set()
 
-    def _find(self, pool: PoolId, job: JobId) -> "_Found":
+    def _find_job(self, pool: PoolId, job: JobId) -> "_JobLookup":
         """Find a job at its pool's owner, else in the store.
 
         The store is searched in all pools, since the queue may have had another pool when the job
         was accepted.
         """
-        state = self._ask_owner(pool, job)
+        state = self._query_owner(pool, job)
         if state is not None:
-            return _Found(True, pool, state)
-        others = [other for other in self._pools() if other != pool]
-        for home in [pool, *others]:
-            found = self._read(home, job)
-            if not found.is_sure or found.state is not None:
+            return _JobLookup(True, pool, state)
+        other_pools = [other for other in self._pools() if other != pool]
+        for job_pool in [pool, *other_pools]:
+            found = self._read_job(job_pool, job)
+            if not found.is_conclusive or found.state is not None:
                 return found
-        return _Found(True)
+        return _JobLookup(True)
 
-    def _ask_owner(self, pool: PoolId, job: JobId, wait_s: float = ASK_S) -> JobState | None:
-        owner = self._owned(pool)
+    def _query_owner(
+        self, pool: PoolId, job: JobId, wait_s: float = OWNER_QUERY_TIMEOUT_S
+    ) -> JobState | None:
+        owner = self._local_owner_of(pool)
         if owner is not None:
             return owner.state_of(job) if owner.may_order() else None
         record = self._owner_of(pool)
         if record is None:
             return None
-        question = _Question()
-        ask = next(self._asks)
+        query = _OwnerQuery()
+        ask = next(self._ask_ids)
         with self._lock:
-            self._waiting_by_ask[ask] = question
+            self._query_by_ask[ask] = query
         self._peers.send(record.inner, JobAsk(ask, pool, job))
-        question.done.wait(wait_s)
+        query.done.wait(wait_s)
         with self._lock:
-            self._waiting_by_ask.pop(ask, None)
-        told = question.answer
-        return JobState(told.state) if told is not None and told.is_owner and told.state else None
+            self._query_by_ask.pop(ask, None)
+        reply = query.answer
+        return (
+            JobState(reply.state) if reply is not None and reply.is_owner and reply.state else None
+        )
 
-    def _read(self, pool: PoolId, job: JobId) -> "_Found":
+    def _read_job(self, pool: PoolId, job: JobId) -> "_JobLookup":
         """Read the records of a job in one pool."""
         items = []
         for key in (f"in/{pool}/j/{job}", progress_key(pool, job), f"in/{pool}/x/{job}"):
@@ -249,20 +255,20 @@
             read = self._kv.get(key, Priority.LATER)
             if isinstance(read, Failure):
                 log(Event.JOB_NOT_READ, job=job, pool=pool, reason=read.failure().reason)
-                return _Found(False)
+                return _JobLookup(False)
             items.append(read.unwrap())
             if items[0] is None:
-                return _Found(True)
+                return _JobLookup(True)
         _, progress, cancelled = items
         state = JobState.QUEUED
         if progress is not None and progress.value is not None:
             state = msgspec.json.decode(progress.value, type=JobProgress).state
         if cancelled is not None and not state.is_final:
             state = JobState.CANCELLED
-        return _Found(True, pool, state)
+        return _JobLookup(True, pool, state)
 
-    def _tell_owner(self, job: Job, value: bytes, revision: Revision) -> None:
-        owner = self._owned(job.pool)
+    def _notify_owner(self, job: Job, value: bytes, revision: Revision) -> None:
+        owner = self._local_owner_of(job.pool)
         record = self._owner_of(job.pool)
         if owner is not None:
             owner.take_job(value, revision)
@@ -280,18 +286,18 @@
         )
 
 
-class _Found(msgspec.Struct, frozen=True):
+class _JobLookup(msgspec.Struct, frozen=True):
     """The result of looking up a job.
 
-    :param is_sure: whether the store could be read; if not, the job may exist.
+    :param is_conclusive: whether the store could be read; if not, the job may exist.
     """
 
-    is_sure: bool
+    is_conclusive: bool
     pool: PoolId | None = None
     state: JobState | None = None
 
 
-class _Question:
+class _OwnerQuery:
     __slots__ = ("answer", "done")
 
     def __init__(self) -> None:
@@ -299,15 +305,15 @@
         self.answer: JobTold | None = None
 
 
-def _bounded(wait_s: float | None) -> float:
+def _commit_wait_s(wait_s: float | None) -> float:
     """Return the maximum time to wait for a commit, given the caller's timeout."""
     if wait_s is None:
-        return LONGEST_S
-    return min(LONGEST_S, wait_s * HELD_SHARE)
+        return MAX_WAIT_S
+    return min(MAX_WAIT_S, wait_s * COMMIT_WAIT_SHARE)
 
 
-def _answer_of(done: Committed) -> JobAnswer:
-    if done.known:
+def _answer_of(result: CommitResult) -> JobAnswer:
+    if result.exists:
         return JobAnswer.ACCEPTED
     # Once the commit was sent to the store, the job may run, so it can't count as refused.
-    return JobAnswer.UNKNOWN if done.sent else JobAnswer.UNAVAILABLE
+    return JobAnswer.UNKNOWN if result.sent else JobAnswer.UNAVAILABLE
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -18,14 +18,14 @@
 from tests.fakes import lose_answer, lose_request
 from tests.intake.fakes import POOL, IntakeCase
 
-TRIES = 3
+ATTEMPTS = 3
 """Maximum number of times that one create is sent."""
 
 
 class IntakeTest(IntakeCase):
     peers_at = ("10.0.0.2:1",)
 
-    def test_accepted_is_stored_and_the_owner_is_told(self) -> None:
+    def test_an_accepted_job_is_stored_and_the_owner_notified(self) -> None:
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
         self.assertIn(f"in/notices/j/{self.job.id}", self.kv.items_by_key)
@@ -43,7 +43,7 @@
         The answers to its commits were lost. Whether one took effect or not, the job may run.
         """
         for fate in (lose_answer, lose_request):
-            self.kv.commits.extend([fate] * TRIES)
+            self.kv.commits.extend([fate] * ATTEMPTS)
             self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(a_job("c"))[0])
             self.kv.items_by_key.clear()
 
@@ -53,13 +53,13 @@
         The answer to its commit was lost, and the caller got an unknown outcome. Then the store
         stopped answering, and the next host refused the job as one that had not been sent.
         """
-        self.kv.commits.extend([lose_answer] * TRIES)
+        self.kv.commits.extend([lose_answer] * ATTEMPTS)
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
         [doubt] = self.peers.sent
         self.assertEqual(JobDoubted(self.job.id), doubt)
         other = a_job("d")
         batch = Batch(ProcessId("h2"), Incarnation(1), "10.0.0.2:1", ())
-        self.intake.doubted(batch, JobDoubted(other.id))
+        self.intake.on_job_doubted(batch, JobDoubted(other.id))
         self.silent_s = 5.0
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(other)[0])
@@ -68,11 +68,11 @@
         self.pressure = PoolPressure(POOL, 60.0, {}, 1)
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
-    def test_a_job_that_its_owner_knows_is_never_refused(self) -> None:
+    def test_a_job_that_its_owner_has_is_never_refused(self) -> None:
         """A repeated request was refused as never to run, a second after its job was accepted."""
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.intake.submit(self.job)
-        self.peers.answer = lambda ask: self.intake.told(
+        self.peers.answer = lambda ask: self.intake.on_job_told(
             Batch(ProcessId("h2"), Incarnation(1), "10.0.0.2:1", ()),
             JobTold(ask.ask, True, "running" if ask.job == self.job.id else ""),
         )
@@ -82,7 +82,7 @@
         self.silent_s = 5.0
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
-    def test_callers_come_back_later_the_longer_an_outage_lasts(self) -> None:
+    def test_the_retry_time_grows_with_the_outage(self) -> None:
         """All five attempts of a caller fell into the first four seconds of an outage of five."""
         self.silent_s = 1.2
         first = self.intake.submit(self.job)[1]
@@ -131,7 +131,7 @@
         self.kv.put(f"p/notices/{self.job.id}", b'{"state":"completed"}')
         self.assertEqual(JobState.COMPLETED, self.intake.show(POOL, self.job.id)[1])
 
-    def test_questions_leave_calls_for_the_owner(self) -> None:
+    def test_queries_have_a_lower_priority_than_the_owner(self) -> None:
         """After an outage a pool made no progress while its callers queried their jobs.
 
         No owner answered yet, so each query read the store. Together they used up the host's calls,
@@ -141,7 +141,7 @@
         self.intake.show(POOL, self.job.id)
         self.assertEqual({Priority.LATER}, set(self.kv.priorities))
 
-    def test_absent_only_if_the_store_says_so(self) -> None:
+    def test_absent_only_if_the_store_was_read(self) -> None:
         """A caller was told that an accepted job does not exist, during a store outage."""
         self.assertIs(JobAnswer.ABSENT, self.intake.show(POOL, self.job.id)[0])
         self.kv.down = True
