--- a/src/lentilrill/entry/_audience.py
+++ b/src/lentilrill/entry/_audience.py
@@ -9,17 +9,17 @@
 from lentilrill.inner import PoolPressure
 from lentilrill.ownership import MemberRecord
 
-__all__ = ["REFRESH_S", "TELL_EVERY_S", "BriefTurn", "brief", "neighbours"]
+__all__ = ["REFRESH_INTERVAL_S", "SEND_INTERVAL_S", "BroadcastSchedule", "neighbours", "summarize"]
 
-TELL_EVERY_S = 0.3
+SEND_INTERVAL_S = 0.3
 """Minimum time between two messages to the same host, except when a pool's need has risen."""
-REFRESH_S = 0.7
+REFRESH_INTERVAL_S = 0.7
 """Time after which an unchanged status is sent again: less than half of the time for which it is
 valid, so that one lost message has no effect."""
-NEIGHBOURS = 2
+NEIGHBOUR_COUNT = 2
 """Number of hosts that get this host's configuration version even if it owns no shard."""
-WAIT_STEP_S = 0.2
-LATE_STEP_S = 1.0
+WAIT_CHANGE_S = 0.2
+OVERDUE_WAIT_CHANGE_S = 1.0
 """Changes of a pool's waiting times that matter to hosts that accept jobs for it."""
 
 
@@ -32,16 +32,16 @@
     """
 
     def distance(peer: MemberRecord) -> int:
-        return (_place(peer.process) - _place(me)) & 0xFFFFFFFF
+        return (_ring_position(peer.process) - _ring_position(me)) & 0xFFFFFFFF
 
-    return sorted(peers, key=distance)[:NEIGHBOURS]
+    return sorted(peers, key=distance)[:NEIGHBOUR_COUNT]
 
 
-def _place(process: ProcessId) -> int:
+def _ring_position(process: ProcessId) -> int:
     return zlib.crc32(process.encode())
 
 
-def brief(pressure: PoolPressure) -> PoolPressure:
+def summarize(pressure: PoolPressure) -> PoolPressure:
     """Return a pool's pressure reduced to what hosts need to accept jobs.
 
     The lists of endpoints make up most of its size, and only the fleet's owner needs them.
@@ -49,7 +49,7 @@
     return msgspec.structs.replace(pressure, idle=(), late=(), light=())
 
 
-class BriefTurn:
+class BroadcastSchedule:
     """Decides when to send the pressure of this host's pools, if any, to the other hosts.
 
     At rest the pressure does not change, and sending it to all hosts is most of a pool owner's
@@ -58,25 +58,25 @@
     """
 
     def __init__(self) -> None:
-        self._told_at = 0.0
-        self._told_by_pool: dict[PoolId, PoolPressure] = {}
+        self._sent_at = 0.0
+        self._sent_by_pool: dict[PoolId, PoolPressure] = {}
 
     def is_due(self, pressures: tuple[PoolPressure, ...], now: float) -> bool:
         """Whether to send now."""
-        since_s = now - self._told_at
-        if since_s < TELL_EVERY_S:
+        elapsed_s = now - self._sent_at
+        if elapsed_s < SEND_INTERVAL_S:
             return False
-        return since_s >= REFRESH_S or any(self._has_changed(each) for each in pressures)
+        return elapsed_s >= REFRESH_INTERVAL_S or any(self._has_changed(each) for each in pressures)
 
-    def told(self, pressures: tuple[PoolPressure, ...], now: float) -> None:
+    def record_sent(self, pressures: tuple[PoolPressure, ...], now: float) -> None:
         """Record that ``pressures`` were sent."""
-        self._told_at = now
-        self._told_by_pool = {pressure.pool: pressure for pressure in pressures}
+        self._sent_at = now
+        self._sent_by_pool = {pressure.pool: pressure for pressure in pressures}
 
     def _has_changed(self, pressure: PoolPressure) -> bool:
-        before = self._told_by_pool.get(pressure.pool)
+        before = self._sent_by_pool.get(pressure.pool)
         return (
             before is None
-            or abs(pressure.wait_s - before.wait_s) >= WAIT_STEP_S
-            or abs(pressure.late_wait_s - before.late_wait_s) >= LATE_STEP_S
+            or abs(pressure.wait_s - before.wait_s) >= WAIT_CHANGE_S
+            or abs(pressure.late_wait_s - before.late_wait_s) >= OVERDUE_WAIT_CHANGE_S
         )
--- a/src/lentilrill/entry/_books.py
+++ b/src/lentilrill/entry/_books.py
@@ -15,19 +15,19 @@
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import Configuration, EndpointEntry, Wave
 
-__all__ = ["ConfigurationBook", "EndpointBook"]
+__all__ = ["ConfigurationCache", "EndpointDirectory"]
 
 
-class ConfigurationBook:
+class ConfigurationCache:
     """The newest configuration received, and the upkeep waves.
 
     A configuration with a lower version than the one in force comes from a stale read or a late
     message of a peer, and is ignored, so that the configuration never reverts.
     """
 
-    def __init__(self, changed: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, on_change: Callable[[], None] = lambda: None) -> None:
         self._lock = threading.Lock()
-        self._changed = changed
+        self._on_change = on_change
         self.current: Configuration | None = None
         self.value = b""
         self.waves_by_number: dict[int, Wave] = {}
@@ -49,31 +49,31 @@
             if item.value is None:
                 continue
             if item.key == CONFIGURATION_KEY:
-                self.offer(item.value)
+                self.apply_if_newer(item.value)
             elif item.key.startswith(WAVES):
                 wave = decode_wave(item.key, item.value)
                 if wave is not None:
                     self.waves_by_number[wave.number] = wave
 
-    def offer(self, value: bytes) -> None:
+    def apply_if_newer(self, value: bytes) -> None:
         """Put an encoded configuration in force if it is newer than the current one."""
-        offered = decode_configuration(value)
-        if offered is None:
+        configuration = decode_configuration(value)
+        if configuration is None:
             return
         with self._lock:
-            if offered.version <= self.version:
+            if configuration.version <= self.version:
                 return
-            self.current, self.value = offered, value
+            self.current, self.value = configuration, value
         log(
             Event.CONFIGURATION_IN_FORCE,
-            version=offered.version,
-            queues=len(offered.queues),
-            pools=len(offered.pools),
+            version=configuration.version,
+            queues=len(configuration.queues),
+            pools=len(configuration.pools),
         )
-        self._changed()
+        self._on_change()
 
 
-class EndpointBook:
+class EndpointDirectory:
     """Endpoints registered in the store."""
 
     def __init__(self) -> None:
--- a/src/lentilrill/entry/_news.py
+++ b/src/lentilrill/entry/_news.py
@@ -5,37 +5,37 @@
 from collections.abc import Callable
 
 from lentilrill.clocks import RemoteClock
-from lentilrill.entry._audience import TELL_EVERY_S, BriefTurn, brief, neighbours
-from lentilrill.entry._books import ConfigurationBook
-from lentilrill.entry._silence import FRESH_S, StoreSilence
+from lentilrill.entry._audience import SEND_INTERVAL_S, BroadcastSchedule, neighbours, summarize
+from lentilrill.entry._books import ConfigurationCache
+from lentilrill.entry._silence import MAX_STATUS_AGE_S, StoreOutageDetector
 from lentilrill.ids import Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews, Node, PoolPressure
 from lentilrill.ownership import MemberRecord, boottime
 from lentilrill.telemetry import guarded
 
-__all__ = ["NewsDesk"]
+__all__ = ["StatusExchange"]
 
-LOOK_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Pause between two calculations of the need of this host's pools."""
-LOOK_SHARE = 0.05
+MAX_CHECK_SHARE = 0.05
 """Maximum share of its time that a host spends on these calculations."""
-LATE_FRESH_S = 5.0
+SLOWED_MAX_STATUS_AGE_S = 5.0
 """Time for which a peer's report that it can take over is valid on a slowed host, which handles
 messages late. If the peer has ended meanwhile, so has its lease, and the store refuses a write
 under it."""
-RISE_HOSTS = 1.0
+NEED_RISE_HOSTS = 1.0
 """Rise of a pool's need, in hosts, that is sent at once instead of at the next interval."""
-ASK_SILENT_S = 0.45
+QUERY_AFTER_SILENT_S = 0.45
 """Time without an answer from the store after which an owner queries all hosts about it: one lease
 renewal. Their answers arrive before the time is long enough to count as an outage."""
-ASKED_S = 1.0
+CANDIDATE_QUERY_S = 1.0
 """Time for which a take-over candidate is queried after the last interest in it."""
-MOST_ASKED = 12
-CLOCK_ERROR = 0.02
+MAX_QUERIED_CANDIDATES = 12
+MAX_CLOCK_ERROR = 0.02
 """Share by which a peer's clock may run slow."""
 
 
-class NewsDesk(threading.Thread):
+class StatusExchange(threading.Thread):
     """Sends this host's status to its peers, and keeps theirs.
 
     Status goes only to hosts that use it: the fleet's owner gets the full pressure of each pool,
@@ -44,8 +44,8 @@
 
     :param pressures: returns the pressure of the pools that this host owns.
     :param store_silent_s: returns the seconds since the store last answered this host.
-    :param risen: called when a pool's need has risen since its last report.
-    :param takes_over: whether this host can take over a shard now.
+    :param on_need_rise: called when a pool's need has risen since its last report.
+    :param can_take_over: whether this host can take over a shard now.
     :param is_slowed: whether this host currently runs below its usual speed.
     :param fleet_address: returns the address of the fleet's owner; empty if there is none.
     :param is_owner: whether this host owns any shard.
@@ -55,11 +55,11 @@
         self,
         node: Node,
         peers: Callable[[], list[MemberRecord]],
-        book: ConfigurationBook,
+        configuration: ConfigurationCache,
         pressures: Callable[[], tuple[PoolPressure, ...]],
         store_silent_s: Callable[[], float],
-        risen: Callable[[], None] = lambda: None,
-        takes_over: Callable[[], bool] = lambda: False,
+        on_need_rise: Callable[[], None] = lambda: None,
+        can_take_over: Callable[[], bool] = lambda: False,
         is_slowed: Callable[[], bool] = lambda: False,
         fleet_address: Callable[[], str] = str,
         is_owner: Callable[[], bool] = lambda: False,
@@ -67,39 +67,39 @@
         super().__init__(name="news", daemon=True)
         self._node = node
         self._peers = peers
-        self._book = book
+        self._configuration = configuration
         self._pressures = pressures
         self._store_silent_s = store_silent_s
-        self._risen = risen
-        self._takes_over = takes_over
+        self._on_need_rise = on_need_rise
+        self._can_take_over = can_take_over
         self._is_slowed = is_slowed
         self._fleet_address = fleet_address
         self._is_owner = is_owner
-        self._brief = BriefTurn()
-        self._fleet_told_at = 0.0
-        self._asked_at = 0.0
+        self._broadcast_schedule = BroadcastSchedule()
+        self._fleet_sent_at = 0.0
+        self._queried_at = 0.0
         self._lock = threading.Lock()
-        self._silence = StoreSilence()
+        self._store_outage = StoreOutageDetector()
         self._clock_by_process: dict[ProcessId, tuple[Incarnation, RemoteClock]] = {}
         self._pressure_by_pool: dict[PoolId, tuple[float, PoolPressure]] = {}
-        self._takes_over_at: dict[ProcessId, float] = {}
-        self._named_at: dict[ProcessId, float] = {}
+        self._can_take_over_at: dict[ProcessId, float] = {}
+        self._candidate_used_at: dict[ProcessId, float] = {}
         self._ended = threading.Event()
-        node.on(HostNews, self._heard)
-        node.on(Configured, self._configured)
+        node.on(HostNews, self._on_host_status)
+        node.on(Configured, self._on_configured)
 
     def run(self) -> None:
         """Send status messages until closed."""
-        pause_s = LOOK_EVERY_S
+        pause_s = CHECK_INTERVAL_S
         while not self._ended.wait(pause_s):
-            began = time.monotonic()
-            guarded("news", self._tell_if_due)
-            took_s = time.monotonic() - began
+            started_at = time.monotonic()
+            guarded("news", self._send_if_due)
+            took_s = time.monotonic() - started_at
             # Only a risen need of own pools has to be sent between two regular sends.
-            least_s = LOOK_EVERY_S if self._is_owner() else TELL_EVERY_S
-            pause_s = min(TELL_EVERY_S, max(least_s, took_s / LOOK_SHARE))
+            min_pause_s = CHECK_INTERVAL_S if self._is_owner() else SEND_INTERVAL_S
+            pause_s = min(SEND_INTERVAL_S, max(min_pause_s, took_s / MAX_CHECK_SHARE))
 
-    def _tell_if_due(self) -> None:
+    def _send_if_due(self) -> None:
         """Send to each group of recipients when it is due.
 
         A risen need is sent at once: a surge doubles within a second, and its jobs wait for as long
@@ -107,64 +107,69 @@
         """
         now = time.monotonic()
         pressures = self._pressures()
-        rises = [self._note(pressure, now) for pressure in pressures]
-        if pressures and (any(rises) or now - self._fleet_told_at >= TELL_EVERY_S):
-            self._fleet_told_at = now
-            self._send([self._fleet_address()], self._news(pressures))
-        if self._brief.is_due(pressures, now):
-            self._brief.told(pressures, now)
-            self._tell(pressures)
-        if now - self._asked_at >= TELL_EVERY_S:
-            self._asked_at = now
-            self._ask()
-
-    def _tell(self, pressures: tuple[PoolPressure, ...]) -> None:
+        rises = [self._record_pressure(pressure, now) for pressure in pressures]
+        if pressures and (any(rises) or now - self._fleet_sent_at >= SEND_INTERVAL_S):
+            self._fleet_sent_at = now
+            self._send([self._fleet_address()], self._status(pressures))
+        if self._broadcast_schedule.is_due(pressures, now):
+            self._broadcast_schedule.record_sent(pressures, now)
+            self._broadcast(pressures)
+        if now - self._queried_at >= SEND_INTERVAL_S:
+            self._queried_at = now
+            self._query_peers()
+
+    def _broadcast(self, pressures: tuple[PoolPressure, ...]) -> None:
         """Send the reduced pressure of own pools to all hosts but the fleet's owner.
 
         The fleet's owner gets the full one. A host that owns no pool sends to its neighbours only.
         """
         peers = self._peers()
-        self._follow(peers)
-        news = self._news(tuple(brief(pressure) for pressure in pressures))
-        fleet = self._fleet_address()
+        self._update_members(peers)
+        status = self._status(tuple(summarize(pressure) for pressure in pressures))
+        fleet_address = self._fleet_address()
         if pressures:
-            told = [peer for peer in peers if peer.inner != fleet]
+            recipients = [peer for peer in peers if peer.inner != fleet_address]
         else:
-            told = neighbours(self._node.process, peers)
-        self._send([peer.inner for peer in told], news)
+            recipients = neighbours(self._node.process, peers)
+        self._send([peer.inner for peer in recipients], status)
 
-    def _ask(self) -> None:
+    def _query_peers(self) -> None:
         """Query hosts whose status this host needs for a decision."""
         now = time.monotonic()
         with self._lock:
-            for process, named_at in list(self._named_at.items()):
-                if now - named_at > ASKED_S:
-                    del self._named_at[process]
-            named = set(list(self._named_at)[:MOST_ASKED])
-        everybody = self._store_silent_s() >= ASK_SILENT_S and self._is_owner()
-        if everybody or named:
-            asked = [p.inner for p in self._peers() if everybody or p.process in named]
-            self._send(asked, self._news((), asks=True))
-
-    def _follow(self, peers: list[MemberRecord]) -> None:
+            for process, used_at in list(self._candidate_used_at.items()):
+                if now - used_at > CANDIDATE_QUERY_S:
+                    del self._candidate_used_at[process]
+            candidates = set(list(self._candidate_used_at)[:MAX_QUERIED_CANDIDATES])
+        query_all = self._store_silent_s() >= QUERY_AFTER_SILENT_S and self._is_owner()
+        if query_all or candidates:
+            recipients = [p.inner for p in self._peers() if query_all or p.process in candidates]
+            self._send(recipients, self._status((), asks=True))
+
+    def _update_members(self, peers: list[MemberRecord]) -> None:
         """Record which hosts are registered."""
         now = time.monotonic()
         with self._lock:
             for peer in peers:
-                self._silence.seen(peer.process, now)
+                self._store_outage.record_registered(peer.process, now)
             for process in self._clock_by_process.keys() - {peer.process for peer in peers}:
                 del self._clock_by_process[process]
 
-    def _news(self, pressures: tuple[PoolPressure, ...], *, asks: bool = False) -> HostNews:
+    def _status(self, pressures: tuple[PoolPressure, ...], *, asks: bool = False) -> HostNews:
         silent_s = round(self._store_silent_s(), 2)
         return HostNews(
-            silent_s, self._book.version, pressures, self._takes_over(), asks, boottime()
+            silent_s,
+            self._configuration.version,
+            pressures,
+            self._can_take_over(),
+            asks,
+            boottime(),
         )
 
-    def _send(self, addresses: list[str], news: HostNews) -> None:
+    def _send(self, addresses: list[str], status: HostNews) -> None:
         for address in addresses:
             if address and address != self._node.address:
-                self._node.send(address, news)
+                self._node.send(address, status)
 
     def close(self) -> None:
         """Stop the thread soon."""
@@ -173,68 +178,72 @@
     def pressure_of(self, pool: PoolId) -> PoolPressure | None:
         """Return the newest pressure of a pool, if it is recent enough."""
         with self._lock:
-            heard, pressure = self._pressure_by_pool.get(pool, (0.0, None))
-        return pressure if time.monotonic() - heard < FRESH_S else None
+            sent_at, pressure = self._pressure_by_pool.get(pool, (0.0, None))
+        return pressure if time.monotonic() - sent_at < MAX_STATUS_AGE_S else None
 
-    def takes_over(self, process: ProcessId) -> bool:
+    def can_take_over(self, process: ProcessId) -> bool:
         """Whether another host has recently reported that it can take over a shard.
 
         The host is queried for some time after each call.
         """
         with self._lock:
-            self._named_at[process] = time.monotonic()
-            said_at = self._takes_over_at.get(process, -LATE_FRESH_S)
-        return time.monotonic() - said_at < (LATE_FRESH_S if self._is_slowed() else FRESH_S)
+            self._candidate_used_at[process] = time.monotonic()
+            sent_at = self._can_take_over_at.get(process, -SLOWED_MAX_STATUS_AGE_S)
+        return time.monotonic() - sent_at < (
+            SLOWED_MAX_STATUS_AGE_S if self._is_slowed() else MAX_STATUS_AGE_S
+        )
 
-    def outage_everywhere(self) -> bool:
+    def is_store_outage(self) -> bool:
         """Whether no reporting host reaches the store, and these hosts are a majority."""
         with self._lock:
-            return self._silence.is_everywhere(self._store_silent_s(), time.monotonic())
+            return self._store_outage.is_outage(self._store_silent_s(), time.monotonic())
 
-    def _heard(self, batch: Batch, news: HostNews) -> None:
-        said_at = self._said_at(batch, news)
+    def _on_host_status(self, batch: Batch, status: HostNews) -> None:
+        sent_at = self._sent_at(batch, status)
         with self._lock:
-            self._silence.said(batch.sender, news.store_silent_s, said_at)
-            if news.takes_over:
-                self._takes_over_at[batch.sender] = said_at
+            self._store_outage.record_report(batch.sender, status.store_silent_s, sent_at)
+            if status.takes_over:
+                self._can_take_over_at[batch.sender] = sent_at
             else:
-                self._takes_over_at.pop(batch.sender, None)
-        for pressure in news.pools:
-            self._note(pressure, said_at)
-        if news.version < self._book.version and self._book.value:
-            self._node.send(batch.reply_to, Configured(self._book.version, self._book.value))
-        if news.asks or news.version > self._book.version:
-            self._node.send(batch.reply_to, self._news(()))
-
-    def _said_at(self, batch: Batch, news: HostNews) -> float:
+                self._can_take_over_at.pop(batch.sender, None)
+        for pressure in status.pools:
+            self._record_pressure(pressure, sent_at)
+        if status.version < self._configuration.version and self._configuration.value:
+            self._node.send(
+                batch.reply_to, Configured(self._configuration.version, self._configuration.value)
+            )
+        if status.asks or status.version > self._configuration.version:
+            self._node.send(batch.reply_to, self._status(()))
+
+    def _sent_at(self, batch: Batch, status: HostNews) -> float:
         """Return when a status was sent, by this process's monotonic clock.
 
         A busy host handles messages seconds late, and must not take an old status for a new one.
         The sender's time is its time since boot, as monotonic clocks stop on a suspended host.
         """
         now = time.monotonic()
-        if not news.sent_s:
+        if not status.sent_s:
             return now
-        read_at = boottime()
+        received_at = boottime()
         with self._lock:
             incarnation, clock = self._clock_by_process.get(batch.sender, (None, None))
             if clock is None or incarnation != batch.incarnation:
-                clock = RemoteClock(CLOCK_ERROR)
+                clock = RemoteClock(MAX_CLOCK_ERROR)
                 self._clock_by_process[batch.sender] = (batch.incarnation, clock)
-            return now - max(0.0, read_at - clock.moment_of(news.sent_s, read_at))
+            return now - max(0.0, received_at - clock.moment_of(status.sent_s, received_at))
 
-    def _note(self, pressure: PoolPressure, said_at: float) -> bool:
+    def _record_pressure(self, pressure: PoolPressure, sent_at: float) -> bool:
         """Record a pool's pressure; return whether its need has risen."""
         with self._lock:
-            _, held = self._pressure_by_pool.get(pressure.pool, (0.0, None))
-            if held is not None and held.token > pressure.token:
+            _, previous = self._pressure_by_pool.get(pressure.pool, (0.0, None))
+            if previous is not None and previous.token > pressure.token:
                 return False
-            self._pressure_by_pool[pressure.pool] = (said_at, pressure)
-        has_risen = held is not None and pressure.need >= held.need + RISE_HOSTS
+            self._pressure_by_pool[pressure.pool] = (sent_at, pressure)
+        has_risen = previous is not None and pressure.need >= previous.need + NEED_RISE_HOSTS
         if has_risen:
-            self._risen()
+            self._on_need_rise()
         return has_risen
 
-    def _configured(self, batch: Batch, message: Configured) -> None:
+    def _on_configured(self, batch: Batch, message: Configured) -> None:
         del batch
-        self._book.offer(message.value)
+        self._configuration.apply_if_newer(message.value)
--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -4,8 +4,8 @@
 import time
 from typing import Any
 
-from lentilrill.entry._books import ConfigurationBook, EndpointBook
-from lentilrill.entry._news import NewsDesk
+from lentilrill.entry._books import ConfigurationCache, EndpointDirectory
+from lentilrill.entry._news import StatusExchange
 from lentilrill.execution import EndpointCalls, PoolOwner
 from lentilrill.ids import Incarnation, PoolId, Revision
 from lentilrill.inner import (
@@ -43,19 +43,19 @@
 
 __all__ = ["EntryProcess"]
 
-NOTICE_S = 2.4
+DRAIN_NOTICE_S = 2.4
 """Time for which a draining host still serves callers: the load balancer checks readiness once a
 second, and stops sending after two failed checks."""
-OWNER_KEYS = "m/o/"
-ENDPOINTS_PAUSE_S = 0.3
+OWNER_KEY_PREFIX = "m/o/"
+ENDPOINT_WATCH_PAUSE_S = 0.3
 """Pause between two watch calls for endpoints, each of which writes about once a second. One call
 gets all changes made during the pause; a host moved into a pool waits no longer than this."""
-STOP_S = 1.2
+SERVER_STOP_TIMEOUT_S = 1.2
 """Timeout for stopping a server, which gives its requests one second to finish."""
-FLEET_STOP_S = 1.1
+FLEET_STOP_TIMEOUT_S = 1.1
 """Timeout for the last order of the fleet's owner before its key is handed over. An order without
 an answer is given up after 1 s."""
-GRACE_SHARE = 0.75
+MAX_GRACE_SHARE = 0.75
 """Share of the grace period after which a draining host ends even with requests in flight."""
 
 
@@ -69,12 +69,12 @@
         self._incarnation = Incarnation(time.time_ns())
         self._node = Node(settings.process, self._incarnation, settings.inner, None, self.metrics)
         self._policy = PlatformPolicy(settings.advice, self.metrics) if settings.advice else None
-        self._configuration = ConfigurationBook()
-        self._endpoints = EndpointBook()
+        self._configuration = ConfigurationCache()
+        self._endpoint_directory = EndpointDirectory()
         self._lock = threading.Lock()
-        self._pools_by_id: dict[PoolId, PoolOwner] = {}
+        self._owners_by_pool: dict[PoolId, PoolOwner] = {}
         self._fleet: FleetOwner | None = None
-        self._leaving = False
+        self._draining = False
         self._pace = PaceMonitor(self.metrics, is_owner=lambda: self._ownership.is_owner)
         self._ownership = Ownership(
             self._kv,
@@ -84,18 +84,18 @@
             settings.inner,
             self._shards,
             self,
-            lambda: self._news.outage_everywhere(),
+            lambda: self._status_exchange.is_store_outage(),
             settings.limits.strength,
             lambda: self._pace.value,
-            can_take_over=lambda process: self._news.takes_over(process),
+            can_take_over=lambda process: self._status_exchange.can_take_over(process),
         )
-        self._news = NewsDesk(
+        self._status_exchange = StatusExchange(
             self._node,
             lambda: self._ownership.peers,
             self._configuration,
             self._pressures,
             lambda: self._kv.silent_s,
-            self._hurry_fleet,
+            self._wake_fleet,
             lambda: self.ready,
             lambda: self._pace.is_slowed,
             lambda: self._address_of(FLEET),
@@ -104,9 +104,9 @@
         self._intake = Intake(
             self._kv,
             self._node,
-            self._pools_by_id.get,
+            self._owners_by_pool.get,
             lambda pool: self._ownership.owner_of(Shard(pool)),
-            self._news.pressure_of,
+            self._status_exchange.pressure_of,
             self._pool_ids,
             lambda: [peer.inner for peer in self._ownership.peers],
             lambda: self._kv.silent_s,
@@ -116,31 +116,31 @@
             settings.threads,
             self._intake,
             lambda: self._configuration.current,
-            lambda: self._leaving,
+            lambda: self._draining,
             self.metrics,
         )
-        self._plain = [
+        self._plain_servers = [
             serve_plain(settings.readiness, self._readiness),
             serve_plain(settings.metrics, lambda path: (200, self.metrics.page())),
         ]
         self._endpoint_follower = Follower(
             self._kv,
             ENDPOINTS,
-            self._endpoints,
-            pause_s=ENDPOINTS_PAUSE_S,
-            is_needed=lambda: bool(self._pools_by_id),
+            self._endpoint_directory,
+            pause_s=ENDPOINT_WATCH_PAUSE_S,
+            is_needed=lambda: bool(self._owners_by_pool),
         )
         self._followers = [
             Follower(self._kv, OPERATORS, self._configuration),
             self._endpoint_follower,
         ]
-        self._node.on(JobAccepted, self._accepted)
-        self._node.on(JobCancelled, self._cancelled)
+        self._node.on(JobAccepted, self._on_job_accepted)
+        self._node.on(JobCancelled, self._on_job_cancelled)
         self._node.on(JobDoubted, self._intake.on_job_doubted)
-        self._node.on(JobAsk, self._asked)
+        self._node.on(JobAsk, self._on_job_ask)
         self._node.on(JobTold, self._intake.on_job_told)
-        self._node.on(ReleaseAsk, self._release_asked)
-        self._node.on(ReleaseTold, self._release_told)
+        self._node.on(ReleaseAsk, self._on_release_ask)
+        self._node.on(ReleaseTold, self._on_release_told)
 
     def start(self) -> None:
         """Start serving."""
@@ -150,30 +150,30 @@
         self._intake.start()
         self._pace.start()
         self._ownership.start()
-        self._news.start()
-        servers: list[Any] = [self._ingress, *self._plain]
+        self._status_exchange.start()
+        servers: list[Any] = [self._ingress, *self._plain_servers]
         for server in servers:
             server.prepare()
             threading.Thread(target=server.serve, name="serve", daemon=True).start()
 
     def drain(self) -> None:
         """Release all shards, let callers move to other hosts, finish open requests, and stop."""
-        began = time.monotonic()
-        self._leaving = True
+        started_at = time.monotonic()
+        self._draining = True
         self._ownership.leave()
-        time.sleep(min(NOTICE_S, self._settings.grace_s * GRACE_SHARE / 2))
+        time.sleep(min(DRAIN_NOTICE_S, self._settings.grace_s * MAX_GRACE_SHARE / 2))
         self._stop([self._ingress])
         self._intake.close()
         for follower in self._followers:
             follower.close()
-        self._news.close()
+        self._status_exchange.close()
         self._pace.close()
         self._ownership.close()
         # Stop these servers too: threads of a running server keep the interpreter alive, and the
         # process would be killed at the end of its grace period.
-        self._stop(self._plain)
-        left_s = self._settings.grace_s * GRACE_SHARE - (time.monotonic() - began)
-        self._node.close(linger_s=max(0.1, min(0.5, left_s)))
+        self._stop(self._plain_servers)
+        remaining_s = self._settings.grace_s * MAX_GRACE_SHARE - (time.monotonic() - started_at)
+        self._node.close(linger_s=max(0.1, min(0.5, remaining_s)))
 
     def _stop(self, servers: list[Any]) -> None:
         """Stop servers concurrently, since each takes up to a second."""
@@ -181,13 +181,13 @@
         for stop in stops:
             stop.start()
         for stop in stops:
-            stop.join(STOP_S)
+            stop.join(SERVER_STOP_TIMEOUT_S)
 
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send callers to this host."""
         return (
-            not self._leaving
+            not self._draining
             and self._configuration.current is not None
             and self._kv.silent_s < MAX_STORE_SILENT_S
         )
@@ -210,37 +210,37 @@
 
     def _pressures(self) -> tuple[PoolPressure, ...]:
         with self._lock:
-            owners = list(self._pools_by_id.values())
-        told = [owner.pressure() for owner in owners]
-        return tuple(pressure for pressure in told if pressure is not None)
+            owners = list(self._owners_by_pool.values())
+        pressures = [owner.pressure() for owner in owners]
+        return tuple(pressure for pressure in pressures if pressure is not None)
 
     # Shards
 
     def on_gained(self, shard: Shard, token: Revision) -> None:
         """Start acting as the owner of ``shard``."""
         if shard == FLEET:
-            self._fleet = self._fleet_owner(token)
+            self._fleet = self._create_fleet_owner(token)
             self._fleet.start()
             return
         owner = PoolOwner(
             self._kv,
             PoolId(shard),
             token,
-            OWNER_KEYS + shard,
+            OWNER_KEY_PREFIX + shard,
             lambda: self._configuration.current,
-            self._endpoints.of_pool,
-            self._dial,
+            self._endpoint_directory.of_pool,
+            self._connect,
             lambda: self._ownership.may_order(shard),
             lambda reason: self._ownership.give_up(shard, reason),
             self._policy,
             self.metrics,
         )
         with self._lock:
-            former = self._pools_by_id.get(PoolId(shard))
-            self._pools_by_id[PoolId(shard)] = owner
+            previous = self._owners_by_pool.get(PoolId(shard))
+            self._owners_by_pool[PoolId(shard)] = owner
         self._endpoint_follower.hurry()
-        if former is not None:
-            former.close()
+        if previous is not None:
+            previous.close()
         owner.start()
 
     def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
@@ -254,14 +254,14 @@
                 if flush or self._pace.is_slowed:
                     # Wait for a round in progress, since its orders must not overlap with those of
                     # the next owner. A slowed host hands over without a flush but waits as well.
-                    self._fleet.join(FLEET_STOP_S)
+                    self._fleet.join(FLEET_STOP_TIMEOUT_S)
             return
         with self._lock:
-            owner = self._pools_by_id.pop(PoolId(shard), None)
+            owner = self._owners_by_pool.pop(PoolId(shard), None)
         if owner is not None:
             owner.close(flush=flush)
 
-    def _fleet_owner(self, token: Revision) -> FleetOwner:
+    def _create_fleet_owner(self, token: Revision) -> FleetOwner:
         hosts = PlatformHosts(self._settings.hosts_api)
         emptying = Emptying(self._node, lambda pool: self._address_of(Shard(pool)))
         process = self._settings.process
@@ -270,7 +270,7 @@
         def may_order() -> bool:
             return self._ownership.may_order(FLEET)
 
-        def refused(reason: str) -> None:
+        def on_refused(reason: str) -> None:
             self._ownership.give_up(FLEET, reason)
 
         waves = Waves(
@@ -279,11 +279,11 @@
             emptying,
             process,
             token,
-            OWNER_KEYS + FLEET,
+            OWNER_KEY_PREFIX + FLEET,
             lambda: dict(self._configuration.waves_by_number),
             self._load_of,
             may_order,
-            refused,
+            on_refused,
             wave_state_key,
             lambda completed: encode_wave_state(completed=completed),
             orders,
@@ -294,8 +294,8 @@
             process,
             token,
             self._pools,
-            self._news.pressure_of,
-            refused,
+            self._status_exchange.pressure_of,
+            on_refused,
             may_order,
             orders,
         )
@@ -307,53 +307,53 @@
 
     def _load_of(self, pool: PoolId) -> float:
         """Return a pool's need as a share of its hosts, as reported by its owner; 0 if unknown."""
-        said = self._news.pressure_of(pool)
-        return said.need / max(1, said.hosts) if said is not None else 0.0
+        pressure = self._status_exchange.pressure_of(pool)
+        return pressure.need / max(1, pressure.hosts) if pressure is not None else 0.0
 
     def _address_of(self, shard: Shard) -> str:
         record = self._ownership.owner_of(shard)
         return record.inner if record is not None else ""
 
-    def _dial(self, entry: EndpointEntry) -> EndpointCalls:
+    def _connect(self, entry: EndpointEntry) -> EndpointCalls:
         return HttpEndpoint(entry, self.metrics)
 
     # Messages from other hosts
 
-    def _accepted(self, batch: Batch, message: JobAccepted) -> None:
+    def _on_job_accepted(self, batch: Batch, message: JobAccepted) -> None:
         del batch
-        owner = self._pools_by_id.get(message.pool)
+        owner = self._owners_by_pool.get(message.pool)
         if owner is not None:
             owner.take_job(message.value, Revision(message.revision))
 
-    def _cancelled(self, batch: Batch, message: JobCancelled) -> None:
+    def _on_job_cancelled(self, batch: Batch, message: JobCancelled) -> None:
         del batch
-        owner = self._pools_by_id.get(message.pool)
+        owner = self._owners_by_pool.get(message.pool)
         if owner is not None:
             owner.cancel(message.job)
 
-    def _asked(self, batch: Batch, message: JobAsk) -> None:
-        owner = self._pools_by_id.get(message.pool)
+    def _on_job_ask(self, batch: Batch, message: JobAsk) -> None:
+        owner = self._owners_by_pool.get(message.pool)
         if owner is None or not owner.may_order():
-            told = JobTold(message.ask, False)
+            answer = JobTold(message.ask, False)
         else:
             state = owner.state_of(message.job)
-            told = JobTold(message.ask, True, state.value if state is not None else "")
-        self._node.send(batch.reply_to, told)
+            answer = JobTold(message.ask, True, state.value if state is not None else "")
+        self._node.send(batch.reply_to, answer)
 
-    def _release_asked(self, batch: Batch, message: ReleaseAsk) -> None:
-        owner = self._pools_by_id.get(message.pool)
+    def _on_release_ask(self, batch: Batch, message: ReleaseAsk) -> None:
+        owner = self._owners_by_pool.get(message.pool)
         if owner is None or not owner.may_order():
             state, reason = ReleaseState.NOT_OWNER, "another host owns the pool"
         else:
             state, reason = owner.release(message.endpoint, cancel=message.cancel)
-        told = ReleaseTold(message.ask, message.endpoint, state, reason)
-        self._node.send(batch.reply_to, told)
+        answer = ReleaseTold(message.ask, message.endpoint, state, reason)
+        self._node.send(batch.reply_to, answer)
 
-    def _hurry_fleet(self) -> None:
+    def _wake_fleet(self) -> None:
         if self._fleet is not None:
             self._fleet.hurry()
 
-    def _release_told(self, batch: Batch, message: ReleaseTold) -> None:
+    def _on_release_told(self, batch: Batch, message: ReleaseTold) -> None:
         del batch
         if self._fleet is not None:
             self._fleet.told(message)
--- a/src/lentilrill/entry/_silence.py
+++ b/src/lentilrill/entry/_silence.py
@@ -4,25 +4,25 @@
 
 from lentilrill.ids import ProcessId
 
-__all__ = ["FRESH_S", "SILENT_S", "StoreSilence"]
+__all__ = ["MAX_STATUS_AGE_S", "OUTAGE_SILENT_S", "StoreOutageDetector"]
 
-FRESH_S = 1.6
+MAX_STATUS_AGE_S = 1.6
 """Time for which a status is valid: five send intervals, so that a few messages may be lost."""
-SILENT_S = 0.9
+OUTAGE_SILENT_S = 0.9
 """Time without an answer after which the store counts as down for a host: two lease renewals."""
-REMEMBERED_S = 30.0
+MEMBER_RETENTION_S = 30.0
 """Time after its last registration or report for which a host counts as one that may claim. It is
 longer than an outage in which all leases expire and all hosts register again within seconds."""
 
 
-class _Said(msgspec.Struct):
+class _Report(msgspec.Struct):
     """The last report of a host, and its time by this process's monotonic clock."""
 
     at: float
     silent_s: float
 
 
-class StoreSilence:
+class StoreOutageDetector:
     """Tracks which entry hosts exist and what they report about the store.
 
     Hosts are kept beyond their registration, to prevent two owners of one shard. Leases expire in
@@ -32,34 +32,38 @@
     """
 
     def __init__(self) -> None:
-        self._said_by_process: dict[ProcessId, _Said] = {}
-        self._seen_by_process: dict[ProcessId, float] = {}
+        self._reports_by_process: dict[ProcessId, _Report] = {}
+        self._last_seen_by_process: dict[ProcessId, float] = {}
 
-    def seen(self, process: ProcessId, now: float) -> None:
+    def record_registered(self, process: ProcessId, now: float) -> None:
         """Record that a host is registered."""
-        self._seen_by_process[process] = now
+        self._last_seen_by_process[process] = now
 
-    def said(self, process: ProcessId, silent_s: float, now: float) -> None:
+    def record_report(self, process: ProcessId, silent_s: float, now: float) -> None:
         """Record a host's report of the time since the store last answered it."""
-        self._said_by_process[process] = _Said(now, silent_s)
-        self.seen(process, now)
+        self._reports_by_process[process] = _Report(now, silent_s)
+        self.record_registered(process, now)
 
-    def is_everywhere(self, own_silent_s: float, now: float) -> bool:
+    def is_outage(self, own_silent_s: float, now: float) -> bool:
         """Return whether the store is down for a majority of hosts and no host reports otherwise.
 
         A single host that reaches the store could claim this host's shards, so its report is enough
         to rule an outage out.
         """
-        if own_silent_s < SILENT_S:
+        if own_silent_s < OUTAGE_SILENT_S:
             return False
-        self._forget(now)
-        fresh = [said for said in self._said_by_process.values() if now - said.at < FRESH_S]
-        if any(said.silent_s < SILENT_S for said in fresh):
+        self._expire(now)
+        fresh = [
+            report
+            for report in self._reports_by_process.values()
+            if now - report.at < MAX_STATUS_AGE_S
+        ]
+        if any(report.silent_s < OUTAGE_SILENT_S for report in fresh):
             return False
-        return (len(fresh) + 1) * 2 > len(self._seen_by_process) + 1
+        return (len(fresh) + 1) * 2 > len(self._last_seen_by_process) + 1
 
-    def _forget(self, now: float) -> None:
-        for process, at in list(self._seen_by_process.items()):
-            if now - at > REMEMBERED_S:
-                del self._seen_by_process[process]
-                self._said_by_process.pop(process, None)
+    def _expire(self, now: float) -> None:
+        for process, at in list(self._last_seen_by_process.items()):
+            if now - at > MEMBER_RETENTION_S:
+                del self._last_seen_by_process[process]
+                self._reports_by_process.pop(process, None)
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -6,8 +6,8 @@
 import msgspec
 from testtools import TestCase
 
-from lentilrill.entry._books import ConfigurationBook, EndpointBook
-from lentilrill.entry._news import NewsDesk
+from lentilrill.entry._books import ConfigurationCache, EndpointDirectory
+from lentilrill.entry._news import StatusExchange
 from lentilrill.ids import EndpointId, Incarnation, PoolId, ProcessId, Revision, ZoneId
 from lentilrill.inner import Batch, HostNews, PoolPressure
 from lentilrill.ownership import MemberRecord
@@ -27,48 +27,48 @@
     return Item(key, value, Revision(revision))
 
 
-class ConfigurationBookTest(TestCase):
+class ConfigurationCacheTest(TestCase):
     def test_an_older_version_never_comes_back(self) -> None:
         """A new queue was known, then unknown, then known again.
 
         A host had received the new configuration from a peer, and then applied the old one from a
         stale read of the store.
         """
-        book = ConfigurationBook()
-        book.offer(a_record(7, "/new/"))
-        book.replaced((an_item("op/config", a_record(3, "/old/")),))
-        self.assertEqual(7, book.version)
-        book.changed((an_item("op/config", a_record(9, "/newest/")),))
-        self.assertEqual(9, book.version)
-
-    def test_odd_records_change_nothing(self) -> None:
-        book = ConfigurationBook()
-        book.offer(a_record(7, "/new/"))
-        for odd in (b"", b"{}", b'{"version":"8"}'):
-            book.offer(odd)
-        self.assertEqual(7, book.version)
+        cache = ConfigurationCache()
+        cache.apply_if_newer(a_record(7, "/new/"))
+        cache.replaced((an_item("op/config", a_record(3, "/old/")),))
+        self.assertEqual(7, cache.version)
+        cache.changed((an_item("op/config", a_record(9, "/newest/")),))
+        self.assertEqual(9, cache.version)
+
+    def test_malformed_records_are_ignored(self) -> None:
+        cache = ConfigurationCache()
+        cache.apply_if_newer(a_record(7, "/new/"))
+        for malformed in (b"", b"{}", b'{"version":"8"}'):
+            cache.apply_if_newer(malformed)
+        self.assertEqual(7, cache.version)
 
     def test_the_longest_prefix_wins(self) -> None:
-        book = ConfigurationBook()
-        book.offer(a_record(1, "/a/", "/a/b/"))
-        assert book.current is not None
-        found = book.current.queue_for("braille.example", "/a/b/5c0e7a21d94b36f8")
+        cache = ConfigurationCache()
+        cache.apply_if_newer(a_record(1, "/a/", "/a/b/"))
+        assert cache.current is not None
+        found = cache.current.queue_for("braille.example", "/a/b/5c0e7a21d94b36f8")
         assert found is not None
         self.assertEqual("/a/b/", found.prefix)
-        self.assertIsNone(book.current.queue_for("other.example", "/a/b/x"))
+        self.assertIsNone(cache.current.queue_for("other.example", "/a/b/x"))
 
 
-class EndpointBookTest(TestCase):
-    def test_an_entry_that_turns_odd_names_no_endpoint_any_more(self) -> None:
-        book = EndpointBook()
+class EndpointDirectoryTest(TestCase):
+    def test_an_entry_that_becomes_malformed_is_removed(self) -> None:
+        directory = EndpointDirectory()
         entry = {"service": "notices", "address": "10.0.0.1:1", "state": "ready"}
-        book.changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
-        self.assertEqual({EndpointId("i-1")}, set(book.of_pool(PoolId("notices"))))
-        book.changed((an_item("servers/i-1", b"\xff", 2),))
-        self.assertEqual({}, book.of_pool(PoolId("notices")))
+        directory.changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
+        self.assertEqual({EndpointId("i-1")}, set(directory.of_pool(PoolId("notices"))))
+        directory.changed((an_item("servers/i-1", b"\xff", 2),))
+        self.assertEqual({}, directory.of_pool(PoolId("notices")))
 
 
-class NewsTest(TestCase):
+class ReceivedStatusTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.silent_s = 5.0
@@ -78,34 +78,36 @@
         ]
         self.is_slowed = False
         self.rises: list[bool] = []
-        self.desk = NewsDesk(
+        self.exchange = StatusExchange(
             FakeNode(),
             lambda: self.members,
-            ConfigurationBook(),
+            ConfigurationCache(),
             lambda: (),
             lambda: self.silent_s,
             lambda: self.rises.append(True),
             is_slowed=lambda: self.is_slowed,
         )
-        self.desk._tell(())
+        self.exchange._broadcast(())
 
-    def hear(self, host: str, news: HostNews) -> None:
-        self.desk._heard(Batch(ProcessId(host), Incarnation(1), "10.0.0.1:1", ()), news)
+    def receive(self, host: str, status: HostNews) -> None:
+        self.exchange._on_host_status(
+            Batch(ProcessId(host), Incarnation(1), "10.0.0.1:1", ()), status
+        )
 
-    def test_an_outage_is_everywhere_only_if_most_say_so(self) -> None:
+    def test_an_outage_needs_reports_of_a_majority(self) -> None:
         """Two hosts owned one pool, as one of them took a network partition for a store outage.
 
         It receives reports from hosts of its own zone only, and these are no majority.
         """
         for host in ("h0", "h1"):
-            self.hear(host, HostNews(5.0, -1))
-        self.assertFalse(self.desk.outage_everywhere())
-        self.hear("h2", HostNews(5.0, -1))
-        self.assertTrue(self.desk.outage_everywhere())
-        self.hear("h2", HostNews(0.1, -1))
-        self.assertFalse(self.desk.outage_everywhere())
-
-    def test_a_cut_just_after_an_outage_is_no_outage(self) -> None:
+            self.receive(host, HostNews(5.0, -1))
+        self.assertFalse(self.exchange.is_store_outage())
+        self.receive("h2", HostNews(5.0, -1))
+        self.assertTrue(self.exchange.is_store_outage())
+        self.receive("h2", HostNews(0.1, -1))
+        self.assertFalse(self.exchange.is_store_outage())
+
+    def test_a_partition_just_after_an_outage_is_no_outage(self) -> None:
         """Two hosts owned a pool for five seconds, and a job ran twice.
 
         In a store outage all leases expired. A zone was partitioned right after it, when only two
@@ -113,25 +115,25 @@
         hosts had only two others, so the owner in the zone took the partition for an outage.
         """
         self.members = self.members[4:]
-        self.desk._tell(())
-        self.hear("h0", HostNews(5.0, -1))
-        self.assertFalse(self.desk.outage_everywhere())
+        self.exchange._broadcast(())
+        self.receive("h0", HostNews(5.0, -1))
+        self.assertFalse(self.exchange.is_store_outage())
 
-    def test_one_host_that_reaches_the_store_is_enough(self) -> None:
+    def test_one_host_that_reaches_the_store_rules_an_outage_out(self) -> None:
         """Tasks ran twice: the store served only one host, which claimed the others' shards."""
         for n in range(5):
-            self.hear(f"h{n}", HostNews(5.0, -1))
-        self.assertTrue(self.desk.outage_everywhere())
-        self.hear("h5", HostNews(0.0, -1))
-        self.assertFalse(self.desk.outage_everywhere())
+            self.receive(f"h{n}", HostNews(5.0, -1))
+        self.assertTrue(self.exchange.is_store_outage())
+        self.receive("h5", HostNews(0.0, -1))
+        self.assertFalse(self.exchange.is_store_outage())
 
     def test_no_outage_for_a_host_that_reaches_the_store(self) -> None:
         self.silent_s = 0.1
         for n in range(6):
-            self.hear(f"h{n}", HostNews(5.0, -1))
-        self.assertFalse(self.desk.outage_everywhere())
+            self.receive(f"h{n}", HostNews(5.0, -1))
+        self.assertFalse(self.exchange.is_store_outage())
 
-    def test_a_rise_of_a_pool_s_need_is_acted_on_at_once(self) -> None:
+    def test_a_rise_of_a_pool_s_need_is_reported_at_once(self) -> None:
         """In a surge the additional hosts of each pool came 0.3 s later than necessary.
 
         The pool's owner sent its need at fixed intervals, and the fleet's owner started its rounds
@@ -139,37 +141,37 @@
         """
         pool = PoolId("notices")
         for need in (2.0, 2.5, 6.0, 6.1, 3.0):
-            news = HostNews(0.0, -1, (PoolPressure(pool, 0.0, {}, 9, need=need),))
-            self.hear("h1", news)
+            status = HostNews(0.0, -1, (PoolPressure(pool, 0.0, {}, 9, need=need),))
+            self.receive("h1", status)
         self.assertEqual(1, len(self.rises))
 
-    def test_a_former_owner_is_not_believed(self) -> None:
+    def test_pressure_of_a_former_owner_is_ignored(self) -> None:
         pool = PoolId("notices")
-        self.hear("h1", HostNews(0.0, -1, (PoolPressure(pool, 1.0, {}, 9),)))
-        self.hear("h2", HostNews(0.0, -1, (PoolPressure(pool, 60.0, {}, 4),)))
-        said = self.desk.pressure_of(pool)
-        assert said is not None
-        self.assertEqual(9, said.token)
+        self.receive("h1", HostNews(0.0, -1, (PoolPressure(pool, 1.0, {}, 9),)))
+        self.receive("h2", HostNews(0.0, -1, (PoolPressure(pool, 60.0, {}, 4),)))
+        pressure = self.exchange.pressure_of(pool)
+        assert pressure is not None
+        self.assertEqual(9, pressure.token)
 
-    def test_only_a_host_that_says_so_now_takes_a_shard_over(self) -> None:
+    def test_only_a_host_with_a_recent_report_can_take_over(self) -> None:
         """A shard was handed over to a host that was leaving, or had not reported for seconds."""
         host = ProcessId("h1")
-        self.assertFalse(self.desk.takes_over(host))
-        self.hear("h1", HostNews(0.0, -1, takes_over=True))
-        self.assertTrue(self.desk.takes_over(host))
+        self.assertFalse(self.exchange.can_take_over(host))
+        self.receive("h1", HostNews(0.0, -1, takes_over=True))
+        self.assertTrue(self.exchange.can_take_over(host))
         later = time.monotonic() + 5.0
         with patch("lentilrill.entry._news.time.monotonic", lambda: later):
-            self.assertFalse(self.desk.takes_over(host))
-        self.hear("h1", HostNews(0.0, -1))
-        self.assertFalse(self.desk.takes_over(host))
+            self.assertFalse(self.exchange.can_take_over(host))
+        self.receive("h1", HostNews(0.0, -1))
+        self.assertFalse(self.exchange.can_take_over(host))
 
-    def test_a_slowed_host_counts_what_it_heard_seconds_ago(self) -> None:
+    def test_a_slowed_host_accepts_older_reports(self) -> None:
         """A slowed owner handled reports late, and kept its shard as no report seemed recent."""
         host = ProcessId("h1")
         self.is_slowed = True
-        self.assertFalse(self.desk.takes_over(host))
-        self.hear("h1", HostNews(0.0, -1, takes_over=True))
+        self.assertFalse(self.exchange.can_take_over(host))
+        self.receive("h1", HostNews(0.0, -1, takes_over=True))
         for age_s, counts in ((3.0, True), (6.0, False)):
             later = time.monotonic() + age_s
             with patch("lentilrill.entry._news.time.monotonic", lambda later=later: later):
-                self.assertEqual(counts, self.desk.takes_over(host))
+                self.assertEqual(counts, self.exchange.can_take_over(host))
--- a/tests/entry/test_news.py
+++ b/tests/entry/test_news.py
@@ -7,9 +7,9 @@
 from testtools import TestCase
 
 from lentilrill.entry import _news
-from lentilrill.entry._audience import REFRESH_S, TELL_EVERY_S, BriefTurn
-from lentilrill.entry._books import ConfigurationBook
-from lentilrill.entry._news import NewsDesk
+from lentilrill.entry._audience import REFRESH_INTERVAL_S, SEND_INTERVAL_S, BroadcastSchedule
+from lentilrill.entry._books import ConfigurationCache
+from lentilrill.entry._news import StatusExchange
 from lentilrill.ids import EndpointId, Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews
 from tests.builders import a_member_record, a_pressure
@@ -19,7 +19,7 @@
 FLEET = "10.0.0.5:1"
 
 
-class NewsCase(TestCase):
+class StatusExchangeCase(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.node = FakeNode()
@@ -29,11 +29,11 @@
         self.now = 1000.0
         self.patch(time, "monotonic", lambda: self.now)
         self.patch(_news, "boottime", lambda: self.now)
-        self.book = ConfigurationBook()
-        self.desk = NewsDesk(
+        self.cache = ConfigurationCache()
+        self.exchange = StatusExchange(
             self.node,
             lambda: [a_member_record(f"h{n}", f"10.0.0.{n}:1") for n in range(1, HOSTS)],
-            self.book,
+            self.cache,
             lambda: self.pressures,
             lambda: self.silent_s,
             fleet_address=lambda: FLEET,
@@ -44,22 +44,24 @@
         """Advance the clock; return the messages that are sent then."""
         self.now += after_s
         self.node.sent.clear()
-        self.desk._tell_if_due()
+        self.exchange._send_if_due()
         return list(self.node.sent)
 
-    def hear(self, news: HostNews, host: str = "h1") -> None:
-        self.desk._heard(Batch(ProcessId(host), Incarnation(1), "10.0.0.1:1", ()), news)
+    def receive(self, status: HostNews, host: str = "h1") -> None:
+        self.exchange._on_host_status(
+            Batch(ProcessId(host), Incarnation(1), "10.0.0.1:1", ()), status
+        )
 
 
-class AudienceTest(NewsCase):
-    def test_a_host_at_rest_tells_a_few_however_many_there_are(self) -> None:
+class RecipientsTest(StatusExchangeCase):
+    def test_a_host_at_rest_sends_to_a_fixed_number_of_hosts(self) -> None:
         """At a site of 97 entry hosts each spent most of its processor time on status messages."""
         sent = [self.tick() for _ in range(20)]
-        told = sum(len(each) for each in sent)
-        self.assertLessEqual(told, 2 * (2.0 / REFRESH_S + 1))
+        count = sum(len(each) for each in sent)
+        self.assertLessEqual(count, 2 * (2.0 / REFRESH_INTERVAL_S + 1))
         self.assertEqual(2, len({address for each in sent for address, _ in each}))
 
-    def test_the_fleets_owner_hears_of_a_rise_at_once(self) -> None:
+    def test_the_fleets_owner_gets_a_rise_at_once(self) -> None:
         """Additional hosts came later to a surge than necessary."""
         self.pressures = (a_pressure(need=2.0),)
         self.tick(1.0)
@@ -70,72 +72,72 @@
         """An owner of a large pool sent megabits per second to hosts that didn't use the data."""
         idle = tuple(EndpointId(f"e{n}") for n in range(60))
         self.pressures = (a_pressure(idle=idle),)
-        for address, news in self.tick(1.0):
-            [pressure] = news.pools
+        for address, status in self.tick(1.0):
+            [pressure] = status.pools
             self.assertEqual(idle if address == FLEET else (), pressure.idle, address)
 
-    def test_all_hosts_hear_of_a_pool_before_what_they_know_is_old(self) -> None:
+    def test_all_hosts_get_a_pool_s_pressure_before_the_last_one_expires(self) -> None:
         """A host refused no jobs for a full pool, because the pressure it knew had expired."""
         self.pressures = (a_pressure(),)
         self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(1.0)}))
-        self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(REFRESH_S)}))
+        self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(REFRESH_INTERVAL_S)}))
 
-    def test_a_wait_that_changes_is_told_sooner(self) -> None:
-        turn = BriefTurn()
-        turn.told((a_pressure(wait_s=0.1),), 10.0)
-        later = 10.0 + TELL_EVERY_S
-        self.assertFalse(turn.is_due((a_pressure(wait_s=0.2),), later))
-        self.assertTrue(turn.is_due((a_pressure(wait_s=0.9),), later))
-        self.assertFalse(turn.is_due((a_pressure(wait_s=0.9),), later - 0.1))
+    def test_a_changed_wait_is_sent_sooner(self) -> None:
+        schedule = BroadcastSchedule()
+        schedule.record_sent((a_pressure(wait_s=0.1),), 10.0)
+        later = 10.0 + SEND_INTERVAL_S
+        self.assertFalse(schedule.is_due((a_pressure(wait_s=0.2),), later))
+        self.assertTrue(schedule.is_due((a_pressure(wait_s=0.9),), later))
+        self.assertFalse(schedule.is_due((a_pressure(wait_s=0.9),), later - 0.1))
 
-    def test_an_owner_asks_all_hosts_whether_they_reach_the_store(self) -> None:
+    def test_an_owner_queries_all_hosts_about_the_store(self) -> None:
         """An owner stopped giving orders in a store outage, as no other host reported it."""
         self.silent_s = 0.5
-        self.assertEqual([], [news for _, news in self.tick(1.0) if news.asks])
+        self.assertEqual([], [status for _, status in self.tick(1.0) if status.asks])
         self.is_owner = True
-        asked = {address for address, news in self.tick(1.0) if news.asks}
-        self.assertEqual(HOSTS - 1, len(asked))
+        queried = {address for address, status in self.tick(1.0) if status.asks}
+        self.assertEqual(HOSTS - 1, len(queried))
 
-    def test_who_is_asked_answers(self) -> None:
-        self.hear(HostNews(0.0, -1, asks=True))
-        [(address, news)] = self.node.sent
+    def test_a_query_is_answered(self) -> None:
+        self.receive(HostNews(0.0, -1, asks=True))
+        [(address, status)] = self.node.sent
         self.assertEqual("10.0.0.1:1", address)
-        self.assertFalse(news.asks)
+        self.assertFalse(status.asks)
 
-    def test_a_host_that_might_take_over_is_asked(self) -> None:
+    def test_a_take_over_candidate_is_queried(self) -> None:
         """A weak owner kept its shard, as it had no report from the host that should get it."""
-        self.assertFalse(self.desk.takes_over(ProcessId("h7")))
-        asked = [address for address, news in self.tick() if news.asks]
-        self.assertEqual(["10.0.0.7:1"], asked)
-        self.assertEqual([], [news for _, news in self.tick(2.0) if news.asks])
+        self.assertFalse(self.exchange.can_take_over(ProcessId("h7")))
+        queried = [address for address, status in self.tick() if status.asks]
+        self.assertEqual(["10.0.0.7:1"], queried)
+        self.assertEqual([], [status for _, status in self.tick(2.0) if status.asks])
 
     def test_a_host_with_an_old_configuration_gets_the_newer_one(self) -> None:
         """A host that the store refused to serve used a configuration that was minutes old."""
         record = msgspec.json.encode({"version": 3, "routes": [], "services": []})
-        self.hear(HostNews(0.0, 3))
+        self.receive(HostNews(0.0, 3))
         self.assertEqual(1, len(self.node.sent))
         self.node.sent.clear()
-        self.book.offer(record)
-        self.hear(HostNews(0.0, 2))
+        self.cache.apply_if_newer(record)
+        self.receive(HostNews(0.0, 2))
         [(_, message)] = self.node.sent
         self.assertIsInstance(message, Configured)
 
 
-class LateNewsTest(NewsCase):
-    def test_news_that_are_read_late_are_old(self) -> None:
+class LateStatusTest(StatusExchangeCase):
+    def test_age_counts_from_the_time_of_sending(self) -> None:
         """A busy fleet owner moved hosts by values that were seconds old and seemed new."""
         pool = PoolId("notices")
-        self.hear(HostNews(0.0, -1, (a_pressure(),), sent_s=70.0))
-        self.assertIsNotNone(self.desk.pressure_of(pool))
+        self.receive(HostNews(0.0, -1, (a_pressure(),), sent_s=70.0))
+        self.assertIsNotNone(self.exchange.pressure_of(pool))
         self.now += 5.0
-        self.hear(HostNews(0.0, -1, (a_pressure(),), sent_s=71.0))
-        self.assertIsNone(self.desk.pressure_of(pool))
-        self.hear(HostNews(0.0, -1, (a_pressure(),), sent_s=75.0))
-        self.assertIsNotNone(self.desk.pressure_of(pool))
+        self.receive(HostNews(0.0, -1, (a_pressure(),), sent_s=71.0))
+        self.assertIsNone(self.exchange.pressure_of(pool))
+        self.receive(HostNews(0.0, -1, (a_pressure(),), sent_s=75.0))
+        self.assertIsNotNone(self.exchange.pressure_of(pool))
 
     def test_a_host_that_starts_again_has_a_clock_of_its_own(self) -> None:
-        self.hear(HostNews(0.0, -1, (a_pressure(),), sent_s=70.0))
+        self.receive(HostNews(0.0, -1, (a_pressure(),), sent_s=70.0))
         self.now += 5.0
         batch = Batch(ProcessId("h1"), Incarnation(2), "10.0.0.1:1", ())
-        self.desk._heard(batch, HostNews(0.0, -1, (a_pressure(),), sent_s=1.0))
-        self.assertIsNotNone(self.desk.pressure_of(PoolId("notices")))
+        self.exchange._on_host_status(batch, HostNews(0.0, -1, (a_pressure(),), sent_s=1.0))
+        self.assertIsNotNone(self.exchange.pressure_of(PoolId("notices")))
