--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -194,7 +194,7 @@
             return JobAnswer.ABSENT, None
         return JobAnswer.ACCEPTED, found.state
 
-    def waiting(self, pool: PoolId, queue: QueueId) -> int | None:
+    def count_waiting(self, pool: PoolId, queue: QueueId) -> int | None:
         """Return how many accepted jobs of a queue have not started; ``None`` if unknown."""
         reported = self._pressure_of(pool)
         return reported.waiting_by_queue.get(queue, 0) if reported is not None else None
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -124,7 +124,7 @@
         return "405 Method Not Allowed", b"{}", None
 
     def _pending(self, queue: Queue) -> Answer:
-        waiting = self._intake.waiting(queue.pool, queue.id)
+        waiting = self._intake.count_waiting(queue.pool, queue.id)
         if waiting is None:
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
         return "200 OK", encode_pending(waiting), None
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -160,6 +160,6 @@
         self.assertIs(JobAnswer.ABSENT, self.intake.cancel(POOL, JobId("f" * 16)))
 
     def test_waiting_jobs_as_the_owner_counts_them(self) -> None:
-        self.assertIsNone(self.intake.waiting(POOL, QueueId("proofs")))
+        self.assertIsNone(self.intake.count_waiting(POOL, QueueId("proofs")))
         self.pressure = PoolPressure(POOL, 0.0, {QueueId("proofs"): 3}, 1)
-        self.assertEqual(3, self.intake.waiting(POOL, QueueId("proofs")))
+        self.assertEqual(3, self.intake.count_waiting(POOL, QueueId("proofs")))
