--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -185,7 +185,7 @@
                 self._peers.send(record.inner, JobCancelled(job_pool, job))
         return answer
 
-    def show(self, pool: PoolId, job: JobId) -> tuple[JobAnswer, JobState | None]:
+    def get_state(self, pool: PoolId, job: JobId) -> tuple[JobAnswer, JobState | None]:
         """Return the state of a job; ``ABSENT`` if there is no such job."""
         found = self._find_job(pool, job)
         if not found.is_conclusive:
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -116,7 +116,7 @@
                 return "413 Content Too Large", b"{}", None
             return self._submit(queue, job, environ, began)
         if method == "GET":
-            answer, state = self._intake.show(queue.pool, job)
+            answer, state = self._intake.get_state(queue.pool, job)
             body = encode_state(state) if state is not None else b"{}"
             return _shown(answer, body)
         if method == "DELETE":
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -127,9 +127,9 @@
 
     def test_shown_from_the_store_when_no_owner_answers(self) -> None:
         self.intake.submit(self.job)
-        self.assertEqual(JobState.QUEUED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.QUEUED, self.intake.get_state(POOL, self.job.id)[1])
         self.kv.put(f"p/notices/{self.job.id}", b'{"state":"completed"}')
-        self.assertEqual(JobState.COMPLETED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.COMPLETED, self.intake.get_state(POOL, self.job.id)[1])
 
     def test_queries_have_a_lower_priority_than_the_owner(self) -> None:
         """After an outage a pool made no progress while its callers queried their jobs.
@@ -138,25 +138,25 @@
         and the owner on that host could not load its jobs. Queries must have a lower priority.
         """
         self.intake.submit(self.job)
-        self.intake.show(POOL, self.job.id)
+        self.intake.get_state(POOL, self.job.id)
         self.assertEqual({Priority.LATER}, set(self.kv.priorities))
 
     def test_absent_only_if_the_store_was_read(self) -> None:
         """A caller was told that an accepted job does not exist, during a store outage."""
-        self.assertIs(JobAnswer.ABSENT, self.intake.show(POOL, self.job.id)[0])
+        self.assertIs(JobAnswer.ABSENT, self.intake.get_state(POOL, self.job.id)[0])
         self.kv.down = True
-        self.assertIs(JobAnswer.UNAVAILABLE, self.intake.show(POOL, self.job.id)[0])
+        self.assertIs(JobAnswer.UNAVAILABLE, self.intake.get_state(POOL, self.job.id)[0])
 
     def test_found_in_the_pool_that_its_queue_had(self) -> None:
         self.intake.submit(self.job)
-        self.assertEqual(JobState.QUEUED, self.intake.show(PoolId("ballots"), self.job.id)[1])
+        self.assertEqual(JobState.QUEUED, self.intake.get_state(PoolId("ballots"), self.job.id)[1])
 
     def test_cancel(self) -> None:
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.intake.submit(self.job)
         self.assertIs(JobAnswer.ACCEPTED, self.intake.cancel(POOL, self.job.id))
         self.assertIsInstance(self.peers.sent[-1], JobCancelled)
-        self.assertEqual(JobState.CANCELLED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.CANCELLED, self.intake.get_state(POOL, self.job.id)[1])
         self.assertIs(JobAnswer.ABSENT, self.intake.cancel(POOL, JobId("f" * 16)))
 
     def test_waiting_jobs_as_the_owner_counts_them(self) -> None:
