--- a/src/lentilrill/ownership/_hand_over.py
+++ b/src/lentilrill/ownership/_hand_over.py
@@ -100,7 +100,7 @@
         owners_by_shard: dict[Shard, ProcessId],
         min_load_ratio: float,
     ) -> MemberRecord | None:
-        """Return the least loaded host that would reduce the load by ``min_load_ratio``, if any."""
+        """Return the least loaded host that passes ``min_load_ratio`` and can take over, if any."""
         shards_by_process = Counter(owners_by_shard.values())
         own_record = next((member for member in members if member.process == self._me), None)
         if own_record is None:
--- a/tests/intake/test_slow_store.py
+++ b/tests/intake/test_slow_store.py
@@ -16,7 +16,7 @@
 
 SOON_S = 0.4
 ALL_IN_FLIGHT = 8
-"""More calls than can be in flight at once."""
+"""Enough repeats to delay every call that can be in flight at once."""
 
 
 class SlowStoreTest(IntakeCase):
