--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -4,8 +4,8 @@
 import time
 from typing import Any
 
-from lentilrill.entry._books import ConfigurationCache, EndpointDirectory
-from lentilrill.entry._news import StatusExchange
+from lentilrill.entry._caches import ConfigurationCache, EndpointDirectory
+from lentilrill.entry._status_exchange import StatusExchange
 from lentilrill.execution import EndpointCalls, PoolOwner
 from lentilrill.ids import Incarnation, PoolId, Revision
 from lentilrill.inner import (
--- a/src/lentilrill/entry/_news.py
+++ b/src/lentilrill/entry/_status_exchange.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from lentilrill.clocks import RemoteClock
-from lentilrill.entry._audience import SEND_INTERVAL_S, BroadcastSchedule, neighbours, summarize
-from lentilrill.entry._books import ConfigurationCache
-from lentilrill.entry._silence import MAX_STATUS_AGE_S, StoreOutageDetector
+from lentilrill.entry._caches import ConfigurationCache
+from lentilrill.entry._recipients import SEND_INTERVAL_S, BroadcastSchedule, neighbours, summarize
+from lentilrill.entry._store_outage import MAX_STATUS_AGE_S, StoreOutageDetector
 from lentilrill.ids import Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews, Node, PoolPressure
 from lentilrill.ownership import MemberRecord, boottime
--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -21,8 +21,8 @@
     Message,
     PoolPressure,
 )
-from lentilrill.intake._doubts import UnconfirmedJobs
 from lentilrill.intake._group import MAX_WAIT_S, CommitResult, GroupCommit
+from lentilrill.intake._unconfirmed import UnconfirmedJobs
 from lentilrill.ownership import OwnerRecord
 from lentilrill.scheduling import Pressure, may_take, outage_retry_s, retry_after_s
 from lentilrill.store import KeyValue, Priority
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_received_state.py
@@ -6,8 +6,8 @@
 import msgspec
 from testtools import TestCase
 
-from lentilrill.entry._books import ConfigurationCache, EndpointDirectory
-from lentilrill.entry._news import StatusExchange
+from lentilrill.entry._caches import ConfigurationCache, EndpointDirectory
+from lentilrill.entry._status_exchange import StatusExchange
 from lentilrill.ids import EndpointId, Incarnation, PoolId, ProcessId, Revision, ZoneId
 from lentilrill.inner import Batch, HostNews, PoolPressure
 from lentilrill.ownership import MemberRecord
@@ -160,7 +160,7 @@
         self.receive("h1", HostNews(0.0, -1, takes_over=True))
         self.assertTrue(self.exchange.can_take_over(host))
         later = time.monotonic() + 5.0
-        with patch("lentilrill.entry._news.time.monotonic", lambda: later):
+        with patch("lentilrill.entry._status_exchange.time.monotonic", lambda: later):
             self.assertFalse(self.exchange.can_take_over(host))
         self.receive("h1", HostNews(0.0, -1))
         self.assertFalse(self.exchange.can_take_over(host))
@@ -173,5 +173,7 @@
         self.receive("h1", HostNews(0.0, -1, takes_over=True))
         for age_s, counts in ((3.0, True), (6.0, False)):
             later = time.monotonic() + age_s
-            with patch("lentilrill.entry._news.time.monotonic", lambda later=later: later):
+            with patch(
+                "lentilrill.entry._status_exchange.time.monotonic", lambda later=later: later
+            ):
                 self.assertEqual(counts, self.exchange.can_take_over(host))
--- a/tests/entry/test_news.py
+++ b/tests/entry/test_status_exchange.py
@@ -6,10 +6,10 @@
 import msgspec
 from testtools import TestCase
 
-from lentilrill.entry import _news
-from lentilrill.entry._audience import REFRESH_INTERVAL_S, SEND_INTERVAL_S, BroadcastSchedule
-from lentilrill.entry._books import ConfigurationCache
-from lentilrill.entry._news import StatusExchange
+from lentilrill.entry import _status_exchange
+from lentilrill.entry._caches import ConfigurationCache
+from lentilrill.entry._recipients import REFRESH_INTERVAL_S, SEND_INTERVAL_S, BroadcastSchedule
+from lentilrill.entry._status_exchange import StatusExchange
 from lentilrill.ids import EndpointId, Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews
 from tests.builders import a_member_record, a_pressure
@@ -28,7 +28,7 @@
         self.is_owner = False
         self.now = 1000.0
         self.patch(time, "monotonic", lambda: self.now)
-        self.patch(_news, "boottime", lambda: self.now)
+        self.patch(_status_exchange, "boottime", lambda: self.now)
         self.cache = ConfigurationCache()
         self.exchange = StatusExchange(
             self.node,
