--- a/src/lentilrill/entry/_books.py
+++ b/src/lentilrill/entry/_caches.py
@@ -1,4 +1,4 @@
-"""What an entry host knows from records of operators and endpoints."""
+"""In-memory copies of the records of operators and endpoints."""
 
 import threading
 from collections.abc import Callable
@@ -15,19 +15,19 @@
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import Configuration, EndpointEntry, Wave
 
-__all__ = ["ConfigurationBook", "EndpointBook"]
+__all__ = ["ConfigurationCache", "EndpointDirectory"]
 
 
-class ConfigurationBook:
-    """The newest configuration seen, and the waves of upkeep.
+class ConfigurationCache:
+    """The newest configuration received, and the upkeep waves.
 
-    Guard against a configuration that reverts: whatever comes late, from a stale read or from a
-    peer, has a lower version than the one in force, and is dropped.
+    A configuration with a lower version than the one in force comes from a stale read or a late
+    message of a peer, and is ignored, so that the configuration never reverts.
     """
 
-    def __init__(self, changed: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, on_change: Callable[[], None] = lambda: None) -> None:
         self._lock = threading.Lock()
-        self._changed = changed
+        self._on_change = on_change
         self.current: Configuration | None = None
         self.value = b""
         self.waves_by_number: dict[int, Wave] = {}
@@ -38,56 +38,56 @@
         return self.current.version if self.current is not None else -1
 
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+        """Replace the cached records by a full read."""
         with self._lock:
             self.waves_by_number = {}
         self.changed(items)
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes."""
+        """Apply changed records."""
         for item in items:
             if item.value is None:
                 continue
             if item.key == CONFIGURATION_KEY:
-                self.offer(item.value)
+                self.apply_if_newer(item.value)
             elif item.key.startswith(WAVES):
                 wave = decode_wave(item.key, item.value)
                 if wave is not None:
                     self.waves_by_number[wave.number] = wave
 
-    def offer(self, value: bytes) -> None:
-        """Put a configuration in force if it is newer."""
-        offered = decode_configuration(value)
-        if offered is None:
+    def apply_if_newer(self, value: bytes) -> None:
+        """Put an encoded configuration in force if it is newer than the current one."""
+        configuration = decode_configuration(value)
+        if configuration is None:
             return
         with self._lock:
-            if offered.version <= self.version:
+            if configuration.version <= self.version:
                 return
-            self.current, self.value = offered, value
+            self.current, self.value = configuration, value
         log(
             Event.CONFIGURATION_IN_FORCE,
-            version=offered.version,
-            queues=len(offered.queues),
-            pools=len(offered.pools),
+            version=configuration.version,
+            queues=len(configuration.queues),
+            pools=len(configuration.pools),
         )
-        self._changed()
+        self._on_change()
 
 
-class EndpointBook:
-    """Endpoints that are registered in the store, by pool."""
+class EndpointDirectory:
+    """Endpoints registered in the store."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._by_key: dict[str, EndpointEntry] = {}
 
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+        """Replace the cached records by a full read."""
         with self._lock:
             self._by_key = {}
         self.changed(items)
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes."""
+        """Apply changed records."""
         with self._lock:
             for item in items:
                 entry = None
@@ -99,6 +99,6 @@
                     self._by_key[item.key] = entry
 
     def of_pool(self, pool: PoolId) -> dict[EndpointId, EndpointEntry]:
-        """Return a pool's endpoints by id."""
+        """Return the endpoints of a pool by id."""
         with self._lock:
             return {entry.id: entry for entry in self._by_key.values() if entry.pool == pool}
--- a/src/lentilrill/ownership/_members.py
+++ b/src/lentilrill/ownership/_members.py
@@ -1,4 +1,4 @@
-"""Records of entry hosts and owners in the store, and who claims a shard that has none."""
+"""Records of entry hosts and shard owners in the store, and the order of claims."""
 
 import zlib
 from collections import Counter
@@ -9,18 +9,18 @@
 
 from lentilrill.ids import Incarnation, ProcessId, ZoneId
 
-__all__ = ["MemberRecord", "OwnerRecord", "Shard", "by_load", "rank"]
+__all__ = ["MemberRecord", "OwnerRecord", "Shard", "claim_order", "claim_rank"]
 
 Shard = NewType("Shard", str)
-"""A part of the work that has one owner at a time: a pool, or the fleet as a whole."""
+"""A unit of work with at most one owner at a time: a pool, or the fleet as a whole."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """An entry host that takes part, kept under its lease.
+    """A registered entry host; the record is bound to its lease.
 
-    :param inner: address on which it listens for other hosts.
-    :param lease: the lease under which all its keys are.
-    :param strength: how much control work it can carry, in usual cores.
+    :param inner: address on which it listens for other entry hosts.
+    :param lease: the lease to which all of its keys are bound.
+    :param strength: its capacity for control work, in usual cores.
     """
 
     process: ProcessId
@@ -32,43 +32,43 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """The owner of a shard; the key's revision is its fencing token."""
+    """The owner of a shard; the revision of its key is the fencing token."""
 
     process: ProcessId
     incarnation: Incarnation
     inner: str
 
 
-def by_load(
+def claim_order(
     shard: Shard, members: Collection[MemberRecord], owners_by_shard: dict[Shard, ProcessId]
 ) -> list[MemberRecord]:
     """Return the members in the order in which they should claim ``shard``.
 
-    Load pattern: entry hosts differ by factors of four in processor time and of twenty in
-    bandwidth, and a pool in its surge keeps one of them busy. A weak one that owns it answers
-    endpoints too late, and after a take-over may never get through its jobs. So who would have the
-    least work for its strength goes first. Among equals goes the one in whose zone the fewest
-    shards are owned, so that a zone that is cut off takes few owners along, then by a hash of shard
-    and member, so that hosts that start together don't all run for one shard.
+    Members with the lowest load for their strength come first: entry hosts differ by a factor of
+    four in processor time and of twenty in bandwidth, and a pool in a surge keeps one host busy. A
+    weak owner answers endpoints too late, and after a take-over may never finish reading the
+    pool's jobs. Ties go to the zone with the fewest owned shards, so that losing a zone affects
+    few owners, and then to a hash of shard and member, so that hosts that start together don't
+    all claim the same shard.
     """
-    owned = Counter(owners_by_shard.values())
+    shards_by_process = Counter(owners_by_shard.values())
     zone_by_process = {member.process: member.zone for member in members}
-    owned_in_zone = Counter(zone_by_process.get(process) for process in owners_by_shard.values())
+    shards_by_zone = Counter(zone_by_process.get(process) for process in owners_by_shard.values())
 
-    def order(member: MemberRecord) -> tuple[float, int, int]:
-        work = (owned[member.process] + 1) / member.strength
-        tie = zlib.crc32(f"{shard}/{member.process}".encode())
-        return work, owned_in_zone[member.zone], tie
+    def sort_key(member: MemberRecord) -> tuple[float, int, int]:
+        load = (shards_by_process[member.process] + 1) / member.strength
+        tie_break = zlib.crc32(f"{shard}/{member.process}".encode())
+        return load, shards_by_zone[member.zone], tie_break
 
-    return sorted(members, key=order)
+    return sorted(members, key=sort_key)
 
 
-def rank(
+def claim_rank(
     shard: Shard,
     me: ProcessId,
     members: Collection[MemberRecord],
     owners_by_shard: dict[Shard, ProcessId],
 ) -> int:
-    """Return how many members should claim ``shard`` before ``me`` does."""
-    in_line = [member.process for member in by_load(shard, members, owners_by_shard)]
-    return in_line.index(me) if me in in_line else len(in_line)
+    """Return the number of members that should claim ``shard`` before ``me``."""
+    ordered = [member.process for member in claim_order(shard, members, owners_by_shard)]
+    return ordered.index(me) if me in ordered else len(ordered)
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -116,7 +116,7 @@
                 return "413 Content Too Large", b"{}", None
             return self._submit(queue, job, environ, began)
         if method == "GET":
-            answer, state = self._intake.show(queue.pool, job)
+            answer, state = self._intake.get_state(queue.pool, job)
             body = encode_state(state) if state is not None else b"{}"
             return _shown(answer, body)
         if method == "DELETE":
@@ -124,7 +124,7 @@
         return "405 Method Not Allowed", b"{}", None
 
     def _pending(self, queue: Queue) -> Answer:
-        waiting = self._intake.waiting(queue.pool, queue.id)
+        waiting = self._intake.count_waiting(queue.pool, queue.id)
         if waiting is None:
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
         return "200 OK", encode_pending(waiting), None
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -18,14 +18,14 @@
 from tests.fakes import lose_answer, lose_request
 from tests.intake.fakes import POOL, IntakeCase
 
-TRIES = 3
-"""How often one create is sent."""
+ATTEMPTS = 3
+"""Maximum number of times that one create is sent."""
 
 
 class IntakeTest(IntakeCase):
     peers_at = ("10.0.0.2:1",)
 
-    def test_accepted_is_stored_and_the_owner_is_told(self) -> None:
+    def test_an_accepted_job_is_stored_and_the_owner_notified(self) -> None:
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
         self.assertIn(f"in/notices/j/{self.job.id}", self.kv.items_by_key)
@@ -38,28 +38,28 @@
         self.assertEqual(revision, self.kv.revision)
 
     def test_a_lost_answer_is_no_refusal(self) -> None:
-        """A job that a caller had been told not to have run was embossed all the same.
+        """A caller was told that a job would not run, and it ran.
 
-        The answers to its commit were lost; whether one took effect or not, the job may run.
+        The answers to its commits were lost. Whether one took effect or not, the job may run.
         """
         for fate in (lose_answer, lose_request):
-            self.kv.commits.extend([fate] * TRIES)
+            self.kv.commits.extend([fate] * ATTEMPTS)
             self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(a_job("c"))[0])
             self.kv.items_by_key.clear()
 
     def test_a_job_that_may_be_stored_is_never_refused(self) -> None:
-        """A caller was told three times that a job would never run; it ran.
+        """A caller was told three times that a job would never run, and it ran.
 
-        The answer to its commit was lost, which the caller was told. Then the store went silent,
-        and the host that the caller asked next refused the job as one that had not been sent.
+        The answer to its commit was lost, and the caller got an unknown outcome. Then the store
+        stopped answering, and the next host refused the job as one that had not been sent.
         """
-        self.kv.commits.extend([lose_answer] * TRIES)
+        self.kv.commits.extend([lose_answer] * ATTEMPTS)
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
         [doubt] = self.peers.sent
         self.assertEqual(JobDoubted(self.job.id), doubt)
         other = a_job("d")
         batch = Batch(ProcessId("h2"), Incarnation(1), "10.0.0.2:1", ())
-        self.intake.doubted(batch, JobDoubted(other.id))
+        self.intake.on_job_doubted(batch, JobDoubted(other.id))
         self.silent_s = 5.0
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(other)[0])
@@ -68,11 +68,11 @@
         self.pressure = PoolPressure(POOL, 60.0, {}, 1)
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
-    def test_a_job_that_its_owner_knows_is_never_refused(self) -> None:
-        """A caller's repeat was refused as never to run, a second after it had been accepted."""
+    def test_a_job_that_its_owner_has_is_never_refused(self) -> None:
+        """A repeated request was refused as never to run, a second after its job was accepted."""
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.intake.submit(self.job)
-        self.peers.answer = lambda ask: self.intake.told(
+        self.peers.answer = lambda ask: self.intake.on_job_told(
             Batch(ProcessId("h2"), Incarnation(1), "10.0.0.2:1", ()),
             JobTold(ask.ask, True, "running" if ask.job == self.job.id else ""),
         )
@@ -82,8 +82,8 @@
         self.silent_s = 5.0
         self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(self.job)[0])
 
-    def test_callers_come_back_later_the_longer_an_outage_lasts(self) -> None:
-        """All five tries of a caller fell into the first four seconds of an outage of five."""
+    def test_the_retry_time_grows_with_the_outage(self) -> None:
+        """All five attempts of a caller fell into the first four seconds of an outage of five."""
         self.silent_s = 1.2
         first = self.intake.submit(self.job)[1]
         self.silent_s = 2.5
@@ -127,39 +127,39 @@
 
     def test_shown_from_the_store_when_no_owner_answers(self) -> None:
         self.intake.submit(self.job)
-        self.assertEqual(JobState.QUEUED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.QUEUED, self.intake.get_state(POOL, self.job.id)[1])
         self.kv.put(f"p/notices/{self.job.id}", b'{"state":"completed"}')
-        self.assertEqual(JobState.COMPLETED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.COMPLETED, self.intake.get_state(POOL, self.job.id)[1])
 
-    def test_questions_leave_calls_for_the_owner(self) -> None:
-        """After an outage a pool stood still for as long as its callers asked for their jobs.
+    def test_queries_have_a_lower_priority_than_the_owner(self) -> None:
+        """After an outage a pool made no progress while its callers queried their jobs.
 
-        No owner answered yet, so each question read the store; together they used up the host's
-        calls, and the owner on that host could not read its jobs. Questions wait behind it.
+        No owner answered yet, so each query read the store. Together they used up the host's calls,
+        and the owner on that host could not load its jobs. Queries must have a lower priority.
         """
         self.intake.submit(self.job)
-        self.intake.show(POOL, self.job.id)
+        self.intake.get_state(POOL, self.job.id)
         self.assertEqual({Priority.LATER}, set(self.kv.priorities))
 
-    def test_absent_only_if_the_store_says_so(self) -> None:
-        """A clerk was told that an accepted job does not exist, while the store was away."""
-        self.assertIs(JobAnswer.ABSENT, self.intake.show(POOL, self.job.id)[0])
+    def test_absent_only_if_the_store_was_read(self) -> None:
+        """A caller was told that an accepted job does not exist, during a store outage."""
+        self.assertIs(JobAnswer.ABSENT, self.intake.get_state(POOL, self.job.id)[0])
         self.kv.down = True
-        self.assertIs(JobAnswer.UNAVAILABLE, self.intake.show(POOL, self.job.id)[0])
+        self.assertIs(JobAnswer.UNAVAILABLE, self.intake.get_state(POOL, self.job.id)[0])
 
     def test_found_in_the_pool_that_its_queue_had(self) -> None:
         self.intake.submit(self.job)
-        self.assertEqual(JobState.QUEUED, self.intake.show(PoolId("ballots"), self.job.id)[1])
+        self.assertEqual(JobState.QUEUED, self.intake.get_state(PoolId("ballots"), self.job.id)[1])
 
     def test_cancel(self) -> None:
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
         self.intake.submit(self.job)
         self.assertIs(JobAnswer.ACCEPTED, self.intake.cancel(POOL, self.job.id))
         self.assertIsInstance(self.peers.sent[-1], JobCancelled)
-        self.assertEqual(JobState.CANCELLED, self.intake.show(POOL, self.job.id)[1])
+        self.assertEqual(JobState.CANCELLED, self.intake.get_state(POOL, self.job.id)[1])
         self.assertIs(JobAnswer.ABSENT, self.intake.cancel(POOL, JobId("f" * 16)))
 
     def test_waiting_jobs_as_the_owner_counts_them(self) -> None:
-        self.assertIsNone(self.intake.waiting(POOL, QueueId("proofs")))
+        self.assertIsNone(self.intake.count_waiting(POOL, QueueId("proofs")))
         self.pressure = PoolPressure(POOL, 0.0, {QueueId("proofs"): 3}, 1)
-        self.assertEqual(3, self.intake.waiting(POOL, QueueId("proofs")))
+        self.assertEqual(3, self.intake.count_waiting(POOL, QueueId("proofs")))
--- a/tests/ownership/test_hand_over.py
+++ b/tests/ownership/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Shards that pass from an owner to a host that carries them better."""
+"""Hand-over of shards from an owner to a host with a lower load."""
 
 import itertools
 import time
@@ -14,16 +14,16 @@
 BALLOTS = Shard("ballots")
 KEY = "m/o/notices"
 STEP_S = 0.5
-"""Seconds by which the clock of all hosts moves on at once."""
+"""Seconds by which each step advances the clock of all hosts."""
 ROUND_S = 0.12
-"""Real seconds in which each host comes to a round of its own."""
-PATIENCE_S = 12.0
-APART_S = 2.0
-"""Least time between two hand-overs of one owner."""
+"""Real seconds in which each host completes a claim round."""
+TIMEOUT_S = 12.0
+MIN_INTERVAL_S = 2.0
+"""Minimum time between two hand-overs of one owner."""
 
 
-class Task:
-    """Notes what was gained and lost, and whose key it was at the loss."""
+class Listener:
+    """Records gained and lost shards, and whether the key was still this host's at the loss."""
 
     def __init__(self, kv: FakeKeyValue) -> None:
         self.tokens_by_shard: dict[Shard, Revision] = {}
@@ -31,10 +31,10 @@
         self.was_own: list[bool] = []
         self._kv = kv
 
-    def gained(self, shard: Shard, token: Revision) -> None:
+    def on_gained(self, shard: Shard, token: Revision) -> None:
         self.tokens_by_shard[shard] = token
 
-    def lost(self, shard: Shard, *, flush: bool = False) -> None:
+    def on_lost(self, shard: Shard, *, flush: bool = False) -> None:
         token = self.tokens_by_shard.pop(shard, None)
         item = self._kv.items_by_key.get(f"m/o/{shard}")
         self.flushes.append(flush)
@@ -42,15 +42,15 @@
 
 
 class Host:
-    """An entry host: its ownership, what it does, and how it is."""
+    """An entry host: its ownership and the listener that records its shards."""
 
-    def __init__(self, ownership: Ownership, task: Task) -> None:
+    def __init__(self, ownership: Ownership, listener: Listener) -> None:
         self.ownership = ownership
-        self.task = task
+        self.listener = listener
 
     @property
     def shards(self) -> set[Shard]:
-        return set(self.task.tokens_by_shard)
+        return set(self.listener.tokens_by_shard)
 
 
 class HandOverCase(TestCase):
@@ -64,7 +64,7 @@
         self.hosts: list[Host] = []
 
     def host(self, name: str, strength: float = 1.0) -> Host:
-        task = Task(self.kv)
+        listener = Listener(self.kv)
         ownership = Ownership(
             self.kv,
             ProcessId(name),
@@ -72,21 +72,21 @@
             ZoneId("holyoke"),
             f"10.0.0.{name[-1]}:1",
             lambda: self.shards,
-            task,
+            listener,
             strength=strength,
             pace=lambda: self.pace_by_name.get(name, 1.0),
-            takes_over=lambda process: process not in self.unfit,
+            can_take_over=lambda process: process not in self.unfit,
             clock=lambda: self.now,
         )
         ownership.start()
         self.addCleanup(ownership.close)
         self.assertTrue(eventually(lambda: ownership.registered))
-        host = Host(ownership, task)
+        host = Host(ownership, listener)
         self.hosts.append(host)
         return host
 
     def owner(self, name: str, strength: float = 1.0) -> Host:
-        """Return a host that owns all shards since it is alone."""
+        """Return a host that owns all shards because it is the only one."""
         host = self.host(name, strength)
         for _ in range(6):
             self.step()
@@ -96,18 +96,18 @@
     def step(self) -> None:
         self.now += STEP_S
         for host in self.hosts:
-            host.ownership._keep()
+            host.ownership._renew_lease()
         time.sleep(ROUND_S)
 
-    def passes(self, source: Host, target: Host) -> bool:
-        """Whether the shard passes from one host to another within some seconds."""
-        end = self.now + PATIENCE_S
+    def moves(self, source: Host, target: Host) -> bool:
+        """Whether the shard moves from one host to another within ``TIMEOUT_S``."""
+        end = self.now + TIMEOUT_S
         while self.now < end and NOTICES not in target.shards:
             self.step()
         return NOTICES in target.shards and NOTICES not in source.shards
 
     def key_changes(self, seconds: float) -> list[float]:
-        """Let time pass; return when a shard's key changed."""
+        """Advance the clock; return the times at which the key of a shard changed."""
         seen = self.revisions()
         times = []
         end = self.now + seconds
@@ -123,25 +123,25 @@
 
 
 class HandOverTest(HandOverCase):
-    def test_a_weak_owner_does_not_keep_what_a_strong_host_could_carry(self) -> None:
-        """A weak host kept a large pool and fell behind, beside a strong one that owned nothing."""
+    def test_a_weak_owner_hands_over_to_a_strong_host(self) -> None:
+        """A weak host kept a large pool and fell behind, although a strong one owned nothing."""
         weak = self.owner("h1", strength=0.5)
         strong = self.host("h2", strength=2.0)
-        self.assertTrue(self.passes(weak, strong))
+        self.assertTrue(self.moves(weak, strong))
 
     def test_a_slowed_owner_does_not_keep_its_shard(self) -> None:
-        """An owner too slow for its work kept its lease, and its tasks were started too late."""
+        """An owner too slow for its work kept its lease and started tasks too late."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.pace_by_name["h1"] = 0.2
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
 
-    def test_an_owner_stops_and_flushes_before_its_key_changes_hands(self) -> None:
-        """Two hosts ordered for one pool, and the ends that the first one knew were lost."""
+    def test_an_owner_stops_and_flushes_before_it_hands_its_key_over(self) -> None:
+        """Two hosts gave orders for one pool, and ends of runs seen only by the first were lost."""
         weak = self.owner("h1", strength=0.5)
-        self.assertTrue(self.passes(weak, self.host("h2", strength=2.0)))
-        self.assertEqual([True], weak.task.flushes)
-        self.assertEqual([True], weak.task.was_own)
+        self.assertTrue(self.moves(weak, self.host("h2", strength=2.0)))
+        self.assertEqual([True], weak.listener.flushes)
+        self.assertEqual([True], weak.listener.was_own)
 
     def test_a_hand_over_without_an_answer_leaves_one_owner(self) -> None:
         """A shard had no owner, or two, after the answer to its hand-over was lost."""
@@ -151,23 +151,23 @@
             weak = self.owner("h1", strength=0.5)
             strong = self.host("h2", strength=2.0)
             self.kv.commits.append(fate)
-            self.assertTrue(self.passes(weak, strong))
+            self.assertTrue(self.moves(weak, strong))
             token = self.kv.items_by_key[KEY].revision
-            self.assertEqual(token, strong.task.tokens_by_shard[NOTICES])
+            self.assertEqual(token, strong.listener.tokens_by_shard[NOTICES])
             self.assertFalse(weak.ownership.may_order(NOTICES))
 
     def test_a_shard_given_to_a_host_that_leaves_is_claimed_by_another(self) -> None:
-        """A pool stood still until a host that had just begun to leave had ended."""
+        """A pool handed over to a leaving host had no acting owner until that host had ended."""
         weak = self.owner("h1", strength=0.5)
         leaving = self.host("h2", strength=2.0)
         leaving.ownership.leave()
         self.key_changes(8.0)
         self.unfit.add("h2")
-        self.assertTrue(self.passes(leaving, weak))
-        self.assertIn(True, weak.task.flushes)
+        self.assertTrue(self.moves(leaving, weak))
+        self.assertIn(True, weak.listener.flushes)
 
     def test_a_shard_that_a_lost_host_should_get_is_claimed_again(self) -> None:
-        """A pool had no owner after its hand-over to a host that had just been lost."""
+        """A pool had no owner after its hand-over to a host that had just failed."""
         weak = self.owner("h1", strength=0.5)
         strong = self.host("h2", strength=2.0)
         self.hosts.remove(strong)
@@ -175,7 +175,7 @@
         self.kv._leases.pop(strong.ownership._lease)
         self.assertTrue(eventually(lambda: bool(self.key_changes(STEP_S))))
         self.unfit.add("h2")
-        self.assertTrue(self.passes(strong, weak))
+        self.assertTrue(self.moves(strong, weak))
 
 
 class SlowedOwnerTest(HandOverCase):
@@ -183,7 +183,7 @@
         self.pace_by_name = dict.fromkeys(names, pace)
 
     def test_it_hands_over_to_a_host_that_has_a_shard_already(self) -> None:
-        """On a small site each host had a shard, so a slowed one kept its own."""
+        """On a small site each host owned a shard, so a slowed host kept its own."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.shards = {NOTICES, BALLOTS}
@@ -191,37 +191,37 @@
             self.step()
         self.assertEqual({BALLOTS}, other.shards)
         self.slow("h1", pace=0.3)
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
 
-    def test_it_stops_but_stores_nothing_before_its_key_changes_hands(self) -> None:
-        """Nobody acted for a pool for seconds, while its slowed owner stored what it knew."""
+    def test_it_stops_without_a_flush_before_it_hands_its_key_over(self) -> None:
+        """A pool had no acting owner for seconds while its slowed owner flushed its state."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
-        self.assertTrue(self.passes(slowed, other))
-        self.assertEqual([False], slowed.task.flushes)
-        self.assertEqual([True], slowed.task.was_own)
+        self.assertTrue(self.moves(slowed, other))
+        self.assertEqual([False], slowed.listener.flushes)
+        self.assertEqual([True], slowed.listener.was_own)
 
     def test_its_shard_does_not_go_to_another_slowed_host(self) -> None:
-        """A zone was slowed, and its shards went from one of its hosts to the next."""
+        """A zone was slowed, and its shards moved from one of its hosts to the next."""
         slowed = self.owner("h1")
         alike = [self.host(f"h{number}") for number in range(2, 6)]
         quick = self.host("h6", strength=0.5)
         self.slow("h1", "h2", "h3", "h4", "h5", pace=0.1)
-        self.assertTrue(self.passes(slowed, quick))
-        self.assertEqual([[]] * len(alike), [host.task.flushes for host in alike])
+        self.assertTrue(self.moves(slowed, quick))
+        self.assertEqual([[]] * len(alike), [host.listener.flushes for host in alike])
 
-    def test_a_host_that_is_quick_again_takes_nothing_back(self) -> None:
-        """Callers waited for a second take-over when the former owner's host had recovered."""
+    def test_a_recovered_host_takes_no_shard_back(self) -> None:
+        """Callers waited for a second take-over after the previous owner's host had recovered."""
         slowed = self.owner("h1")
         other = self.host("h2")
         self.slow("h1")
-        self.assertTrue(self.passes(slowed, other))
+        self.assertTrue(self.moves(slowed, other))
         self.slow()
         self.assertEqual([], self.key_changes(20.0))
 
     def test_a_host_that_is_slowed_for_a_moment_keeps_its_shards(self) -> None:
-        """Callers waited for a take-over from a host that was well again before its end."""
+        """Callers waited for a take-over from a host that recovered before it was complete."""
         self.owner("h1")
         self.host("h2")
         self.assertEqual([], self.key_changes(4.0))
@@ -235,34 +235,34 @@
 
 
 class HandOverGuardTest(HandOverCase):
-    def test_no_shard_goes_to_and_fro_between_alike_hosts(self) -> None:
-        """Callers waited at each take-over, for hosts that were no better than the former ones."""
+    def test_no_shard_moves_back_and_forth_between_equal_hosts(self) -> None:
+        """Callers waited for take-overs by hosts that were no better than the previous owners."""
         self.shards = {NOTICES, BALLOTS}
         self.owner("h1")
         self.host("h2")
         self.assertEqual([], self.key_changes(20.0))
 
     def test_shards_are_not_handed_over_all_at_once(self) -> None:
-        """A host that came back took all shards at the same moment, and all callers waited."""
+        """A returning host got all shards at the same moment, and all callers waited."""
         self.shards = {Shard(name) for name in ("a", "b", "c")}
         self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
         times = self.key_changes(20.0)
         for former, latter in itertools.pairwise(times):
-            self.assertGreaterEqual(latter - former, APART_S)
+            self.assertGreaterEqual(latter - former, MIN_INTERVAL_S)
 
     def test_nothing_is_handed_over_while_the_store_is_silent(self) -> None:
-        """An owner let go of a shard that nobody could take while the store was away."""
+        """An owner released a shard during a store outage, when no host could claim it."""
         weak = self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
         self.kv.down = True
         self.key_changes(10.0)
-        self.assertEqual([], weak.task.flushes)
+        self.assertEqual([], weak.listener.flushes)
 
     def test_nothing_is_handed_over_to_a_host_that_is_unfit(self) -> None:
-        """A shard went to a host that was late itself, or about to leave."""
+        """A shard was handed over to a host that was overloaded itself, or about to leave."""
         weak = self.owner("h1", strength=0.5)
         self.host("h2", strength=2.0)
         self.unfit.add("h2")
         self.assertEqual([], self.key_changes(10.0))
-        self.assertEqual([], weak.task.flushes)
+        self.assertEqual([], weak.listener.flushes)
