--- a/src/lentilrill/execution/_endpoint_talk.py
+++ b/src/lentilrill/execution/_endpoint_talk.py
@@ -134,7 +134,7 @@
                     run.phase = RunPhase.STOPPING
                     link.order(Order.of(OrderKind.STOP, run))
                 else:
-                    self._reconciler.drop(link, run, "not wanted any more")
+                    self._reconciler.drop(link, run, "no longer needed")
                 return None
             if run.sent:
                 self._lateness.resent()
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -227,7 +227,7 @@
 def barrier(link: EndpointLink, now: float) -> str | None:
     """Return the reason why an endpoint gets no new tasks, or ``None`` if it may get some."""
     if not link.looked_once or not link.clock_known:
-        return "not looked at"
+        return "not polled yet"
     if not link.reachable or now - link.heard >= HEARD_S:
         return "silent"
     if not link.registered:
@@ -236,10 +236,10 @@
         return "released"
     # The capacity that an unknown run uses is not known.
     if link.strays_by_key:
-        return "with strays"
+        return "with unknown runs"
     if link.entry.draining:
         return "draining"
-    return "unwell" if now < link.probe_at else None
+    return "unhealthy" if now < link.probe_at else None
 
 
 def _cause(steps: list[StepBook]) -> Cause:
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -220,10 +220,10 @@
             if link is None:
                 return ReleaseState.FREE, "no such endpoint"
             if not link.looked_once:
-                return ReleaseState.WAIT, "the endpoint has not been looked at"
+                return ReleaseState.WAIT, "the endpoint has not been polled yet"
             if cancel:
                 link.released = False
-                return ReleaseState.WAIT, "taken back"
+                return ReleaseState.WAIT, "the release was cancelled"
             state, reason, orders = release(link, time.monotonic())
         for order in orders:
             link.order(order)
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -73,7 +73,7 @@
             if key in seen or key in ended:
                 continue
             if run.confirmed_at is not None and run.confirmed_at < sent:
-                self.drop(link, run, "not there any more")
+                self.drop(link, run, "no longer listed by its endpoint")
         return stops
 
     def take_answer(
--- a/src/lentilrill/execution/_release.py
+++ b/src/lentilrill/execution/_release.py
@@ -28,7 +28,7 @@
     if not link.reachable:
         return ReleaseState.WAIT, "the endpoint does not answer", []
     orders: list[Order] = []
-    reason = "tasks finish"
+    reason = "tasks are finishing"
     for run in list(link.runs_by_key.values()):
         if run.phase is not RunPhase.UNDER_WAY:
             continue
@@ -36,7 +36,7 @@
         if spec.lasting:
             away = away_tasks(run.task)
             if spec.may_be_away and away >= spec.may_be_away:
-                reason = f"{away} tasks beside {run.task.id} are away"
+                reason = f"{away} tasks beside {run.task.id} are not working"
                 continue
             orders.append(_stop(run))
         elif now - link.release_began > FINISH_S or spec.checkpoints:
