--- a/tests/execution/test_senders.py
+++ b/tests/execution/test_senders.py
@@ -5,29 +5,29 @@
 from testtools import TestCase
 
 from lentilrill.execution import OrderAnswer, StartOrder, Verdict, _senders
-from lentilrill.execution._link import ORDERS_AT_ONCE, EndpointLink, Order, OrderKind
+from lentilrill.execution._link import MAX_ORDERS_IN_FLIGHT, EndpointLink, Order, OrderKind
 from lentilrill.execution._senders import Senders
 from lentilrill.workloads import TaskId
 from tests.builders import an_endpoint
 from tests.execution.fakes import FakeEndpoint, eventually
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class SendersTest(TestCase):
-    def senders(self, most: int = 8) -> Senders:
-        senders = Senders(most=most)
+    def senders(self, max_threads: int = 8) -> Senders:
+        senders = Senders(max_threads=max_threads)
         self.addCleanup(senders.close)
         return senders
 
     def test_tasks_end_once_there_is_nothing_to_send(self) -> None:
         """Guards against three hundred order threads of an owner with a hundred idle endpoints."""
-        self.patch(_senders, "IDLE_S", 0.01)
+        self.patch(_senders, "IDLE_TIMEOUT_S", 0.01)
         senders = self.senders()
         done = threading.Event()
         senders.put(0, done.set)
-        self.assertTrue(done.wait(PATIENCE_S))
-        self.assertTrue(eventually(lambda: senders._tasks == 0))
+        self.assertTrue(done.wait(TIMEOUT_S))
+        self.assertTrue(eventually(lambda: senders._threads == 0))
 
     def test_an_order_that_hangs_holds_up_no_other(self) -> None:
         """Guards against a rack of unresponsive endpoints that delays all starts of a pool."""
@@ -35,23 +35,23 @@
         release = threading.Event()
         self.addCleanup(release.set)
         for _ in range(4):
-            senders.put(0, lambda: release.wait(PATIENCE_S))
+            senders.put(0, lambda: release.wait(TIMEOUT_S))
         done = threading.Event()
         senders.put(0, done.set)
-        self.assertTrue(done.wait(PATIENCE_S))
+        self.assertTrue(done.wait(TIMEOUT_S))
 
     def test_urgent_calls_go_first(self) -> None:
         """Guards against time-critical stops that wait behind the starts of a surge."""
-        senders = self.senders(most=1)
+        senders = self.senders(max_threads=1)
         release, begun = threading.Event(), threading.Event()
         self.addCleanup(release.set)
 
         def hold() -> None:
             begun.set()
-            release.wait(PATIENCE_S)
+            release.wait(TIMEOUT_S)
 
         senders.put(0, hold)
-        self.assertTrue(begun.wait(PATIENCE_S))
+        self.assertTrue(begun.wait(TIMEOUT_S))
         order: list[str] = []
         senders.put(1, lambda: order.append("start"))
         senders.put(0, lambda: order.append("stop"))
@@ -59,12 +59,12 @@
         self.assertTrue(eventually(lambda: order == ["stop", "start"]))
 
     def test_there_are_never_more_tasks_than_allowed(self) -> None:
-        senders = self.senders(most=3)
+        senders = self.senders(max_threads=3)
         release = threading.Event()
         self.addCleanup(release.set)
         for _ in range(20):
-            senders.put(0, lambda: release.wait(PATIENCE_S))
-        self.assertEqual(3, senders._tasks)
+            senders.put(0, lambda: release.wait(TIMEOUT_S))
+        self.assertEqual(3, senders._threads)
 
 
 class Owner:
@@ -73,12 +73,12 @@
     def may_order(self) -> bool:
         return True
 
-    def looked(self, *args: object) -> None: ...
+    def on_poll(self, *args: object) -> None: ...
 
-    def start_for(self, *args: object) -> StartOrder | None:
+    def start_order(self, *args: object) -> StartOrder | None:
         return None
 
-    def answered(self, *args: object) -> None: ...
+    def on_answer(self, *args: object) -> None: ...
 
 
 class HangingEndpoint(FakeEndpoint):
@@ -87,12 +87,12 @@
     def __init__(self) -> None:
         super().__init__()
         self.verdict = Verdict.DONE
-        self.asked = 0
+        self.received = 0
         self.released = threading.Event()
 
     def stop(self, task: TaskId, number: int, token: int) -> OrderAnswer:
-        self.asked += 1
-        self.released.wait(PATIENCE_S)
+        self.received += 1
+        self.released.wait(TIMEOUT_S)
         return OrderAnswer(self.verdict)
 
 
@@ -113,26 +113,26 @@
     def test_an_endpoint_gets_few_orders_at_a_time(self) -> None:
         """Guards against one slow endpoint that occupies all threads that send orders."""
         self.stop(10)
-        self.assertTrue(eventually(lambda: self.endpoint.asked == ORDERS_AT_ONCE))
-        self.assertEqual(ORDERS_AT_ONCE, self.link._under_way)
+        self.assertTrue(eventually(lambda: self.endpoint.received == MAX_ORDERS_IN_FLIGHT))
+        self.assertEqual(MAX_ORDERS_IN_FLIGHT, self.link._in_flight)
         self.endpoint.released.set()
-        self.assertTrue(eventually(lambda: self.endpoint.asked == 10))
+        self.assertTrue(eventually(lambda: self.endpoint.received == 10))
 
     def test_one_that_does_not_answer_gets_one_at_a_time(self) -> None:
         """Guards against a partitioned zone whose endpoints block all threads until timeout."""
         self.endpoint.verdict = Verdict.UNKNOWN
         self.endpoint.released.set()
         self.stop(1)
-        self.assertTrue(eventually(lambda: not self.link._answers))
+        self.assertTrue(eventually(lambda: not self.link._is_responsive))
         self.endpoint.released.clear()
         self.stop(10)
-        self.assertTrue(eventually(lambda: self.endpoint.asked == 2))
-        self.assertEqual(1, self.link._under_way)
+        self.assertTrue(eventually(lambda: self.endpoint.received == 2))
+        self.assertEqual(1, self.link._in_flight)
 
     def test_a_closed_link_sends_nothing_more(self) -> None:
         self.stop(10)
-        self.assertTrue(eventually(lambda: self.endpoint.asked == ORDERS_AT_ONCE))
+        self.assertTrue(eventually(lambda: self.endpoint.received == MAX_ORDERS_IN_FLIGHT))
         self.link.close()
         self.endpoint.released.set()
-        self.assertTrue(eventually(lambda: self.link._under_way == 0))
-        self.assertEqual(ORDERS_AT_ONCE, self.endpoint.asked)
+        self.assertTrue(eventually(lambda: self.link._in_flight == 0))
+        self.assertEqual(MAX_ORDERS_IN_FLIGHT, self.endpoint.received)
--- a/tests/execution/test_right.py
+++ b/tests/execution/test_suspended_owner.py
@@ -29,7 +29,7 @@
         return OrderAnswer(Verdict.UNKNOWN) if self.lossy else answer
 
 
-class RightTest(TestCase):
+class SuspendedOwnerTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.pool = OwnedPool("e1")
@@ -38,48 +38,48 @@
         self.addCleanup(self.endpoint.open.set)
         self.pool.endpoints["e1"] = self.endpoint
         self.pool.register(an_endpoint("e1"))
-        self.right = True
+        self.may_order = True
         self.owner = self.pool.new_owner()
-        self.patch(self.owner, "_may_order", lambda: self.right)
+        self.patch(self.owner, "_may_order", lambda: self.may_order)
         self.owner.start()
 
-    def hand_in(self, job: Job) -> PoolOwner:
+    def submit(self, job: Job) -> PoolOwner:
         """Store a job and add it to the owner."""
         value = msgspec.msgpack.encode(job)
         revision = self.pool.kv.put(f"in/notices/j/{job.id}", value)
         self.owner.take_job(value, revision)
         return self.owner
 
-    def pause_right(self) -> float:
+    def suspend_orders(self) -> float:
         """Suspend the right as a late renewal does; return when it was restored."""
-        self.right = False
+        self.may_order = False
         time.sleep(PAUSE_S)
         back_at = time.monotonic()
-        self.right = True
+        self.may_order = True
         return back_at
 
     def test_a_run_whose_start_got_no_answer_outlives_a_pause_of_the_right(self) -> None:
         """Guards against a stop of a healthy long-running task after a late lease renewal."""
         self.endpoint.lossy = True
         self.endpoint.open.set()
-        owner = self.hand_in(a_job("a", a_step(1, lasting=True)))
+        owner = self.submit(a_job("a", a_step(1, lasting=True)))
         self.assertTrue(eventually(lambda: len(self.pool.starts()) == 1))
         run = next(iter(owner._links.by_id[an_endpoint("e1").id].runs_by_key.values()))
-        self.assertTrue(eventually(lambda: run.in_doubt))
+        self.assertTrue(eventually(lambda: run.is_unconfirmed))
         self.endpoint.lossy = False
-        back_at = self.pause_right()
+        back_at = self.suspend_orders()
         self.assertTrue(eventually(lambda: (run.confirmed_at or 0.0) > back_at))
         self.assertEqual([], self.endpoint.stops)
         self.assertEqual([run.key], list(self.endpoint.running))
 
     def test_starts_wait_out_a_pause_of_the_right(self) -> None:
         """Guards against an owner that drops its queued starts at each late lease renewal."""
-        owner = self.hand_in(a_job("a", a_step(4)))
+        owner = self.submit(a_job("a", a_step(4)))
         links = owner._links.by_id
         self.assertTrue(eventually(lambda: bool(links) and bool(links["e1"].runs_by_key)))
         placed = sorted(links["e1"].runs_by_key)
-        self.right = False
+        self.may_order = False
         self.endpoint.open.set()
-        self.pause_right()
+        self.suspend_orders()
         self.assertTrue(eventually(lambda: len({task for task, _ in self.pool.starts()}) == 4))
         self.assertEqual(placed, sorted(self.pool.starts()))
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -111,18 +111,18 @@
         self.assertTrue(eventually(lambda: len(self.pool.starts()) == 2))
         first.close()
         second = self.pool.new_owner()
-        told = []
+        states = []
         load = second._jobs.load
 
-        def load_and_ask() -> bool:
+        def load_and_release() -> bool:
             done = load()
-            told.append(second.release(an_endpoint("e1").id, cancel=False)[0])
+            states.append(second.release(an_endpoint("e1").id, cancel=False)[0])
             return done
 
-        second._jobs.load = load_and_ask
+        second._jobs.load = load_and_release
         second.start()
-        self.assertTrue(eventually(lambda: bool(told)))
-        self.assertEqual(ReleaseState.WAIT, told[0])
+        self.assertTrue(eventually(lambda: bool(states)))
+        self.assertEqual(ReleaseState.WAIT, states[0])
 
     def test_an_owner_that_has_not_loaded_tells_no_pressure(self) -> None:
         """Guards against a queue reported as empty while six jobs waited in it for five seconds.
@@ -152,7 +152,7 @@
         first = self.pool.take_over()
         self.assertTrue(eventually(lambda: len(self.pool.starts()) == 1))
         [(task, number)] = self.pool.starts()
-        endpoint.deaf = True
+        endpoint.loses_acknowledgements = True
         endpoint.end(task, number, EndKind.FAILED)
         key = f"p/notices/{self.job.id}"
         self.assertTrue(eventually(lambda: b"failed" in self.stored(key)))
@@ -203,8 +203,8 @@
         self.pool.kv.down = True
         self.pool.finish_all()
         endpoint = self.pool.endpoints["e1"]
-        looked = endpoint.looks
-        self.assertTrue(eventually(lambda: endpoint.looks > looked + 3))
+        polls_before = endpoint.looks
+        self.assertTrue(eventually(lambda: endpoint.looks > polls_before + 3))
         self.assertEqual(JobState.RUNNING, self.owner.state_of(self.job.id))
         self.pool.kv.down = False
         self.assertTrue(eventually(lambda: self.owner.state_of(self.job.id) is JobState.COMPLETED))
@@ -219,8 +219,8 @@
         self.pool.kv.down = True
         self.pool.finish_all()
         endpoint = self.pool.endpoints["e1"]
-        looked = endpoint.looks
-        self.assertTrue(eventually(lambda: endpoint.looks > looked + 3))
+        polls_before = endpoint.looks
+        self.assertTrue(eventually(lambda: endpoint.looks > polls_before + 3))
         self.assertEqual(0, endpoint.acknowledged)
         self.pool.kv.down = False
         self.assertTrue(eventually(lambda: endpoint.acknowledged > 0))
--- a/tests/execution/test_waits.py
+++ b/tests/execution/test_wait_times.py
@@ -3,31 +3,32 @@
 from testtools import TestCase
 
 from bench.waits import ended_jobs, slowest
-from lentilrill.execution._waits import Cause, Waits
+from lentilrill.execution._wait_times import WaitCause, WaitTimes
 
 
-class WaitsTest(TestCase):
+class WaitTimesTest(TestCase):
     def test_each_second_counts_for_one_cause(self) -> None:
         """The times of four causes add up to the nine seconds that a job took."""
-        waits = Waits(100.0)
+        waits = WaitTimes(100.0)
         for cause, now in (
-            (Cause.ROOM, 101.0),
-            (Cause.WORK, 103.0),
-            (Cause.WORK, 104.0),
-            (Cause.ROOM, 105.0),
-            (Cause.WORK, 106.0),
-            (Cause.STORE, 108.5),
+            (WaitCause.ROOM, 101.0),
+            (WaitCause.WORK, 103.0),
+            (WaitCause.WORK, 104.0),
+            (WaitCause.ROOM, 105.0),
+            (WaitCause.WORK, 106.0),
+            (WaitCause.STORE, 108.5),
         ):
-            waits.now_for(cause, now)
+            waits.switch_to(cause, now)
         spent = waits.seconds_by_cause(109.0)
         self.assertEqual(
-            {Cause.OWNER: 1.0, Cause.ROOM: 3.0, Cause.WORK: 4.5, Cause.STORE: 0.5}, spent
+            {WaitCause.OWNER: 1.0, WaitCause.ROOM: 3.0, WaitCause.WORK: 4.5, WaitCause.STORE: 0.5},
+            spent,
         )
 
     def test_asking_changes_nothing(self) -> None:
-        waits = Waits(0.0)
+        waits = WaitTimes(0.0)
         waits.seconds_by_cause(3.0)
-        self.assertEqual({Cause.OWNER: 5.0}, waits.seconds_by_cause(5.0))
+        self.assertEqual({WaitCause.OWNER: 5.0}, waits.seconds_by_cause(5.0))
 
 
 class ReportTest(TestCase):
