--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -165,7 +165,7 @@
     def pace(self, task: TaskId, number: int, percent: int, token: int) -> OrderAnswer:
         """Set the pace of a run to a percentage of its full pace."""
 
-    def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
         """Renew the run lease, acknowledge ends, and return runs in progress and new ends.
 
         :param acknowledged: cursor up to which ends are acknowledged.
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -267,7 +267,7 @@
         expiry = self.new_expiry_ms() if renews else None
         wait_ms = 0 if first else BUSY_POLL_WAIT_MS if self.runs_by_key else IDLE_POLL_WAIT_MS
         sent = time.monotonic()
-        look = self._calls.look(self._owner.token, self.stored_cursor, expiry, wait_ms)
+        look = self._calls.poll(self._owner.token, self.stored_cursor, expiry, wait_ms)
         if self._ended.is_set():
             return
         previous_cursor = self.seen_cursor
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -85,7 +85,7 @@
         """Pace a run."""
         return self._order("pace", "/pace", _Pace(task_name(task), number, percent, token))
 
-    def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
         """Renew the lease, acknowledge ends, and return what runs and what ended."""
         body = msgspec.json.encode(_Hold(token, acknowledged, expires_ms or 0, wait_ms))
         self._metrics.incr("endpoint.looks")
--- a/tests/execution/fakes.py
+++ b/tests/execution/fakes.py
@@ -83,7 +83,7 @@
         del task, number, percent, token
         return OrderAnswer(Verdict.DONE)
 
-    def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
         del expires_ms
         with self._changed:
             if not self.silent and token >= self.token:
