--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -13,10 +13,10 @@
 __all__ = [
     "EndKind",
     "EndpointCalls",
-    "Look",
     "OrderAnswer",
     "PolicyAnswer",
     "PolicyCalls",
+    "PollResult",
     "RunEnd",
     "RunSeen",
     "StartOrder",
@@ -117,7 +117,7 @@
     checkpoint: str
 
 
-class Look(msgspec.Struct, frozen=True):
+class PollResult(msgspec.Struct, frozen=True):
     """An endpoint's runs in progress and its unacknowledged ends.
 
     :param reason: human-readable reason if there is no answer.
@@ -165,7 +165,9 @@
     def pace(self, task: TaskId, number: int, percent: int, token: int) -> OrderAnswer:
         """Set the pace of a run to a percentage of its full pace."""
 
-    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(
+        self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int
+    ) -> PollResult:
         """Renew the run lease, acknowledge ends, and return runs in progress and new ends.
 
         :param acknowledged: cursor up to which ends are acknowledged.
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -9,7 +9,13 @@
 from typing import Protocol
 
 from lentilrill.clocks import RemoteClock
-from lentilrill.execution._contract import EndpointCalls, Look, OrderAnswer, StartOrder, Verdict
+from lentilrill.execution._contract import (
+    EndpointCalls,
+    OrderAnswer,
+    PollResult,
+    StartOrder,
+    Verdict,
+)
 from lentilrill.execution._senders import Senders
 from lentilrill.execution._tracking import Run
 from lentilrill.telemetry import guarded
@@ -85,7 +91,7 @@
     def may_order(self) -> bool:
         """Whether this process still owns the pool."""
 
-    def on_poll(self, link: "EndpointLink", look: Look, sent: float) -> None:
+    def on_poll(self, link: "EndpointLink", result: PollResult, sent: float) -> None:
         """Process the result of a poll that was sent at ``sent``."""
 
     def start_order(self, link: "EndpointLink", run: Run) -> StartOrder | None:
@@ -267,12 +273,12 @@
         expiry = self.new_expiry_ms() if renews else None
         wait_ms = 0 if first else BUSY_POLL_WAIT_MS if self.runs_by_key else IDLE_POLL_WAIT_MS
         sent = time.monotonic()
-        look = self._calls.poll(self._owner.token, self.stored_cursor, expiry, wait_ms)
+        result = self._calls.poll(self._owner.token, self.stored_cursor, expiry, wait_ms)
         if self._ended.is_set():
             return
         previous_cursor = self.seen_cursor
-        self._owner.on_poll(self, look, sent)
-        if look.verdict is not Verdict.DONE:
+        self._owner.on_poll(self, result, sent)
+        if result.verdict is not Verdict.DONE:
             self._pause(RETRY_S)
         elif self.seen_cursor > previous_cursor or self.seen_cursor > self.stored_cursor:
             self._ended.wait(GATHER_PAUSE_S)
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from lentilrill.execution._contract import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution._contract import EndKind, PollResult, RunEnd, RunSeen, Verdict
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._need import Durations
 from lentilrill.execution._tracking import Run, RunPhase, TrackedJob, TrackedTask
@@ -47,25 +47,25 @@
         self._attempts = attempts
         self._durations = durations
 
-    def apply_poll(self, link: EndpointLink, look: Look, sent: float) -> list[Order]:
+    def apply_poll(self, link: EndpointLink, result: PollResult, sent: float) -> list[Order]:
         """Apply the result of a poll; return stop orders for runs that should not exist.
 
         :param sent: monotonic time at which the poll was sent.
         """
-        if look.started_ms and look.started_ms != link.started_ms:
+        if result.started_ms and result.started_ms != link.started_ms:
             if link.started_ms:
-                log(Event.ENDPOINT_REBORN, endpoint=link.entry.id, born_ms=look.started_ms)
-            link.reset(look.started_ms)
-        link.update_clock(look.clock_ms, time.monotonic())
-        ended = {(end.task, end.number) for end in look.ended}
-        for end in sorted(look.ended, key=lambda e: e.cursor):
+                log(Event.ENDPOINT_REBORN, endpoint=link.entry.id, born_ms=result.started_ms)
+            link.reset(result.started_ms)
+        link.update_clock(result.clock_ms, time.monotonic())
+        ended = {(end.task, end.number) for end in result.ended}
+        for end in sorted(result.ended, key=lambda e: e.cursor):
             if end.cursor > link.seen_cursor:
                 link.seen_cursor = end.cursor
                 self._record_end(link, end)
         stops = []
         seen = set()
         first_seen = link.unknown_since_by_key
-        for running in look.running:
+        for running in result.running:
             seen.add((running.task, running.number))
             stops += self._update_run(link, running)
         link.unknown_since_by_key = {key: since for key, since in first_seen.items() if key in seen}
--- a/src/lentilrill/execution/_responses.py
+++ b/src/lentilrill/execution/_responses.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-from lentilrill.execution._contract import Look, OrderAnswer, StartOrder, Verdict
+from lentilrill.execution._contract import OrderAnswer, PollResult, StartOrder, Verdict
 from lentilrill.execution._latency import LatencyKind, LatencyMonitor
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._links import PoolLinks
@@ -65,33 +65,33 @@
         """Whether orders may be given now."""
         return self._may_order()
 
-    def on_poll(self, link: EndpointLink, look: Look, sent: float) -> None:
+    def on_poll(self, link: EndpointLink, result: PollResult, sent: float) -> None:
         """Process the result of a poll."""
-        if self._handle_refusal(link, look.verdict):
+        if self._handle_refusal(link, result.verdict):
             return
         with self._lock:
-            if look.verdict is not Verdict.DONE:
+            if result.verdict is not Verdict.DONE:
                 if link.reachable:
                     log(
                         Event.ENDPOINT_LOST,
                         endpoint=link.entry.id,
-                        verdict=look.verdict.value,
-                        reason=look.reason,
+                        verdict=result.verdict.value,
+                        reason=result.reason,
                         runs=len(link.runs_by_key),
                     )
                 link.reachable = False
                 return
             now = time.monotonic()
             if not link.reachable:
-                log(Event.ENDPOINT_BACK, endpoint=link.entry.id, running=len(look.running))
+                log(Event.ENDPOINT_BACK, endpoint=link.entry.id, running=len(result.running))
             elif link.runs_by_key:
                 self._latency.record(LatencyKind.POLL, now - link.answered_at)
             link.reachable = True
             link.answered_at = now
             link.was_polled = True
             self._links.unpolled.discard(link.entry.id)
-            had_ends = bool(look.ended)
-            for order in self._reconciler.apply_poll(link, look, sent):
+            had_ends = bool(result.ended)
+            for order in self._reconciler.apply_poll(link, result, sent):
                 link.order(order)
             self._wake()
         if had_ends:
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lentilrill.execution import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
 from lentilrill.ids import JobId
 from lentilrill.store import ODD
 from lentilrill.workloads import TaskId
@@ -73,7 +73,7 @@
     return Verdict.INVALID if 400 <= status < 500 else Verdict.UNKNOWN
 
 
-def decode_look(data: bytes) -> Look:
+def decode_look(data: bytes) -> PollResult:
     """Return what a look found; ``UNKNOWN`` if its body can't be read.
 
     Guard against rows that were cut or garbled: one that can't be read makes the whole look
@@ -84,8 +84,8 @@
         running = tuple(_seen(row) for row in lists.running)
         ended = tuple(_end(row) for row in lists.ended)
     except CHECKED as error:
-        return Look(Verdict.UNKNOWN, reason=f"odd answer: {error}")
-    return Look(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
+        return PollResult(Verdict.UNKNOWN, reason=f"odd answer: {error}")
+    return PollResult(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
 
 
 def _seen(row: list[Any]) -> RunSeen:
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -3,7 +3,7 @@
 import msgspec
 from returns.result import Failure
 
-from lentilrill.execution import Look, OrderAnswer, StartOrder, Verdict
+from lentilrill.execution import OrderAnswer, PollResult, StartOrder, Verdict
 from lentilrill.platform._endpoint_wire import decode_clock, decode_look, refusal, task_name
 from lentilrill.store import Effect, Transport
 from lentilrill.telemetry import Metrics
@@ -85,7 +85,9 @@
         """Pace a run."""
         return self._order("pace", "/pace", _Pace(task_name(task), number, percent, token))
 
-    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(
+        self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int
+    ) -> PollResult:
         """Renew the lease, acknowledge ends, and return what runs and what ended."""
         body = msgspec.json.encode(_Hold(token, acknowledged, expires_ms or 0, wait_ms))
         self._metrics.incr("endpoint.looks")
@@ -94,9 +96,9 @@
             "endpoint.look", Effect.REPEATABLE, "POST", "/hold", body, timeout_s
         )
         if isinstance(answered, Failure):
-            return Look(Verdict.UNKNOWN, reason=answered.failure().reason)
+            return PollResult(Verdict.UNKNOWN, reason=answered.failure().reason)
         status, data, _ = answered.unwrap()
-        return decode_look(data) if status == OK else Look(refusal(status, data))
+        return decode_look(data) if status == OK else PollResult(refusal(status, data))
 
     def close(self) -> None:
         """Close the connections."""
--- a/tests/execution/fakes.py
+++ b/tests/execution/fakes.py
@@ -6,8 +6,8 @@
 
 from lentilrill.execution import (
     EndKind,
-    Look,
     OrderAnswer,
+    PollResult,
     PoolOwner,
     RunEnd,
     RunSeen,
@@ -52,7 +52,7 @@
         self.starts: list[tuple[TaskId, int]] = []
         self.stops: list[tuple[TaskId, int]] = []
         self.acknowledged = 0
-        self.looks = 0
+        self.polls = 0
         self._cursor = 0
         self._changed = threading.Condition()
 
@@ -83,7 +83,9 @@
         del task, number, percent, token
         return OrderAnswer(Verdict.DONE)
 
-    def poll(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(
+        self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int
+    ) -> PollResult:
         del expires_ms
         with self._changed:
             if not self.silent and token >= self.token:
@@ -94,11 +96,13 @@
                 if not self.ended:
                     self._changed.wait(min(wait_ms / 1000, MAX_POLL_WAIT_S))
             if self.silent:
-                return Look(Verdict.UNKNOWN)
+                return PollResult(Verdict.UNKNOWN)
             if token < self.token:
-                return Look(Verdict.FENCED)
-            self.looks += 1
-            return Look(Verdict.DONE, 1_000_000, 1, tuple(self.running.values()), tuple(self.ended))
+                return PollResult(Verdict.FENCED)
+            self.polls += 1
+            return PollResult(
+                Verdict.DONE, 1_000_000, 1, tuple(self.running.values()), tuple(self.ended)
+            )
 
     def end(self, task: TaskId, number: int, kind: EndKind = EndKind.DONE) -> None:
         """End a run."""
--- a/tests/execution/test_late_reads.py
+++ b/tests/execution/test_late_reads.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import patch
 
-from lentilrill.execution import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
 from lentilrill.execution._link import Order, OrderKind
 from lentilrill.execution._tracking import Run, RunPhase
 from tests.builders import a_step
@@ -32,17 +32,17 @@
         self.assertIs(RunPhase.UNDER_WAY, run.phase)
         return run
 
-    def read(self, look: Look, delay_s: float) -> None:
+    def read(self, result: PollResult, delay_s: float) -> None:
         """Apply a poll result that is read ``delay_s`` after the endpoint sent it."""
         sent = self.now
-        self.now = START_S + (look.clock_ms - START_MS) / 1000 + delay_s
+        self.now = START_S + (result.clock_ms - START_MS) / 1000 + delay_s
         self.link.answered_at = self.now
-        self.reconciler.apply_poll(self.link, look, sent)
+        self.reconciler.apply_poll(self.link, result, sent)
 
     def poll_run(self, after_ms: int, delay_s: float) -> int:
         """Read a poll that lists the run without progress; return the number of stops."""
         running = RunSeen(self.run_.task.id, self.run_.number, "", 0, 0.0)
-        self.read(Look(Verdict.DONE, START_MS + after_ms, 0, (running,)), delay_s)
+        self.read(PollResult(Verdict.DONE, START_MS + after_ms, 0, (running,)), delay_s)
         return len(a_planner().stop_stuck_runs(self.link))
 
     def test_a_run_is_not_stuck_since_a_look_at_it_is_read_late(self) -> None:
@@ -57,7 +57,7 @@
     def test_the_owners_lateness_is_not_its_tasks_duration(self) -> None:
         """Guards against a slow owner that overestimates durations and requests more hosts."""
         end = RunEnd(1, self.run_.task.id, self.run_.number, EndKind.DONE, "")
-        self.read(Look(Verdict.DONE, START_MS + 200, 0, (), (end,)), DELAY_S)
+        self.read(PollResult(Verdict.DONE, START_MS + 200, 0, (), (end,)), DELAY_S)
         self.assertTrue(self.run_.task.step.completed)
         self.assertAlmostEqual(200.0, self.run_.task.step.mean_ms, delta=1.0)
 
@@ -73,7 +73,7 @@
         """Guards against stopping a working task when its start's answer is read after a poll."""
         run = self.run_of(self.add(a_step(1), name="b"), confirmed=False)
         running = RunSeen(run.task.id, run.number, "", 50, 0.0)
-        self.read(Look(Verdict.DONE, START_MS + 3000, 0, (running,)), delay_s=0.0)
+        self.read(PollResult(Verdict.DONE, START_MS + 3000, 0, (running,)), delay_s=0.0)
         order = Order.for_run(OrderKind.START, run)
         self.reconciler.apply_answer(self.link, order, Verdict.DONE, START_MS)
         a_planner().stop_stuck_runs(self.link)
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from lentilrill.execution import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
 from lentilrill.execution._demand import PoolDemand, demand_of
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._need import Durations, WorkForecast
@@ -73,8 +73,8 @@
             run.phase = RunPhase.UNDER_WAY
         return run
 
-    def look(self, *, running: tuple[RunSeen, ...] = (), ended: tuple[RunEnd, ...] = ()) -> list:
-        seen = Look(Verdict.DONE, 1000, 1, running, ended)
+    def poll(self, *, running: tuple[RunSeen, ...] = (), ended: tuple[RunEnd, ...] = ()) -> list:
+        seen = PollResult(Verdict.DONE, 1000, 1, running, ended)
         return self.reconciler.apply_poll(self.link, seen, time.monotonic())
 
     def starts(self, unknown_tasks: set | None = None) -> list:
@@ -94,7 +94,7 @@
         """
         tracked_job = self.add(a_step(1))
         self.run_of(tracked_job)
-        self.look()
+        self.poll()
         self.assertTrue(tracked_job.tasks()[0].waiting)
 
     def test_a_run_whose_start_is_on_its_way_is_kept(self) -> None:
@@ -104,7 +104,7 @@
         """
         tracked_job = self.add(a_step(1))
         self.run_of(tracked_job, confirmed=False)
-        self.look()
+        self.poll()
         self.assertFalse(tracked_job.tasks()[0].waiting)
 
     def test_a_stray_blocks_its_task_and_is_stopped_in_the_end(self) -> None:
@@ -114,18 +114,18 @@
         appears, the run is stopped.
         """
         unknown_run = RunSeen(a_job("b").steps and self.task_id("b"), 3, "", 0, 0.0)
-        self.assertEqual([], self.look(running=(unknown_run,)))
+        self.assertEqual([], self.poll(running=(unknown_run,)))
         tracked_job = self.add(a_step(1), name="b")
         unknown_tasks = {key[0] for key in self.link.unknown_since_by_key}
         self.assertEqual([], self.starts(unknown_tasks))
-        self.look(running=(unknown_run,))
+        self.poll(running=(unknown_run,))
         self.assertEqual(1, len(tracked_job.tasks()[0].runs))
         del self.jobs[tracked_job.job.id]
         self.link.runs_by_key.clear()
-        self.look(running=(unknown_run,))
+        self.poll(running=(unknown_run,))
         key = (unknown_run.task, unknown_run.number)
         self.link.unknown_since_by_key[key] -= UNKNOWN_RUN_GRACE_S + 0.1
-        [stop] = self.look(running=(unknown_run,))
+        [stop] = self.poll(running=(unknown_run,))
         self.assertEqual((OrderKind.STOP, unknown_run.task), (stop.kind, stop.task))
 
     def test_a_run_of_a_final_job_is_stopped_at_once(self) -> None:
@@ -133,7 +133,7 @@
         task = tracked_job.tasks()[0].id
         tracked_job.end(JobState.CANCELLED, 1)
         tracked_job.steps_by_occurrence = {}
-        [stop] = self.look(running=(RunSeen(task, 3, "", 0, 0.0),))
+        [stop] = self.poll(running=(RunSeen(task, 3, "", 0, 0.0),))
         self.assertIs(OrderKind.STOP, stop.kind)
 
     def test_an_end_counts_once(self) -> None:
@@ -144,8 +144,8 @@
         tracked_job = self.add(a_step(1))
         run = self.run_of(tracked_job)
         end = RunEnd(1, run.task.id, run.number, EndKind.FAILED, "")
-        self.look(ended=(end,))
-        self.look(ended=(end,))
+        self.poll(ended=(end,))
+        self.poll(ended=(end,))
         self.assertEqual(1, tracked_job.tasks()[0].failures)
         self.assertIs(JobState.QUEUED, tracked_job.state)
 
@@ -154,7 +154,7 @@
         for cursor in (1, 2):
             self.assertIs(JobState.QUEUED, tracked_job.state)
             run = self.run_of(tracked_job, attempt=cursor)
-            self.look(ended=(RunEnd(cursor, run.task.id, run.number, EndKind.FAILED, ""),))
+            self.poll(ended=(RunEnd(cursor, run.task.id, run.number, EndKind.FAILED, ""),))
         self.assertIs(JobState.FAILED, tracked_job.state)
 
     def test_a_lease_of_a_former_owner_runs_out(self) -> None:
@@ -165,7 +165,7 @@
         """
         tracked_job = self.add(a_step(1))
         task = tracked_job.tasks()[0].id
-        self.look(running=(RunSeen(task, 3, "", 0, 0.0),))
+        self.poll(running=(RunSeen(task, 3, "", 0, 0.0),))
         self.assertGreater(self.link.lease_end, time.monotonic())
 
     def task_id(self, name: str) -> object:
@@ -196,7 +196,7 @@
         self.assertIs(OrderKind.STOP, after.kind)
         self.assertFalse(tracked_job.tasks()[0].waiting)
         self.assertIsNone(self.reconciler.apply_answer(self.link, after, Verdict.DONE))
-        self.look()
+        self.poll()
         self.assertTrue(tracked_job.tasks()[0].waiting)
 
     def test_a_refused_start_waits_again(self) -> None:
@@ -230,7 +230,7 @@
             run.percent = 100
         _, _, orders = release(self.link, time.monotonic())
         self.assertEqual(1, len(orders))
-        self.look(
+        self.poll(
             running=tuple(RunSeen(r.task.id, r.number, "", 100, 0.0) for r in (first, second))
         )
         self.assertEqual([], release(self.link, time.monotonic())[2])
@@ -428,7 +428,7 @@
         self.add(a_step(1))
         other = RunSeen(self.add(a_step(1), name="b").tasks()[0].id, 3, "", 0, 0.0)
         del self.jobs[other.task.job]
-        self.look(running=(other,))
+        self.poll(running=(other,))
         self.assertEqual([], self.starts())
 
     def test_steps_wait_for_those_before(self) -> None:
@@ -478,7 +478,7 @@
         tracked_job = self.add(a_step(9))
         for index in range(3):
             run = self.run_of(tracked_job, index)
-            self.look(ended=(RunEnd(index + 1, run.task.id, run.number, EndKind.FAILED, ""),))
+            self.poll(ended=(RunEnd(index + 1, run.task.id, run.number, EndKind.FAILED, ""),))
         self.assertEqual([], self.starts())
         self.link.probe_at = 0.0
         self.assertEqual(1, len(self.starts()))
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -58,7 +58,7 @@
         self.pool.entries.clear()
         self.pool.register(an_endpoint("e2"))
         second = self.pool.take_over()
-        self.assertTrue(eventually(lambda: self.pool.endpoints["e2"].looks > 0))
+        self.assertTrue(eventually(lambda: self.pool.endpoints["e2"].polls > 0))
         # Longer than the silence after which the link to an unregistered endpoint is closed.
         time.sleep(2.5)
         self.assertEqual([], self.pool.endpoints["e2"].starts)
@@ -173,7 +173,7 @@
         is refused, since the new owner has polled with a higher token, and it stops for good.
         """
         first = self.pool.take_over()
-        self.assertTrue(eventually(lambda: self.pool.endpoints["e1"].looks > 0))
+        self.assertTrue(eventually(lambda: self.pool.endpoints["e1"].polls > 0))
         self.pool.take_over()
         self.assertTrue(eventually(lambda: bool(self.pool.refusals)))
         first.close()
@@ -203,8 +203,8 @@
         self.pool.kv.down = True
         self.pool.finish_all()
         endpoint = self.pool.endpoints["e1"]
-        polls_before = endpoint.looks
-        self.assertTrue(eventually(lambda: endpoint.looks > polls_before + 3))
+        polls_before = endpoint.polls
+        self.assertTrue(eventually(lambda: endpoint.polls > polls_before + 3))
         self.assertEqual(JobState.RUNNING, self.owner.state_of(self.job.id))
         self.pool.kv.down = False
         self.assertTrue(eventually(lambda: self.owner.state_of(self.job.id) is JobState.COMPLETED))
@@ -219,8 +219,8 @@
         self.pool.kv.down = True
         self.pool.finish_all()
         endpoint = self.pool.endpoints["e1"]
-        polls_before = endpoint.looks
-        self.assertTrue(eventually(lambda: endpoint.looks > polls_before + 3))
+        polls_before = endpoint.polls
+        self.assertTrue(eventually(lambda: endpoint.polls > polls_before + 3))
         self.assertEqual(0, endpoint.acknowledged)
         self.pool.kv.down = False
         self.assertTrue(eventually(lambda: endpoint.acknowledged > 0))
