--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -17,8 +17,8 @@
     "PolicyAnswer",
     "PolicyCalls",
     "PollResult",
+    "ReportedRun",
     "RunEnd",
-    "RunSeen",
     "StartOrder",
     "Verdict",
 ]
@@ -88,7 +88,7 @@
     reason: str = ""
 
 
-class RunSeen(msgspec.Struct, frozen=True):
+class ReportedRun(msgspec.Struct, frozen=True):
     """A run in progress, as its endpoint reports it.
 
     :param checkpoint: newest checkpoint; empty if there is none.
@@ -126,7 +126,7 @@
     verdict: Verdict
     clock_ms: int = 0
     started_ms: int = 0
-    running: tuple[RunSeen, ...] = ()
+    running: tuple[ReportedRun, ...] = ()
     ended: tuple[RunEnd, ...] = ()
     reason: str = ""
 
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from lentilrill.execution._contract import EndKind, PollResult, RunEnd, RunSeen, Verdict
+from lentilrill.execution._contract import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._need import Durations
 from lentilrill.execution._tracking import Run, RunPhase, TrackedJob, TrackedTask
@@ -205,7 +205,7 @@
         if not task.step.spec.lasting and task.failures >= attempts:
             tracked_job.end(JobState.FAILED, int(time.time() * 1000))
 
-    def _update_run(self, link: EndpointLink, running: RunSeen) -> list[Order]:
+    def _update_run(self, link: EndpointLink, running: ReportedRun) -> list[Order]:
         key = (running.task, running.number)
         run = link.runs_by_key.get(key)
         if run is None:
@@ -225,7 +225,7 @@
             run.task.step.tracked_job.mark_running()
         return []
 
-    def _handle_unknown_run(self, link: EndpointLink, running: RunSeen) -> list[Order]:
+    def _handle_unknown_run(self, link: EndpointLink, running: ReportedRun) -> list[Order]:
         """Stop a run whose job is not tracked or has ended.
 
         The job may have been accepted but not read yet, so the run is stopped only after a while.
@@ -247,7 +247,7 @@
             return [Order(OrderKind.STOP, running.task, running.number)]
         return []
 
-    def _adopt(self, link: EndpointLink, running: RunSeen) -> Run | None:
+    def _adopt(self, link: EndpointLink, running: ReportedRun) -> Run | None:
         """Track a run that this owner has not placed, if its job is tracked.
 
         It was started by an earlier owner, or by an order that was executed after this owner had
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.ids import JobId
 from lentilrill.store import ODD
 from lentilrill.workloads import TaskId
@@ -88,9 +88,9 @@
     return PollResult(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
 
 
-def _seen(row: list[Any]) -> RunSeen:
+def _seen(row: list[Any]) -> ReportedRun:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
-    return RunSeen(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
+    return ReportedRun(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
 
 
 def _end(row: list[Any]) -> RunEnd:
--- a/tests/execution/fakes.py
+++ b/tests/execution/fakes.py
@@ -9,8 +9,8 @@
     OrderAnswer,
     PollResult,
     PoolOwner,
+    ReportedRun,
     RunEnd,
-    RunSeen,
     StartOrder,
     Verdict,
 )
@@ -47,7 +47,7 @@
         self.silent = False
         self.loses_acknowledgements = False
         self.token = 0
-        self.running: dict[tuple[TaskId, int], RunSeen] = {}
+        self.running: dict[tuple[TaskId, int], ReportedRun] = {}
         self.ended: list[RunEnd] = []
         self.starts: list[tuple[TaskId, int]] = []
         self.stops: list[tuple[TaskId, int]] = []
@@ -65,7 +65,7 @@
             self.token = order.token
             key = (order.task, order.number)
             if key not in self.running:
-                self.running[key] = RunSeen(order.task, order.number, "", 0, 0.0)
+                self.running[key] = ReportedRun(order.task, order.number, "", 0, 0.0)
                 self.starts.append(key)
             return OrderAnswer(Verdict.DONE)
 
--- a/tests/execution/test_late_reads.py
+++ b/tests/execution/test_late_reads.py
@@ -2,7 +2,7 @@
 
 from unittest.mock import patch
 
-from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.execution._link import Order, OrderKind
 from lentilrill.execution._tracking import Run, RunPhase
 from tests.builders import a_step
@@ -41,7 +41,7 @@
 
     def poll_run(self, after_ms: int, delay_s: float) -> int:
         """Read a poll that lists the run without progress; return the number of stops."""
-        running = RunSeen(self.run_.task.id, self.run_.number, "", 0, 0.0)
+        running = ReportedRun(self.run_.task.id, self.run_.number, "", 0, 0.0)
         self.read(PollResult(Verdict.DONE, START_MS + after_ms, 0, (running,)), delay_s)
         return len(a_planner().stop_stuck_runs(self.link))
 
@@ -72,7 +72,7 @@
     def test_a_start_whose_answer_is_read_after_a_look_is_not_stuck(self) -> None:
         """Guards against stopping a working task when its start's answer is read after a poll."""
         run = self.run_of(self.add(a_step(1), name="b"), confirmed=False)
-        running = RunSeen(run.task.id, run.number, "", 50, 0.0)
+        running = ReportedRun(run.task.id, run.number, "", 50, 0.0)
         self.read(PollResult(Verdict.DONE, START_MS + 3000, 0, (running,)), delay_s=0.0)
         order = Order.for_run(OrderKind.START, run)
         self.reconciler.apply_answer(self.link, order, Verdict.DONE, START_MS)
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from lentilrill.execution import EndKind, PollResult, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.execution._demand import PoolDemand, demand_of
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._need import Durations, WorkForecast
@@ -73,7 +73,9 @@
             run.phase = RunPhase.UNDER_WAY
         return run
 
-    def poll(self, *, running: tuple[RunSeen, ...] = (), ended: tuple[RunEnd, ...] = ()) -> list:
+    def poll(
+        self, *, running: tuple[ReportedRun, ...] = (), ended: tuple[RunEnd, ...] = ()
+    ) -> list:
         seen = PollResult(Verdict.DONE, 1000, 1, running, ended)
         return self.reconciler.apply_poll(self.link, seen, time.monotonic())
 
@@ -113,7 +115,7 @@
         Until the owner tracks the job, an unknown run counts as a run of its task. If the job never
         appears, the run is stopped.
         """
-        unknown_run = RunSeen(a_job("b").steps and self.task_id("b"), 3, "", 0, 0.0)
+        unknown_run = ReportedRun(a_job("b").steps and self.task_id("b"), 3, "", 0, 0.0)
         self.assertEqual([], self.poll(running=(unknown_run,)))
         tracked_job = self.add(a_step(1), name="b")
         unknown_tasks = {key[0] for key in self.link.unknown_since_by_key}
@@ -133,7 +135,7 @@
         task = tracked_job.tasks()[0].id
         tracked_job.end(JobState.CANCELLED, 1)
         tracked_job.steps_by_occurrence = {}
-        [stop] = self.poll(running=(RunSeen(task, 3, "", 0, 0.0),))
+        [stop] = self.poll(running=(ReportedRun(task, 3, "", 0, 0.0),))
         self.assertIs(OrderKind.STOP, stop.kind)
 
     def test_an_end_counts_once(self) -> None:
@@ -165,7 +167,7 @@
         """
         tracked_job = self.add(a_step(1))
         task = tracked_job.tasks()[0].id
-        self.poll(running=(RunSeen(task, 3, "", 0, 0.0),))
+        self.poll(running=(ReportedRun(task, 3, "", 0, 0.0),))
         self.assertGreater(self.link.lease_end, time.monotonic())
 
     def task_id(self, name: str) -> object:
@@ -231,7 +233,7 @@
         _, _, orders = release(self.link, time.monotonic())
         self.assertEqual(1, len(orders))
         self.poll(
-            running=tuple(RunSeen(r.task.id, r.number, "", 100, 0.0) for r in (first, second))
+            running=tuple(ReportedRun(r.task.id, r.number, "", 100, 0.0) for r in (first, second))
         )
         self.assertEqual([], release(self.link, time.monotonic())[2])
 
@@ -426,7 +428,7 @@
     def test_an_endpoint_with_a_stray_takes_nothing(self) -> None:
         """Guards against an overcommitted endpoint: the usage of an unknown run is not tracked."""
         self.add(a_step(1))
-        other = RunSeen(self.add(a_step(1), name="b").tasks()[0].id, 3, "", 0, 0.0)
+        other = ReportedRun(self.add(a_step(1), name="b").tasks()[0].id, 3, "", 0, 0.0)
         del self.jobs[other.task.job]
         self.poll(running=(other,))
         self.assertEqual([], self.starts())
