--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -53,10 +53,10 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
-    ODD = "odd"
+    UNEXPECTED = "odd"
 
 
 class StartOrder(msgspec.Struct, frozen=True):
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -94,5 +94,5 @@
 
 
 def _end(row: list[Any]) -> RunEnd:
-    kind = KIND_BY_WORD.get(str(row[3]), EndKind.ODD)
+    kind = KIND_BY_WORD.get(str(row[3]), EndKind.UNEXPECTED)
     return RunEnd(int(row[0]), _task(row[1]), int(row[2]), kind, str(row[4] or ""))
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -66,7 +66,7 @@
         }
         look = decode_look(encoded(raw))
         self.assertEqual((17, 2, 41), (look.running[0].task.number, look.running[0].number, 41))
-        self.assertEqual([EndKind.DONE, EndKind.ODD], [end.kind for end in look.ended])
+        self.assertEqual([EndKind.DONE, EndKind.UNEXPECTED], [end.kind for end in look.ended])
 
     def test_a_row_that_cannot_be_read_makes_the_look_worthless(self) -> None:
         """A task was started twice since the row of its run was cut, and so it counted as gone."""
