--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -39,7 +39,7 @@
     INVALID = "invalid"
     BUSY = "busy"
     """The endpoint is overloaded or unavailable and did not execute the order."""
-    ELSEWHERE = "elsewhere"
+    WRONG_INSTANCE = "elsewhere"
     """Another endpoint instance serves this address; the addressed one has terminated."""
     UNREACHED = "unreached"
     """No connection could be established, so the order was not executed."""
--- a/src/lentilrill/execution/_responses.py
+++ b/src/lentilrill/execution/_responses.py
@@ -105,7 +105,7 @@
         if verdict is Verdict.FENCED:
             self._on_fenced(f"endpoint {link.entry.id} knows a newer owner")
             return True
-        if verdict is Verdict.ELSEWHERE:
+        if verdict is Verdict.WRONG_INSTANCE:
             with self._lock:
                 self._drop_endpoint(link)
             return True
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -67,7 +67,7 @@
     if status == 409:
         return VERDICT_BY_REASON.get(decode_clock(data).reason, Verdict.INVALID)
     if status == 421:
-        return Verdict.ELSEWHERE
+        return Verdict.WRONG_INSTANCE
     if status in (429, 503):
         return Verdict.BUSY
     return Verdict.INVALID if 400 <= status < 500 else Verdict.UNKNOWN
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -79,7 +79,7 @@
         self.assertIs(Verdict.FENCED, refusal(409, b'{"reason":"fence"}'))
         self.assertIs(Verdict.OUTDATED, refusal(409, b'{"reason":"old"}'))
         self.assertIs(Verdict.INVALID, refusal(409, b"?"))
-        self.assertIs(Verdict.ELSEWHERE, refusal(421, b""))
+        self.assertIs(Verdict.WRONG_INSTANCE, refusal(421, b""))
         self.assertIs(Verdict.BUSY, refusal(503, b""))
         self.assertIs(Verdict.UNKNOWN, refusal(500, b""))
 
