--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -41,7 +41,7 @@
     """The endpoint is overloaded or unavailable and did not execute the order."""
     WRONG_INSTANCE = "elsewhere"
     """Another endpoint instance serves this address; the addressed one has terminated."""
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     """No connection could be established, so the order was not executed."""
     UNKNOWN = "unknown"
     """No answer: the order may have been executed, or may still be."""
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -294,7 +294,7 @@
                 return
         answer = self._send(order)
         if answer is not None:
-            self._is_responsive = answer.verdict not in (Verdict.UNKNOWN, Verdict.UNREACHED)
+            self._is_responsive = answer.verdict not in (Verdict.UNKNOWN, Verdict.UNREACHABLE)
         if answer is not None and not self._ended.is_set():
             self._owner.on_answer(self, order, answer)
 
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -97,7 +97,7 @@
             if run.phase is RunPhase.ORDERED:
                 run.phase = RunPhase.UNDER_WAY
             return None
-        if verdict is Verdict.UNKNOWN or (verdict is Verdict.UNREACHED and run.is_unconfirmed):
+        if verdict is Verdict.UNKNOWN or (verdict is Verdict.UNREACHABLE and run.is_unconfirmed):
             # A start is idempotent, and the answer to a resent one also covers the first one.
             run.is_unconfirmed = True
             return order
@@ -115,7 +115,7 @@
             return None
         now = time.monotonic()
         run.task.not_before = now + RETRY_ELSEWHERE_S
-        if verdict is Verdict.UNREACHED:
+        if verdict is Verdict.UNREACHABLE:
             link.probe_at = max(link.probe_at, now + RETRY_ELSEWHERE_S)
         if run.is_unconfirmed:
             # An earlier copy of this start order may still be executed, which would run the task
@@ -126,7 +126,7 @@
         return None
 
     def _apply_stop_answer(self, run: Run, order: Order, verdict: Verdict) -> Order | None:
-        if verdict in (Verdict.UNKNOWN, Verdict.UNREACHED, Verdict.BUSY):
+        if verdict in (Verdict.UNKNOWN, Verdict.UNREACHABLE, Verdict.BUSY):
             return order
         # Stopped, or refused as outdated: a later poll lists the run's end or not the run at all.
         run.confirmed_at = time.monotonic()
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -113,7 +113,7 @@
         )
         if isinstance(answered, Failure):
             fault = answered.failure()
-            verdict = Verdict.UNREACHED if fault.unsent else Verdict.UNKNOWN
+            verdict = Verdict.UNREACHABLE if fault.unsent else Verdict.UNKNOWN
             return OrderAnswer(verdict, reason=fault.reason)
         status, data, _ = answered.unwrap()
         clock = decode_clock(data)
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -283,13 +283,13 @@
 
     def test_a_start_that_reached_nobody_goes_elsewhere(self) -> None:
         """Guards against a task that waits for a terminated endpoint until a poll has failed."""
-        self.assertIsNone(self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHED))
+        self.assertIsNone(self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHABLE))
         self.assertTrue(self.run_.task.waiting)
         self.assertEqual({}, self.link.runs_by_key)
 
     def test_other_tasks_wait_before_they_go_where_nobody_was_reached(self) -> None:
         """Guards against sending all waiting tasks in turn to an unreachable endpoint."""
-        self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHED)
+        self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHABLE)
         self.add(a_step(1), name="b")
         self.assertEqual([], self.starts())
         self.link.probe_at = 0.0
@@ -301,13 +301,13 @@
         Its first start order was executed without an answer, and the second one did not arrive.
         """
         self.reconciler.apply_answer(self.link, self.order, Verdict.UNKNOWN)
-        again = self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHED)
+        again = self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHABLE)
         self.assertIs(self.order, again)
         self.assertFalse(self.run_.task.waiting)
 
     def test_a_stop_that_reached_nobody_is_sent_again(self) -> None:
         stop = Order.for_run(OrderKind.STOP, self.run_)
-        again = self.reconciler.apply_answer(self.link, stop, Verdict.UNREACHED)
+        again = self.reconciler.apply_answer(self.link, stop, Verdict.UNREACHABLE)
         self.assertIs(stop, again)
         self.assertIsNone(self.run_.confirmed_at)
 
