--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -32,7 +32,7 @@
     """The endpoint has received a newer fencing token."""
     OUTDATED = "outdated"
     """A run of the task with this or a higher number was stopped or has ended on the endpoint."""
-    LATE = "late"
+    LEASE_EXPIRED = "late"
     """The lease in the order had expired when the order arrived."""
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -16,7 +16,7 @@
 VERDICT_BY_REASON = {
     "fence": Verdict.FENCED,
     "old": Verdict.OUTDATED,
-    "late": Verdict.LATE,
+    "late": Verdict.LEASE_EXPIRED,
     "room": Verdict.NO_ROOM,
     "ticket": Verdict.NO_TICKET,
 }
