--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -146,7 +146,9 @@
 class PolicyCalls(Protocol):
     """Calls to the policy service, which decides which endpoints may run a queue's steps."""
 
-    def ask(self, step: StepId, endpoints: tuple[EndpointId, ...]) -> Result[PolicyAnswer, Fault]:
+    def request_tickets(
+        self, step: StepId, endpoints: tuple[EndpointId, ...]
+    ) -> Result[PolicyAnswer, Fault]:
         """Return tickets for those of ``endpoints`` that may run ``step``.
 
         Whether an endpoint may run a step never changes.
--- a/src/lentilrill/execution/_tickets.py
+++ b/src/lentilrill/execution/_tickets.py
@@ -137,7 +137,7 @@
         assert self._policy is not None
         # A ticket's validity begins when it is issued, which is after this time.
         called_at = time.monotonic()
-        result = self._policy.ask(request.step, request.endpoints)
+        result = self._policy.request_tickets(request.step, request.endpoints)
         if isinstance(result, Failure):
             self._service.failed(result.failure().reason)
             self._ended.wait(RETRY_S)
--- a/src/lentilrill/platform/_policy.py
+++ b/src/lentilrill/platform/_policy.py
@@ -40,7 +40,9 @@
         self._transport = Transport((address,))
         self._metrics = metrics
 
-    def ask(self, step: StepId, endpoints: tuple[EndpointId, ...]) -> Result[PolicyAnswer, Fault]:
+    def request_tickets(
+        self, step: StepId, endpoints: tuple[EndpointId, ...]
+    ) -> Result[PolicyAnswer, Fault]:
         """Return tickets for those of some endpoints that may run a step."""
         name = f"{step.job}.{step.occurrence}.{step.step}"
         body = msgspec.json.encode(_Question(name, list(endpoints)))
--- a/tests/execution/test_tickets.py
+++ b/tests/execution/test_tickets.py
@@ -25,7 +25,9 @@
         self.failures = 0
         self.valid_s = 60.0
 
-    def ask(self, step: StepId, endpoints: tuple[EndpointId, ...]) -> Result[PolicyAnswer, Fault]:
+    def request_tickets(
+        self, step: StepId, endpoints: tuple[EndpointId, ...]
+    ) -> Result[PolicyAnswer, Fault]:
         self.requests_received.append(TicketRequest(step, endpoints))
         if self.failures:
             self.failures -= 1
