--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self._arrivals: deque[_Arrival] = deque()
 
-    def note(self, now: float, chain: Chain, slack_s: float) -> None:
+    def record_arrival(self, now: float, chain: Chain, slack_s: float) -> None:
         """Record the arrival of a job, and how long it may wait."""
         self._arrivals.append(_Arrival(now, chain, slack_s))
 
