--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -80,7 +80,7 @@
         """Record the arrival of a job, and how long it may wait."""
         self._arrivals.append(_Arrival(now, chain, slack_s))
 
-    def expected(self, now: float) -> WorkForecast:
+    def forecast(self, now: float) -> WorkForecast:
         """Return the forecast of arriving work."""
         while self._arrivals and now - self._arrivals[0].at > 2 * WINDOW_S:
             self._arrivals.popleft()
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -203,7 +203,7 @@
                 (tracked_job, self._planner.standing(tracked_job, self._queue_of(tracked_job), now))
                 for tracked_job in self._jobs.live_by_id.values()
             ]
-            demand = demand_of(jobs, links, self._durations, self._offered.expected(now), now)
+            demand = demand_of(jobs, links, self._durations, self._offered.forecast(now), now)
             # The rounds until the next call order jobs by this value.
             self._planner.feasible = demand.feasible
             backlog = backlog_of(jobs)
