--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -70,7 +70,7 @@
     due = hosts_due(demands)
     without_forecast = min(max(max_parallel), hosts_due(demands, present, LEAD_S))
     if forecast.duration_s > 0:
-        forecast_shares = _shares(forecast.needs_s, host_size)
+        forecast_shares = _shares(forecast.resource_seconds, host_size)
         demands += _expected(forecast_shares, forecast)
         max_parallel = _sum(
             max_parallel, _times(forecast_shares, forecast.duration_s / forecast.arrival_span_s)
--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -29,30 +29,30 @@
 
     :param remaining_ms: critical path through the unfinished steps, in milliseconds.
     :param total_ms: critical path through all steps.
-    :param needs_s: resources of the unfinished tasks (thousandths of a core, megabytes and
+    :param resource_seconds: resources of the unfinished tasks (thousandths of a core, megabytes and
         accelerators), each multiplied by the seconds of use.
     """
 
     remaining_ms: float
     total_ms: float
-    needs_s: tuple[float, float, float]
+    resource_seconds: tuple[float, float, float]
 
     @property
     def work(self) -> float:
         """Processor seconds of the unfinished tasks."""
-        return self.needs_s[0] / 1000
+        return self.resource_seconds[0] / 1000
 
 
 class WorkForecast(msgspec.Struct, frozen=True):
     """Forecast of the work that arrives before a host that is moved now can serve.
 
-    :param needs_s: total, as in :class:`Chain`.
+    :param resource_seconds: total, as in :class:`Chain`.
     :param arrival_span_s: span over which it arrives evenly.
     :param slack_s: how long a job may wait after its arrival.
     :param duration_s: duration of a job from its start to its end; 0 if no work is expected.
     """
 
-    needs_s: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    resource_seconds: tuple[float, float, float] = (0.0, 0.0, 0.0)
     arrival_span_s: float = LEAD_S
     slack_s: float = 0.0
     duration_s: float = 0.0
@@ -90,10 +90,17 @@
             return WorkForecast()
         before = sum(a.chain.work for a in self._arrivals) - work
         times = LEAD_S / WINDOW_S * (SURGE_GROWTH if work > before else 1.0)
-        needs_s = [sum(a.chain.needs_s[i] for a in last) * times for i in range(3)]
+        resource_seconds = [
+            sum(a.chain.resource_seconds[i] for a in last) * times for i in range(3)
+        ]
         slack_s = sum(a.chain.work * a.slack_s for a in last) / work
         duration_s = sum(a.chain.work * a.chain.remaining_ms for a in last) / work / 1000
-        return WorkForecast((needs_s[0], needs_s[1], needs_s[2]), LEAD_S, slack_s, duration_s)
+        return WorkForecast(
+            (resource_seconds[0], resource_seconds[1], resource_seconds[2]),
+            LEAD_S,
+            slack_s,
+            duration_s,
+        )
 
 
 class Durations:
@@ -122,7 +129,7 @@
         """Return the work of a job."""
         left: dict[int, float] = {}
         whole: dict[int, float] = {}
-        needs_s = [0.0, 0.0, 0.0]
+        resource_seconds = [0.0, 0.0, 0.0]
         current = max(tracked_job.steps_by_occurrence, default=0)
         steps = tracked_job.steps_by_occurrence.get(current, [])
         for index, spec in enumerate(tracked_job.job.steps):
@@ -132,13 +139,13 @@
             whole[index] = ms + max((whole[i] for i in spec.after), default=0.0)
             left[index] = (ms if remaining else 0) + max((left[i] for i in spec.after), default=0.0)
             seconds = remaining * ms / 1000
-            needs_s[0] += seconds * spec.needs.cpu
-            needs_s[1] += seconds * spec.needs.memory_mb
-            needs_s[2] += seconds * spec.needs.accelerators
+            resource_seconds[0] += seconds * spec.needs.cpu
+            resource_seconds[1] += seconds * spec.needs.memory_mb
+            resource_seconds[2] += seconds * spec.needs.accelerators
         return Chain(
             max(left.values(), default=0.0),
             max(whole.values(), default=0.0),
-            (needs_s[0], needs_s[1], needs_s[2]),
+            (resource_seconds[0], resource_seconds[1], resource_seconds[2]),
         )
 
     def longest_ready_ms(self, tracked_job: TrackedJob) -> float:
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -134,14 +134,14 @@
         """In its turn a queue's jobs waited three seconds for hosts that came when it was over."""
         offered = OfferedLoad()
         offered.record_arrival(10.0, a_chain(2.0), 0.0)
-        self.assertGreaterEqual(offered.forecast(10.5).needs_s[0], 4000)
+        self.assertGreaterEqual(offered.forecast(10.5).resource_seconds[0], 4000)
         for step in range(10):
             offered.record_arrival(11.0 + step / 10, a_chain(7.0), 0.0)
-        self.assertGreaterEqual(offered.forecast(12.0).needs_s[0], 126000)
+        self.assertGreaterEqual(offered.forecast(12.0).resource_seconds[0], 126000)
         for step in range(10):
             offered.record_arrival(12.05 + step / 20, a_chain(1.0), 0.0)
-        self.assertLess(offered.forecast(13.0).needs_s[0], 17500 * LEAD_S)
-        self.assertEqual(0.0, offered.forecast(20.0).needs_s[0])
+        self.assertLess(offered.forecast(13.0).resource_seconds[0], 17500 * LEAD_S)
+        self.assertEqual(0.0, offered.forecast(20.0).resource_seconds[0])
 
 
 class DemandTest(TestCase):
