--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -10,7 +10,7 @@
 from lentilrill.scheduling import DurationModel
 from lentilrill.workloads import Job, Step
 
-__all__ = ["Chain", "Durations", "OfferedLoad", "WorkForecast", "idle_endpoints"]
+__all__ = ["Durations", "OfferedLoad", "WorkEstimate", "WorkForecast", "idle_endpoints"]
 
 WINDOW_S = 1.0
 """Window in which arriving work is counted; a queue in a surge gets several jobs in it."""
@@ -24,7 +24,7 @@
 this time."""
 
 
-class Chain(msgspec.Struct, frozen=True):
+class WorkEstimate(msgspec.Struct, frozen=True):
     """Estimated work of a job.
 
     :param remaining_ms: critical path through the unfinished steps, in milliseconds.
@@ -38,7 +38,7 @@
     resource_seconds: tuple[float, float, float]
 
     @property
-    def work(self) -> float:
+    def cpu_s(self) -> float:
         """Processor seconds of the unfinished tasks."""
         return self.resource_seconds[0] / 1000
 
@@ -46,7 +46,7 @@
 class WorkForecast(msgspec.Struct, frozen=True):
     """Forecast of the work that arrives before a host that is moved now can serve.
 
-    :param resource_seconds: total, as in :class:`Chain`.
+    :param resource_seconds: total, as in :class:`WorkEstimate`.
     :param arrival_span_s: span over which it arrives evenly.
     :param slack_s: how long a job may wait after its arrival.
     :param duration_s: duration of a job from its start to its end; 0 if no work is expected.
@@ -60,7 +60,7 @@
 
 class _Arrival(msgspec.Struct, frozen=True):
     at: float
-    chain: Chain
+    estimate: WorkEstimate
     slack_s: float
 
 
@@ -76,25 +76,25 @@
     def __init__(self) -> None:
         self._arrivals: deque[_Arrival] = deque()
 
-    def record_arrival(self, now: float, chain: Chain, slack_s: float) -> None:
+    def record_arrival(self, now: float, estimate: WorkEstimate, slack_s: float) -> None:
         """Record the arrival of a job, and how long it may wait."""
-        self._arrivals.append(_Arrival(now, chain, slack_s))
+        self._arrivals.append(_Arrival(now, estimate, slack_s))
 
     def forecast(self, now: float) -> WorkForecast:
         """Return the forecast of arriving work."""
         while self._arrivals and now - self._arrivals[0].at > 2 * WINDOW_S:
             self._arrivals.popleft()
         last = [a for a in self._arrivals if now - a.at <= WINDOW_S]
-        work = sum(a.chain.work for a in last)
+        work = sum(a.estimate.cpu_s for a in last)
         if not work:
             return WorkForecast()
-        before = sum(a.chain.work for a in self._arrivals) - work
+        before = sum(a.estimate.cpu_s for a in self._arrivals) - work
         times = LEAD_S / WINDOW_S * (SURGE_GROWTH if work > before else 1.0)
         resource_seconds = [
-            sum(a.chain.resource_seconds[i] for a in last) * times for i in range(3)
+            sum(a.estimate.resource_seconds[i] for a in last) * times for i in range(3)
         ]
-        slack_s = sum(a.chain.work * a.slack_s for a in last) / work
-        duration_s = sum(a.chain.work * a.chain.remaining_ms for a in last) / work / 1000
+        slack_s = sum(a.estimate.cpu_s * a.slack_s for a in last) / work
+        duration_s = sum(a.estimate.cpu_s * a.estimate.remaining_ms for a in last) / work / 1000
         return WorkForecast(
             (resource_seconds[0], resource_seconds[1], resource_seconds[2]),
             LEAD_S,
@@ -125,7 +125,7 @@
         model = self._model_by_queue.get(job.queue)
         return model.expected_ms(spec.estimate_ms) if model is not None else spec.estimate_ms
 
-    def work_of(self, tracked_job: TrackedJob) -> Chain:
+    def estimate_work(self, tracked_job: TrackedJob) -> WorkEstimate:
         """Return the work of a job."""
         left: dict[int, float] = {}
         whole: dict[int, float] = {}
@@ -142,7 +142,7 @@
             resource_seconds[0] += seconds * spec.needs.cpu
             resource_seconds[1] += seconds * spec.needs.memory_mb
             resource_seconds[2] += seconds * spec.needs.accelerators
-        return Chain(
+        return WorkEstimate(
             max(left.values(), default=0.0),
             max(whole.values(), default=0.0),
             (resource_seconds[0], resource_seconds[1], resource_seconds[2]),
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -171,16 +171,16 @@
 
     def standing(self, tracked_job: TrackedJob, queue: Queue | None, now: float) -> Standing:
         """Return the values by which a job is ordered among others."""
-        chain = self._durations.work_of(tracked_job)
+        estimate = self._durations.estimate_work(tracked_job)
         stretch = queue.stretch if queue is not None else 1.0
         objective_ms = queue.objective_ms if queue is not None else 0
         return Standing(
             queue.priority if queue is not None else 0,
             tracked_job.long_running,
             now - tracked_job.arrived_at,
-            chain.remaining_ms / 1000,
-            (stretch * chain.total_ms + objective_ms) / 1000,
-            chain.work,
+            estimate.remaining_ms / 1000,
+            (stretch * estimate.total_ms + objective_ms) / 1000,
+            estimate.cpu_s,
         )
 
     def stop_stuck_runs(self, link: EndpointLink) -> list[Order]:
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -185,7 +185,9 @@
                 slack_s = self._planner.standing(
                     tracked_job, self._queue_of(tracked_job), now
                 ).slack_s
-                self._offered.record_arrival(now, self._durations.work_of(tracked_job), slack_s)
+                self._offered.record_arrival(
+                    now, self._durations.estimate_work(tracked_job), slack_s
+                )
             self._wake()
 
     def pressure(self) -> PoolPressure | None:
--- a/tests/scheduling/test_load.py
+++ b/tests/scheduling/test_load.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from lentilrill.execution._need import LEAD_S, Chain, OfferedLoad
+from lentilrill.execution._need import LEAD_S, OfferedLoad, WorkEstimate
 from lentilrill.ids import HostId, PoolId, ZoneId
 from lentilrill.scheduling import (
     Demand,
@@ -125,21 +125,21 @@
         self.assertEqual({busy.pool}, {move.source for move in moves})
 
 
-def a_chain(cores_s: float, ms: float = 800.0) -> Chain:
-    return Chain(ms, ms, (cores_s * 1000, 0.0, 0.0))
+def an_estimate(cores_s: float, ms: float = 800.0) -> WorkEstimate:
+    return WorkEstimate(ms, ms, (cores_s * 1000, 0.0, 0.0))
 
 
 class OfferedLoadTest(TestCase):
     def test_a_surge_shows_in_its_first_second(self) -> None:
         """In its turn a queue's jobs waited three seconds for hosts that came when it was over."""
         offered = OfferedLoad()
-        offered.record_arrival(10.0, a_chain(2.0), 0.0)
+        offered.record_arrival(10.0, an_estimate(2.0), 0.0)
         self.assertGreaterEqual(offered.forecast(10.5).resource_seconds[0], 4000)
         for step in range(10):
-            offered.record_arrival(11.0 + step / 10, a_chain(7.0), 0.0)
+            offered.record_arrival(11.0 + step / 10, an_estimate(7.0), 0.0)
         self.assertGreaterEqual(offered.forecast(12.0).resource_seconds[0], 126000)
         for step in range(10):
-            offered.record_arrival(12.05 + step / 20, a_chain(1.0), 0.0)
+            offered.record_arrival(12.05 + step / 20, an_estimate(1.0), 0.0)
         self.assertLess(offered.forecast(13.0).resource_seconds[0], 17500 * LEAD_S)
         self.assertEqual(0.0, offered.forecast(20.0).resource_seconds[0])
 
