--- a/tests/execution/test_endpoint_list.py
+++ b/tests/execution/test_endpoint_list.py
@@ -52,7 +52,7 @@
         self.assertTrue(self.endpoint_list.write([an_endpoint("e1")], []))
         self.assertEqual({"e1"}, set(self.endpoint_list.address_by_id))
 
-    def test_another_writer_is_no_newer_owner(self) -> None:
+    def test_another_writer_is_not_a_newer_owner(self) -> None:
         """Guards against an owner that gives its pool up because of its own delayed write.
 
         The delayed write had been executed between two others.
@@ -63,6 +63,6 @@
         self.assertTrue(self.endpoint_list.write([an_endpoint("e22")], []))
         self.assertEqual({"e1", "e22"}, self.stored())
 
-    def test_a_newer_owner_is_told(self) -> None:
+    def test_a_newer_owner_is_reported(self) -> None:
         self.kv.put(OWNER, b"another")
         self.assertFalse(self.endpoint_list.write([an_endpoint("e1")], []))
--- a/tests/execution/test_idle.py
+++ b/tests/execution/test_idle.py
@@ -76,7 +76,7 @@
         self.assertEqual(IDLE_AFTER_S, self.lines[0]["idle_s"])
         return str(self.lines[0]["reason"])
 
-    def test_a_task_that_starts_soon_is_not_told_of(self) -> None:
+    def test_a_task_that_starts_soon_is_not_logged(self) -> None:
         self.sweep(0.0)
         self.sweep(IDLE_AFTER_S - 0.1)
         run = self.a_run(self.task, RunPhase.UNDER_WAY)
@@ -85,7 +85,7 @@
         self.sweep(IDLE_AFTER_S + 2.1)
         self.assertEqual([], self.lines)
 
-    def test_lines_are_few_however_many_rounds_there_are(self) -> None:
+    def test_the_number_of_lines_does_not_depend_on_rounds(self) -> None:
         """An idle task is logged every few seconds, not in each round."""
         rounds = 200
         for number in range(rounds):
@@ -119,7 +119,7 @@
             self.a_run(other, RunPhase.UNDER_WAY).endpoint = EndpointId(endpoint)
         self.assertEqual("as many of its step as may be run where it fits", self.reason())
 
-    def test_a_stray(self) -> None:
+    def test_an_unknown_run(self) -> None:
         self.assertEqual("seen under way, not followed", self.reason(unknown_tasks=True))
 
     def test_a_take_over(self) -> None:
@@ -146,7 +146,7 @@
 
 
 class OwnerTest(TestCase):
-    def test_an_owner_tells_of_a_task_that_it_can_not_start(self) -> None:
+    def test_an_owner_logs_a_task_that_it_can_not_start(self) -> None:
         """End to end: an endpoint is drained, and the long-running task has no other one."""
         lines: list[dict[str, Any]] = []
         patched = patch(
--- a/tests/execution/test_late_reads.py
+++ b/tests/execution/test_late_reads.py
@@ -49,7 +49,7 @@
         """Guards against a slow owner that stops healthy tasks and counts endpoint failures."""
         self.assertEqual(0, self.poll_run(after_ms=10, delay_s=DELAY_S))
 
-    def test_a_run_that_stands_still_is_stuck(self) -> None:
+    def test_a_run_without_progress_is_stuck(self) -> None:
         """Guards against hanging tasks that hold their capacity indefinitely."""
         self.assertEqual(0, self.poll_run(after_ms=10, delay_s=0.0))
         self.assertEqual(1, self.poll_run(after_ms=4000, delay_s=0.0))
@@ -86,7 +86,7 @@
             self.link.update_clock(START_MS + int(980 * second), self.now)
         self.assertAlmostEqual(self.now, self.link.reported_at, delta=0.2)
 
-    def test_a_new_life_has_a_clock_of_its_own(self) -> None:
+    def test_a_restarted_endpoint_has_a_new_clock(self) -> None:
         """Guards against stuck runs that go undetected after an endpoint's clock was reset."""
         self.now += 100.0
         self.link.reset(2)
--- a/tests/execution/test_latency.py
+++ b/tests/execution/test_latency.py
@@ -55,13 +55,13 @@
     def report(self, after_s: float) -> None:
         self.latency.report(self.began + after_s, jobs=3, endpoints=39)
 
-    def test_an_owner_in_time_is_not_told_of(self) -> None:
+    def test_an_owner_within_its_bounds_is_not_logged(self) -> None:
         for kind, bound_s in BOUND_S_BY_KIND.items():
             self.latency.record(kind, bound_s)
         self.report(REPORT_INTERVAL_S + 1)
         self.assertEqual([], self.lines)
 
-    def test_each_kind_is_told_by_its_longest_time(self) -> None:
+    def test_each_kind_is_logged_with_its_maximum(self) -> None:
         for kind in LatencyKind:
             self.lines.clear()
             self.latency.record(kind, 4.0)
@@ -100,7 +100,7 @@
 
 
 class OwnerTest(TestCase):
-    def test_rounds_starts_and_looks_are_counted(self) -> None:
+    def test_rounds_starts_and_polls_are_measured(self) -> None:
         """End to end: a start is sent three times, and its wait counts once."""
         metrics = RecordingMetrics()
         pool = OwnedPool("e1")
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -99,7 +99,7 @@
         self.poll()
         self.assertTrue(tracked_job.tasks()[0].waiting)
 
-    def test_a_run_whose_start_is_on_its_way_is_kept(self) -> None:
+    def test_a_run_whose_start_is_in_flight_is_kept(self) -> None:
         """Guards against a task that is started twice within milliseconds.
 
         A poll that was sent before the start arrived does not list the run, which proves nothing.
@@ -109,7 +109,7 @@
         self.poll()
         self.assertFalse(tracked_job.tasks()[0].waiting)
 
-    def test_a_stray_blocks_its_task_and_is_stopped_in_the_end(self) -> None:
+    def test_an_unknown_run_blocks_its_task_and_is_stopped_after_a_while(self) -> None:
         """Guards against a job that runs twice because the pool's owner had not read it yet.
 
         Until the owner tracks the job, an unknown run counts as a run of its task. If the job never
@@ -159,7 +159,7 @@
             self.poll(ended=(RunEnd(cursor, run.task.id, run.number, EndKind.FAILED, ""),))
         self.assertIs(JobState.FAILED, tracked_job.state)
 
-    def test_a_lease_of_a_former_owner_runs_out(self) -> None:
+    def test_a_lease_of_a_former_owner_expires(self) -> None:
         """Guards against a task that waits forever after a take-over.
 
         The endpoint was lost after the new owner had found the run and before it had given a lease
@@ -183,7 +183,7 @@
         self.assertIs(order, self.reconciler.apply_answer(self.link, order, Verdict.UNKNOWN))
         self.assertTrue(run.is_unconfirmed)
 
-    def test_a_refusal_does_not_settle_a_start_in_doubt(self) -> None:
+    def test_a_refusal_does_not_settle_an_unconfirmed_start(self) -> None:
         """Guards against a task that runs on two endpoints.
 
         A start got no answer. Sent again, it was refused for lack of capacity, and the task was
@@ -209,7 +209,7 @@
 
 
 class ReleaseTest(TrackedJobCase):
-    def test_a_lasting_task_stays_while_another_one_is_away(self) -> None:
+    def test_a_long_running_task_stays_while_another_one_is_away(self) -> None:
         """Guards against two of five tasks being away at once where one may be.
 
         The first had been stopped by the former owner of the pool. Every task that is not working
@@ -258,7 +258,7 @@
         self.starts()
         self.assertIs(WaitCause.WORK, self.cause_of(tracked_job))
 
-    def test_an_unanswered_start_is_told_apart(self) -> None:
+    def test_an_unanswered_start_has_its_own_cause(self) -> None:
         tracked_job = self.add(a_step(1))
         self.run_of(tracked_job, confirmed=False).is_unconfirmed = True
         self.starts()
@@ -281,13 +281,13 @@
         self.run_ = self.run_of(self.add(a_step(1)), confirmed=False)
         self.order = Order.for_run(OrderKind.START, self.run_)
 
-    def test_a_start_that_reached_nobody_goes_elsewhere(self) -> None:
+    def test_an_undelivered_start_is_placed_elsewhere(self) -> None:
         """Guards against a task that waits for a terminated endpoint until a poll has failed."""
         self.assertIsNone(self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHABLE))
         self.assertTrue(self.run_.task.waiting)
         self.assertEqual({}, self.link.runs_by_key)
 
-    def test_other_tasks_wait_before_they_go_where_nobody_was_reached(self) -> None:
+    def test_other_tasks_wait_before_they_go_to_an_unreachable_endpoint(self) -> None:
         """Guards against sending all waiting tasks in turn to an unreachable endpoint."""
         self.reconciler.apply_answer(self.link, self.order, Verdict.UNREACHABLE)
         self.add(a_step(1), name="b")
@@ -295,7 +295,7 @@
         self.link.probe_at = 0.0
         self.assertEqual(1, len(self.starts()))
 
-    def test_an_earlier_sending_without_answer_stays_in_doubt(self) -> None:
+    def test_an_earlier_unanswered_start_stays_unconfirmed(self) -> None:
         """Guards against a task that runs twice.
 
         Its first start order was executed without an answer, and the second one did not arrive.
@@ -305,7 +305,7 @@
         self.assertIs(self.order, again)
         self.assertFalse(self.run_.task.waiting)
 
-    def test_a_stop_that_reached_nobody_is_sent_again(self) -> None:
+    def test_an_undelivered_stop_is_sent_again(self) -> None:
         stop = Order.for_run(OrderKind.STOP, self.run_)
         again = self.reconciler.apply_answer(self.link, stop, Verdict.UNREACHABLE)
         self.assertIs(stop, again)
@@ -313,7 +313,7 @@
 
 
 class NeedTest(TrackedJobCase):
-    def test_late_work_asks_for_few_hosts(self) -> None:
+    def test_overdue_work_needs_few_hosts(self) -> None:
         """Guards against an overdue backlog that competes for hosts with work still in time."""
         host_size = self.link.entry.room
         step = a_step(4, needs=Resources(host_size.cpu, 1), estimate_ms=800)
@@ -323,7 +323,7 @@
         self.assertGreater(in_time, 2.0)
         self.assertLess(late, 1.3)
 
-    def test_what_runs_counts_until_it_ends(self) -> None:
+    def test_runs_count_until_they_end(self) -> None:
         """Guards against moving a pool's hosts away while tasks that have just begun run on them.
 
         New tasks of the pool had to wait then.
@@ -336,28 +336,28 @@
         self.assertAlmostEqual(0.5, self.demand(standings, now=100.0), delta=0.01)
         self.assertAlmostEqual(0.5, self.demand(standings, now=101.0), delta=0.01)
 
-    def test_lasting_tasks_count_always(self) -> None:
+    def test_long_running_tasks_always_count(self) -> None:
         host_size = self.link.entry.room
         tracked_job = self.add(a_step(4, needs=Resources(host_size.cpu // 4, 1), lasting=True))
         self.assertAlmostEqual(
             1.0, self.demand([(tracked_job, a_standing(lasts=True))]), delta=0.01
         )
 
-    def test_a_pool_without_hosts_asks_for_one(self) -> None:
+    def test_a_pool_without_hosts_needs_one(self) -> None:
         """The size of a host is unknown before the first one is present, and none is assumed."""
         tracked_job = self.add(a_step(1))
         result = demand_of([(tracked_job, a_standing())], [], Durations(), WorkForecast(), 0.0)
         self.assertEqual(PoolDemand(1.0, 1.0), result)
         self.assertEqual(PoolDemand(0.0, 0.0), demand_of([], [], Durations(), WorkForecast(), 0.0))
 
-    def test_a_job_asks_for_no_more_than_its_room(self) -> None:
+    def test_a_job_needs_no_more_than_its_capacity(self) -> None:
         """Guards against a request for twenty hosts by an urgent job that can use only two."""
         host_size = self.link.entry.room
         tracked_job = self.add(a_step(2, needs=Resources(host_size.cpu, 1), estimate_ms=4000))
         standing = a_standing(left_s=4.0, allowed_s=4.1)
         self.assertAlmostEqual(2.0, self.demand([(tracked_job, standing)]), delta=0.01)
 
-    def test_whether_the_hosts_there_are_enough(self) -> None:
+    def test_whether_the_present_hosts_are_enough(self) -> None:
         """Guards against ordering by time left in overload, which made nearly all jobs late."""
         host_size = self.link.entry.room
         self.link.registered = True
@@ -370,7 +370,7 @@
     def demand(self, standings: list[tuple[TrackedJob, Standing]], now: float = 0.0) -> float:
         return demand_of(standings, [self.link], Durations(), WorkForecast(), now).without_forecast
 
-    def test_what_late_jobs_run_can_be_taken_for_others(self) -> None:
+    def test_endpoints_with_only_overdue_jobs_are_listed(self) -> None:
         """Guards against overdue work on each host of a pool that keeps all hosts from others."""
         late, timely = self.add(a_step(1), name="a"), self.add(a_step(1), name="b")
         self.run_of(late)
@@ -381,7 +381,7 @@
         self.run_of(timely)
         self.assertEqual((), self.pressure(standings).late)
 
-    def test_a_surge_that_ends_names_hosts_with_little_work(self) -> None:
+    def test_the_end_of_a_surge_lists_cheaply_drained_endpoints(self) -> None:
         """Guards against jobs that wait for hosts with only a task or two of another pool."""
         self.link.registered = True
         tracked_job = self.add(a_step(1))
@@ -390,7 +390,7 @@
         self.assertEqual((self.link.entry.id,), self.pressure(standings, need=0.0).light)
         self.assertEqual((), self.pressure(standings, need=0.2).light)
 
-    def test_what_can_be_saved_goes_first(self) -> None:
+    def test_endpoints_with_checkpointed_tasks_come_first(self) -> None:
         """Guards against stopping a task that loses its work instead of a checkpointed one."""
         links = [self.link, EndpointLink(Owner(), an_endpoint("e2"), FakeEndpoint())]
         runs = [
@@ -403,7 +403,7 @@
         result = self.pressure([], need=0.5, links=links)
         self.assertEqual((links[1].entry.id,), result.light)
 
-    def test_hosts_with_what_lasts_are_not_named(self) -> None:
+    def test_endpoints_with_long_running_tasks_are_not_listed(self) -> None:
         """Guards against moving serving tasks each time that a surge ends."""
         self.link.registered = True
         self.run_of(self.add(a_step(1, lasting=True)))
@@ -421,11 +421,11 @@
 
 
 class RoomTest(TrackedJobCase):
-    def test_an_endpoint_takes_no_more_than_its_room(self) -> None:
+    def test_an_endpoint_takes_no_more_than_its_capacity(self) -> None:
         self.add(a_step(9))
         self.assertEqual(4, len(self.starts()))
 
-    def test_an_endpoint_with_a_stray_takes_nothing(self) -> None:
+    def test_an_endpoint_with_an_unknown_run_takes_nothing(self) -> None:
         """Guards against an overcommitted endpoint: the usage of an unknown run is not tracked."""
         self.add(a_step(1))
         other = ReportedRun(self.add(a_step(1), name="b").tasks()[0].id, 3, "", 0, 0.0)
@@ -433,7 +433,7 @@
         self.poll(running=(other,))
         self.assertEqual([], self.starts())
 
-    def test_steps_wait_for_those_before(self) -> None:
+    def test_steps_wait_for_preceding_steps(self) -> None:
         tracked_job = self.add(a_step(1), a_step(1, after=(0,)))
         [(_, run)] = self.starts()
         self.assertEqual(0, run.task.id.step)
@@ -453,7 +453,7 @@
         self.add(a_step(3, most_per_endpoint=2))
         self.assertEqual(2, len(self.starts()))
 
-    def test_an_unwell_endpoint_is_probed_beside_what_lasts(self) -> None:
+    def test_an_unhealthy_endpoint_is_probed_beside_long_running_tasks(self) -> None:
         """Guards against failing jobs that never reach their final state.
 
         Their tasks had failed on every endpoint of the pool, so each endpoint got one task at a
@@ -465,7 +465,7 @@
         self.assertEqual(1, len(self.starts()))
         self.assertIs(RunPhase.UNDER_WAY, lasting.phase)
 
-    def test_a_run_that_stands_still_is_stopped(self) -> None:
+    def test_a_run_without_progress_is_stopped(self) -> None:
         """Guards against a job that never ends as its tasks hang on an answering endpoint."""
         run = self.run_of(self.add(a_step(1)))
         planner = a_planner()
@@ -476,7 +476,7 @@
         self.assertIn(self.link.entry.id, run.task.failed_on)
         self.assertEqual([], planner.stop_stuck_runs(self.link))
 
-    def test_an_endpoint_that_fails_on_and_on_is_tried_more_and_more_rarely(self) -> None:
+    def test_an_endpoint_that_keeps_failing_is_probed_less_and_less_often(self) -> None:
         tracked_job = self.add(a_step(9))
         for index in range(3):
             run = self.run_of(tracked_job, index)
--- a/tests/execution/test_rounds.py
+++ b/tests/execution/test_rounds.py
@@ -6,7 +6,7 @@
 
 
 class PauseTest(TestCase):
-    def test_rounds_leave_the_owner_time_for_its_endpoints(self) -> None:
+    def test_rounds_leave_time_for_endpoints(self) -> None:
         """Guards against ends that are acknowledged after twelve seconds in a large pool's surge.
 
         Each end triggered a round over all jobs, which took longer than the time until the next
@@ -22,5 +22,5 @@
     def test_short_rounds_begin_at_once(self) -> None:
         self.assertLess(pause_after(0.0003), 0.001)
 
-    def test_no_round_is_put_off_for_long(self) -> None:
+    def test_the_pause_between_rounds_is_bounded(self) -> None:
         self.assertEqual(MAX_ROUND_INTERVAL_S, pause_after(5.0))
--- a/tests/execution/test_senders.py
+++ b/tests/execution/test_senders.py
@@ -20,7 +20,7 @@
         self.addCleanup(senders.close)
         return senders
 
-    def test_tasks_end_once_there_is_nothing_to_send(self) -> None:
+    def test_idle_threads_end(self) -> None:
         """Guards against three hundred order threads of an owner with a hundred idle endpoints."""
         self.patch(_senders, "IDLE_TIMEOUT_S", 0.01)
         senders = self.senders()
@@ -29,7 +29,7 @@
         self.assertTrue(done.wait(TIMEOUT_S))
         self.assertTrue(eventually(lambda: senders._threads == 0))
 
-    def test_an_order_that_hangs_holds_up_no_other(self) -> None:
+    def test_a_hanging_order_does_not_delay_others(self) -> None:
         """Guards against a rack of unresponsive endpoints that delays all starts of a pool."""
         senders = self.senders()
         release = threading.Event()
@@ -58,7 +58,7 @@
         release.set()
         self.assertTrue(eventually(lambda: order == ["stop", "start"]))
 
-    def test_there_are_never_more_tasks_than_allowed(self) -> None:
+    def test_the_number_of_threads_is_limited(self) -> None:
         senders = self.senders(max_threads=3)
         release = threading.Event()
         self.addCleanup(release.set)
@@ -118,7 +118,7 @@
         self.endpoint.released.set()
         self.assertTrue(eventually(lambda: self.endpoint.received == 10))
 
-    def test_one_that_does_not_answer_gets_one_at_a_time(self) -> None:
+    def test_an_unresponsive_endpoint_gets_one_order_at_a_time(self) -> None:
         """Guards against a partitioned zone whose endpoints block all threads until timeout."""
         self.endpoint.verdict = Verdict.UNKNOWN
         self.endpoint.released.set()
--- a/tests/execution/test_suspended_owner.py
+++ b/tests/execution/test_suspended_owner.py
@@ -58,7 +58,7 @@
         self.may_order = True
         return back_at
 
-    def test_a_run_whose_start_got_no_answer_outlives_a_pause_of_the_right(self) -> None:
+    def test_a_run_with_an_unanswered_start_survives_a_suspension(self) -> None:
         """Guards against a stop of a healthy long-running task after a late lease renewal."""
         self.endpoint.lossy = True
         self.endpoint.open.set()
@@ -72,7 +72,7 @@
         self.assertEqual([], self.endpoint.stops)
         self.assertEqual([run.key], list(self.endpoint.running))
 
-    def test_starts_wait_out_a_pause_of_the_right(self) -> None:
+    def test_starts_wait_during_a_suspension(self) -> None:
         """Guards against an owner that drops its queued starts at each late lease renewal."""
         owner = self.submit(a_job("a", a_step(4)))
         links = owner._links.by_id
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -43,7 +43,7 @@
         self.assertTrue(eventually(lambda: second.state_of(self.job.id) is JobState.COMPLETED))
         self.assertEqual(2, len(self.pool.starts()))
 
-    def test_an_endpoint_that_vanished_is_waited_for(self) -> None:
+    def test_the_owner_waits_for_an_unregistered_endpoint(self) -> None:
         """Guards against a task that runs in two zones after a zone was partitioned.
 
         The partitioned zone contained the owner. The next owner waited for the zone's endpoints
@@ -64,7 +64,7 @@
         self.assertEqual([], self.pool.endpoints["e2"].starts)
         self.assertEqual(JobState.QUEUED, second.state_of(self.job.id))
 
-    def test_new_jobs_do_not_wait_for_what_is_out_of_sight(self) -> None:
+    def test_new_jobs_do_not_wait_for_unpolled_endpoints(self) -> None:
         """Guards against new jobs that wait for seconds after a zone was partitioned.
 
         Only jobs of the former owner can run on an endpoint that has not been polled yet; a job
@@ -100,7 +100,7 @@
             self.assertEqual(ReleaseState.WAIT, second.release(endpoint, cancel=False)[0])
             time.sleep(0.01)
 
-    def test_no_host_is_released_between_reading_jobs_and_looking(self) -> None:
+    def test_no_host_is_released_between_loading_jobs_and_polling(self) -> None:
         """Guards against the same loss within a window of microseconds.
 
         The owner had loaded its jobs but not the list of endpoints to poll first. Asked at that
@@ -225,7 +225,7 @@
         self.pool.kv.down = False
         self.assertTrue(eventually(lambda: endpoint.acknowledged > 0))
 
-    def test_a_lost_commit_is_found_out(self) -> None:
+    def test_a_lost_answer_to_a_commit_is_resolved(self) -> None:
         """Guards against an owner that can store nothing more after one lost answer of the store.
 
         The commit had taken effect, so its records had newer revisions than the owner expected,
--- a/tests/execution/test_tickets.py
+++ b/tests/execution/test_tickets.py
@@ -45,7 +45,7 @@
     def has(self, step: StepId, name: str) -> bool:
         return self.cache.ticket(step, EndpointId(name)) is not None
 
-    def test_what_is_wanted_is_asked_for_in_order_and_once(self) -> None:
+    def test_tickets_are_requested_in_order_and_once(self) -> None:
         self.cache.request([TicketRequest(STEP, endpoints(3)), TicketRequest(OTHER, endpoints(3))])
         self.assertTrue(eventually(lambda: self.has(OTHER, "e0")))
         self.assertEqual([STEP, OTHER], [request.step for request in self.policy.requests_received])
@@ -55,7 +55,7 @@
         self.assertTrue(eventually(lambda: self.has(STEP, "e3")))
         self.assertEqual(("e3",), self.policy.requests_received[-1].endpoints)
 
-    def test_one_call_asks_about_some_endpoints_only(self) -> None:
+    def test_one_call_covers_a_limited_number_of_endpoints(self) -> None:
         """Guards against urgent tasks that wait for a call about a hundred endpoints."""
         self.cache.request([TicketRequest(STEP, endpoints(MAX_ENDPOINTS_PER_CALL + 5))])
         self.assertTrue(eventually(lambda: self.has(STEP, f"e{MAX_ENDPOINTS_PER_CALL + 4}")))
@@ -64,13 +64,13 @@
             [len(request.endpoints) for request in self.policy.requests_received],
         )
 
-    def test_a_service_that_refuses_is_asked_again(self) -> None:
+    def test_a_failed_call_is_repeated(self) -> None:
         self.policy.failures = 2
         self.cache.request([TicketRequest(STEP, endpoints(1))])
         self.assertTrue(eventually(lambda: self.has(STEP, "e0")))
         self.assertEqual(3, len(self.policy.requests_received))
 
-    def test_a_refused_ticket_is_asked_for_anew(self) -> None:
+    def test_a_refused_ticket_is_requested_again(self) -> None:
         """Guards against a task that waits forever: its ticket was void after a restart."""
         self.cache.request([TicketRequest(STEP, endpoints(1))])
         self.assertTrue(eventually(lambda: self.has(STEP, "e0")))
@@ -79,7 +79,7 @@
         self.cache.request([TicketRequest(STEP, endpoints(1))])
         self.assertTrue(eventually(lambda: self.has(STEP, "e0")))
 
-    def test_a_ticket_that_has_run_out_is_none(self) -> None:
+    def test_an_expired_ticket_is_not_returned(self) -> None:
         self.policy.valid_s = 0.1
         self.cache.request([TicketRequest(STEP, endpoints(1))])
         self.assertTrue(eventually(lambda: bool(self.policy.requests_received)))
--- a/tests/execution/test_wait_times.py
+++ b/tests/execution/test_wait_times.py
@@ -25,7 +25,7 @@
             spent,
         )
 
-    def test_asking_changes_nothing(self) -> None:
+    def test_reading_changes_nothing(self) -> None:
         waits = WaitTimes(0.0)
         waits.seconds_by_cause(3.0)
         self.assertEqual({WaitCause.OWNER: 5.0}, waits.seconds_by_cause(5.0))
@@ -44,5 +44,5 @@
         self.assertEqual(9.75, slowest(ended)["room_s"])
         self.assertEqual(0.0, slowest(ended)["owner_s"])
 
-    def test_a_broken_line_is_left_out(self) -> None:
+    def test_a_malformed_line_is_skipped(self) -> None:
         self.assertEqual([], ended_jobs(['{"event":"job_ended","job":']))
