--- a/src/lentilrill/execution/__init__.py
+++ b/src/lentilrill/execution/__init__.py
@@ -1,15 +1,15 @@
-"""Running jobs' tasks on a pool's endpoints: orders, leases, ends, checkpoints."""
+"""Execution of jobs' tasks on a pool's endpoints: orders, leases, ends and checkpoints."""
 
 from lentilrill.execution._contract import (
     Dialer,
     EndKind,
     EndpointCalls,
-    Look,
     OrderAnswer,
     PolicyAnswer,
     PolicyCalls,
+    PollResult,
+    ReportedRun,
     RunEnd,
-    RunSeen,
     StartOrder,
     Verdict,
 )
@@ -20,13 +20,13 @@
     "Dialer",
     "EndKind",
     "EndpointCalls",
-    "Look",
     "OrderAnswer",
     "PolicyAnswer",
     "PolicyCalls",
+    "PollResult",
     "PoolOwner",
+    "ReportedRun",
     "RunEnd",
-    "RunSeen",
     "StartOrder",
     "Verdict",
     "progress_key",
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -1,12 +1,12 @@
-"""What a look at an endpoint, or an order's answer, changes in the owner's book."""
+"""Reconciliation of tracked jobs and runs with the answers of endpoints."""
 
 import time
 from collections.abc import Callable
 
-from lentilrill.execution._book import JobBook, Run, RunPhase, TaskBook
-from lentilrill.execution._contract import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution._contract import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
 from lentilrill.execution._need import Durations
+from lentilrill.execution._tracking import Run, RunPhase, TrackedJob, TrackedTask
 from lentilrill.ids import JobId
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import JobState
@@ -14,92 +14,92 @@
 __all__ = ["Reconciler"]
 
 RETRY_ELSEWHERE_S = 0.3
-"""Pause before a task whose start was refused is placed again: by then a look has told why."""
-STRAY_S = 3.0
-"""Time after which a run of an unknown job is stopped: several rounds of the watch that tells of
-accepted jobs, which are told directly besides."""
-FULL_PACE = 100
-UNWELL_FAILURES = 2
-"""Failed runs in a row after which an endpoint gets one task at a time, and that only now and then:
-with one failure in thirty, a well endpoint does so once in 900 runs, and is well again a second
-later."""
-FIRST_PROBE_S = 0.5
-LONGEST_PROBE_S = 4.0
-"""Bounds of the pause before an unwell endpoint gets a task again, doubled with each failure: each
-probe costs some task one of its attempts."""
+"""Pause before a task whose start was refused is placed again: by then a poll has shown why."""
+UNKNOWN_RUN_GRACE_S = 3.0
+"""Time after which an unknown run is stopped: several intervals of the watch on accepted jobs,
+which are also sent to the owner directly."""
+FULL_PACE_PERCENT = 100
+UNHEALTHY_AFTER_FAILURES = 2
+"""Consecutive failed runs after which an endpoint gets only one task at a time, after a pause. At a
+failure rate of one in thirty a healthy endpoint reaches this once in 900 runs, and recovers within
+a second."""
+MIN_PROBE_PAUSE_S = 0.5
+MAX_PROBE_PAUSE_S = 4.0
+"""Bounds of the pause before an unhealthy endpoint gets another task. It doubles with each failure,
+since each probe may cost a task one of its attempts."""
 
 
 class Reconciler:
-    """Keeps the book of jobs and runs in step with what endpoints say.
+    """Applies the reports of endpoints to the tracked jobs and runs.
 
     All methods are called under the lock of the pool's owner.
 
-    :param attempts: failed runs after which a job's task is given up.
+    :param attempts: returns the number of failed runs after which a job's task is given up.
     """
 
     def __init__(
         self,
-        jobs_by_id: dict[JobId, JobBook],
-        attempts: Callable[[JobBook], int],
+        jobs_by_id: dict[JobId, TrackedJob],
+        attempts: Callable[[TrackedJob], int],
         durations: Durations,
     ) -> None:
         self._jobs_by_id = jobs_by_id
         self._attempts = attempts
         self._durations = durations
 
-    def take_look(self, link: EndpointLink, look: Look, sent: float) -> list[Order]:
-        """Take over a look; return orders to stop what should not run.
+    def apply_poll(self, link: EndpointLink, result: PollResult, sent: float) -> list[Order]:
+        """Apply the result of a poll; return stop orders for runs that should not exist.
 
-        :param sent: when the look was sent, by the monotonic clock.
+        :param sent: monotonic time at which the poll was sent.
         """
-        if look.born_ms and look.born_ms != link.born_ms:
-            if link.born_ms:
-                log(Event.ENDPOINT_REBORN, endpoint=link.entry.id, born_ms=look.born_ms)
-            link.reborn(look.born_ms)
-        link.note_clock(look.clock_ms, time.monotonic())
-        ended = {(end.task, end.number) for end in look.ended}
-        for end in sorted(look.ended, key=lambda e: e.cursor):
+        if result.started_ms and result.started_ms != link.started_ms:
+            if link.started_ms:
+                log(Event.ENDPOINT_REBORN, endpoint=link.entry.id, born_ms=result.started_ms)
+            link.reset(result.started_ms)
+        link.update_clock(result.clock_ms, time.monotonic())
+        ended = {(end.task, end.number) for end in result.ended}
+        for end in sorted(result.ended, key=lambda e: e.cursor):
             if end.cursor > link.seen_cursor:
                 link.seen_cursor = end.cursor
-                self._end(link, end)
+                self._record_end(link, end)
         stops = []
         seen = set()
-        strays = link.strays_by_key
-        for running in look.running:
+        first_seen = link.unknown_since_by_key
+        for running in result.running:
             seen.add((running.task, running.number))
-            stops += self._see(link, running)
-        link.strays_by_key = {key: since for key, since in strays.items() if key in seen}
+            stops += self._update_run(link, running)
+        link.unknown_since_by_key = {key: since for key, since in first_seen.items() if key in seen}
         for key, run in list(link.runs_by_key.items()):
             if key in seen or key in ended:
                 continue
             if run.confirmed_at is not None and run.confirmed_at < sent:
-                self.drop(link, run, "not there any more")
+                self.drop(link, run, "no longer listed by its endpoint")
         return stops
 
-    def take_answer(
+    def apply_answer(
         self, link: EndpointLink, order: Order, verdict: Verdict, clock_ms: int = 0
     ) -> Order | None:
-        """Take over an order's answer; return what must be sent next, if anything.
+        """Apply the answer to an order; return the order to send next, if any.
 
-        :param clock_ms: the endpoint's clock at its answer; 0 if it is not known.
+        :param clock_ms: the endpoint's clock at its answer; 0 if unknown.
         """
         run = order.run
         if run is None or run.key not in link.runs_by_key or order.kind is OrderKind.PACE:
             return None
         if order.kind is OrderKind.STOP:
-            return self._take_stop_answer(run, order, verdict)
+            return self._apply_stop_answer(run, order, verdict)
         if verdict is Verdict.DONE:
             run.confirmed_at = now = time.monotonic()
-            began_at = link.moment_of(clock_ms, now) if clock_ms else now
-            run.changed_at = max(run.changed_at, began_at)
-            run.began_at = None if run.task.checkpoint else began_at
-            run.task.step.book.begin()
+            started_at = link.moment_of(clock_ms, now) if clock_ms else now
+            run.progressed_at = max(run.progressed_at, started_at)
+            run.started_at = None if run.task.checkpoint else started_at
+            run.task.step.tracked_job.mark_running()
             if run.phase is RunPhase.ORDERED:
                 run.phase = RunPhase.UNDER_WAY
             return None
-        if verdict is Verdict.UNKNOWN or (verdict is Verdict.UNREACHED and run.in_doubt):
-            # The same start again is no second run, and its answer settles the first one too.
-            run.in_doubt = True
+        if verdict is Verdict.UNKNOWN or (verdict is Verdict.UNREACHABLE and run.is_unconfirmed):
+            # A start is idempotent, and the answer to a resent one also covers the first one.
+            run.is_unconfirmed = True
             return order
         log(
             Event.START_REFUSED,
@@ -110,32 +110,32 @@
             verdict=verdict.value,
         )
         if verdict is Verdict.OUTDATED:
-            # The run was there and has ended, or was stopped: a look lists its end.
+            # The run has ended or was stopped; a poll lists its end.
             run.confirmed_at = time.monotonic()
             return None
         now = time.monotonic()
         run.task.not_before = now + RETRY_ELSEWHERE_S
-        if verdict is Verdict.UNREACHED:
+        if verdict is Verdict.UNREACHABLE:
             link.probe_at = max(link.probe_at, now + RETRY_ELSEWHERE_S)
-        if run.in_doubt:
-            # Guard against a task that runs twice: an earlier sending of this start may still be
-            # carried out. A stop makes the endpoint refuse it from then on.
+        if run.is_unconfirmed:
+            # An earlier copy of this start order may still be executed, which would run the task
+            # twice. A stop makes the endpoint refuse it from then on.
             run.phase = RunPhase.STOPPING
-            return Order.of(OrderKind.STOP, run)
+            return Order.for_run(OrderKind.STOP, run)
         self.drop(link, run, verdict.value)
         return None
 
-    def _take_stop_answer(self, run: Run, order: Order, verdict: Verdict) -> Order | None:
-        if verdict in (Verdict.UNKNOWN, Verdict.UNREACHED, Verdict.BUSY):
+    def _apply_stop_answer(self, run: Run, order: Order, verdict: Verdict) -> Order | None:
+        if verdict in (Verdict.UNKNOWN, Verdict.UNREACHABLE, Verdict.BUSY):
             return order
-        # Stopped, or refused as outdated: a later look lists its end or doesn't list it at all.
+        # Stopped, or refused as outdated: a later poll lists the run's end or not the run at all.
         run.confirmed_at = time.monotonic()
         return None
 
     def drop(self, link: EndpointLink, run: Run, reason: str) -> None:
-        """Forget a run that has surely ended; its task waits again."""
+        """Remove a run that is certain to have ended; its task waits again."""
         link.runs_by_key.pop(run.key, None)
-        link.busy_at = time.monotonic()
+        link.last_busy_at = time.monotonic()
         task = run.task
         if run in task.runs:
             task.runs.remove(run)
@@ -149,26 +149,28 @@
                 reason=reason,
             )
 
-    def _end(self, link: EndpointLink, end: RunEnd) -> None:
+    def _record_end(self, link: EndpointLink, end: RunEnd) -> None:
         run = link.runs_by_key.get((end.task, end.number))
-        book = self._jobs_by_id.get(end.task.job)
-        task = book.task(end.task) if book is not None else None
+        tracked_job = self._jobs_by_id.get(end.task.job)
+        task = tracked_job.task(end.task) if tracked_job is not None else None
         if run is not None:
             self.drop(link, run, end.kind.value)
-        if book is None or task is None or book.state.is_final:
+        if tracked_job is None or task is None or tracked_job.state.is_final:
             return
-        book.touch()
+        tracked_job.mark_dirty()
         if end.checkpoint:
             task.checkpoint = end.checkpoint
         if end.kind is EndKind.DONE:
             link.failures = 0
             link.probe_at = 0.0
-            if run is not None and run.began_at is not None and run.pace == FULL_PACE:
-                self._durations.note(task.step, max(0.0, link.told_at - run.began_at) * 1000)
-            self._done(book, task, gang=task.step.spec.gang)
+            if run is not None and run.started_at is not None and run.pace == FULL_PACE_PERCENT:
+                self._durations.record(
+                    task.step, max(0.0, link.reported_at - run.started_at) * 1000
+                )
+            self._record_done(tracked_job, task, gang=task.step.spec.gang)
         elif end.kind is EndKind.FAILED:
             count_failure(link)
-            self._failed(book, task, link, end)
+            self._record_failure(tracked_job, task, link, end)
         elif run is None and end.kind is not EndKind.STOPPED:
             log(
                 Event.RUN_ENDED,
@@ -179,16 +181,18 @@
                 how=end.kind.value,
             )
 
-    def _done(self, book: JobBook, task: TaskBook, *, gang: bool) -> None:
+    def _record_done(self, tracked_job: TrackedJob, task: TrackedTask, *, gang: bool) -> None:
         if task.step.spec.lasting:
             return
         for member in task.step.tasks if gang else (task,):
             member.step.finish(member)
 
-    def _failed(self, book: JobBook, task: TaskBook, link: EndpointLink, end: RunEnd) -> None:
+    def _record_failure(
+        self, tracked_job: TrackedJob, task: TrackedTask, link: EndpointLink, end: RunEnd
+    ) -> None:
         task.failed_runs.add(end.number)
         task.failed_on.add(link.entry.id)
-        attempts = self._attempts(book)
+        attempts = self._attempts(tracked_job)
         log(
             Event.RUN_FAILED,
             job=end.task.job,
@@ -199,37 +203,37 @@
             attempts=attempts,
         )
         if not task.step.spec.lasting and task.failures >= attempts:
-            book.end(JobState.FAILED, int(time.time() * 1000))
+            tracked_job.end(JobState.FAILED, int(time.time() * 1000))
 
-    def _see(self, link: EndpointLink, running: RunSeen) -> list[Order]:
+    def _update_run(self, link: EndpointLink, running: ReportedRun) -> list[Order]:
         key = (running.task, running.number)
         run = link.runs_by_key.get(key)
         if run is None:
             run = self._adopt(link, running)
             if run is None:
-                return self._stray(link, running)
-        link.strays_by_key.pop(key, None)
+                return self._handle_unknown_run(link, running)
+        link.unknown_since_by_key.pop(key, None)
         if running.percent != run.percent:
-            run.changed_at = link.told_at
+            run.progressed_at = link.reported_at
         run.percent, run.load = running.percent, running.load
         if running.checkpoint:
             run.task.checkpoint = running.checkpoint
         if run.phase is RunPhase.ORDERED:
             run.phase = RunPhase.UNDER_WAY
             run.confirmed_at = run.confirmed_at or time.monotonic()
-            run.changed_at = link.told_at
-            run.task.step.book.begin()
+            run.progressed_at = link.reported_at
+            run.task.step.tracked_job.mark_running()
         return []
 
-    def _stray(self, link: EndpointLink, running: RunSeen) -> list[Order]:
-        """Stop a run that belongs to no job that is open here.
+    def _handle_unknown_run(self, link: EndpointLink, running: ReportedRun) -> list[Order]:
+        """Stop a run whose job is not tracked or has ended.
 
-        A job whose acceptance has not been read yet gets some time; until then the run counts as
-        its task's, so that the task is not started a second time.
+        The job may have been accepted but not read yet, so the run is stopped only after a while.
+        Until then it counts as a run of its task, so that the task is not started a second time.
         """
         key = (running.task, running.number)
         now = time.monotonic()
-        since = link.strays_by_key.setdefault(key, now)
+        since = link.unknown_since_by_key.setdefault(key, now)
         is_known = running.task.job in self._jobs_by_id
         log(
             Event.RUN_UNKNOWN,
@@ -239,27 +243,28 @@
             job_known=is_known,
             for_s=round(now - since, 1),
         )
-        if is_known or now - since > STRAY_S:
+        if is_known or now - since > UNKNOWN_RUN_GRACE_S:
             return [Order(OrderKind.STOP, running.task, running.number)]
         return []
 
-    def _adopt(self, link: EndpointLink, running: RunSeen) -> Run | None:
-        """Take over a run that this owner has not started, if its job is open.
+    def _adopt(self, link: EndpointLink, running: ReportedRun) -> Run | None:
+        """Track a run that this owner has not placed, if its job is tracked.
 
-        An earlier owner started it, or an order was carried out after it had been given up.
+        It was started by an earlier owner, or by an order that was executed after this owner had
+        given it up.
         """
-        book = self._jobs_by_id.get(running.task.job)
-        task = book.task(running.task) if book is not None else None
-        if book is None or task is None:
+        tracked_job = self._jobs_by_id.get(running.task.job)
+        task = tracked_job.task(running.task) if tracked_job is not None else None
+        if tracked_job is None or task is None:
             return None
         run = Run(task, running.number, link.entry.id, task.step.spec.reserved)
         run.phase = RunPhase.UNDER_WAY
         run.confirmed_at = time.monotonic()
-        run.changed_at = link.told_at
+        run.progressed_at = link.reported_at
         link.runs_by_key[run.key] = run
-        link.inherit_lease(run.confirmed_at)
+        link.assume_former_lease(run.confirmed_at)
         task.runs.append(run)
-        book.begin()
+        tracked_job.mark_running()
         log(
             Event.RUN_ADOPTED, job=task.id.job, task=task.id, run=run.number, endpoint=link.entry.id
         )
@@ -267,13 +272,13 @@
 
 
 def count_failure(link: EndpointLink) -> None:
-    """Count a failed run against its endpoint, which may pause its new tasks."""
+    """Count a failed run of an endpoint and set the pause before its next task."""
     link.failures += 1
-    if link.failures >= UNWELL_FAILURES:
-        pause_s = FIRST_PROBE_S * 2.0 ** min(10, link.failures - UNWELL_FAILURES)
-        link.probe_at = time.monotonic() + min(LONGEST_PROBE_S, pause_s)
+    if link.failures >= UNHEALTHY_AFTER_FAILURES:
+        pause_s = MIN_PROBE_PAUSE_S * 2.0 ** min(10, link.failures - UNHEALTHY_AFTER_FAILURES)
+        link.probe_at = time.monotonic() + min(MAX_PROBE_PAUSE_S, pause_s)
 
 
-def is_unwell(link: EndpointLink) -> bool:
-    """Whether an endpoint failed so often in a row that it gets one task at a time."""
-    return link.failures >= UNWELL_FAILURES
+def is_unhealthy(link: EndpointLink) -> bool:
+    """Whether an endpoint gets one task at a time because of consecutive failed runs."""
+    return link.failures >= UNHEALTHY_AFTER_FAILURES
--- a/src/lentilrill/execution/_release.py
+++ b/src/lentilrill/execution/_release.py
@@ -1,34 +1,34 @@
-"""Emptying an endpoint whose host is wanted for upkeep or for another pool."""
+"""Draining of an endpoint whose host is needed for upkeep or for another pool."""
 
-from lentilrill.execution._book import Run, RunPhase, TaskBook
 from lentilrill.execution._link import EndpointLink, Order, OrderKind
+from lentilrill.execution._tracking import Run, RunPhase, TrackedTask
 from lentilrill.inner import ReleaseState
 
-__all__ = ["away_tasks", "release", "renew_releases"]
+__all__ = ["away_tasks", "expire_releases", "release"]
 
-FINISH_S = 2.5
-"""How long tasks may finish before they are stopped: most tasks take a second or two, and one that
-is stopped without a checkpoint has worked for nothing."""
-FORGOTTEN_S = 3.0
-"""Time after which a release that nobody asks for any more ends; it is asked for every 0.25 s."""
+FINISH_GRACE_S = 2.5
+"""How long tasks may finish before they are stopped. Most take a second or two, and stopping a task
+without a checkpoint loses its work."""
+REQUEST_TIMEOUT_S = 3.0
+"""Time without a request after which a release ends; requests are repeated every 0.25 s."""
 
 
 def release(link: EndpointLink, now: float) -> tuple[str, str, list[Order]]:
-    """Keep new tasks off an endpoint, and return how far it is emptied.
+    """Drain an endpoint and return its progress.
 
     :param now: the monotonic clock.
-    :return: a value of :class:`ReleaseState`, what it waits for, and stops to be sent.
+    :return: a value of :class:`ReleaseState`, what it waits for, and stop orders to be sent.
     """
     if not link.released:
         link.released = True
-        link.release_began = now
-    link.release_asked = now
+        link.release_started_at = now
+    link.release_requested_at = now
     if not link.runs_by_key:
         return ReleaseState.FREE, "", []
     if not link.reachable:
         return ReleaseState.WAIT, "the endpoint does not answer", []
     orders: list[Order] = []
-    reason = "tasks finish"
+    reason = "tasks are finishing"
     for run in list(link.runs_by_key.values()):
         if run.phase is not RunPhase.UNDER_WAY:
             continue
@@ -36,26 +36,26 @@
         if spec.lasting:
             away = away_tasks(run.task)
             if spec.may_be_away and away >= spec.may_be_away:
-                reason = f"{away} tasks beside {run.task.id} are away"
+                reason = f"{away} tasks beside {run.task.id} are not working"
                 continue
-            orders.append(_stop(run))
-        elif now - link.release_began > FINISH_S or spec.checkpoints:
-            orders.append(_stop(run))
+            orders.append(_stop_order(run))
+        elif now - link.release_started_at > FINISH_GRACE_S or spec.checkpoints:
+            orders.append(_stop_order(run))
     return ReleaseState.WAIT, reason, orders
 
 
-def renew_releases(links: list[EndpointLink], now: float) -> None:
-    """End releases that nobody asks for any more."""
+def expire_releases(links: list[EndpointLink], now: float) -> None:
+    """End releases that are no longer requested."""
     for link in links:
-        if link.released and now - link.release_asked > FORGOTTEN_S:
+        if link.released and now - link.release_requested_at > REQUEST_TIMEOUT_S:
             link.released = False
 
 
-def away_tasks(task: TaskBook) -> int:
-    """Return how many other tasks of a lasting step are not at work, for whatever cause.
+def away_tasks(task: TrackedTask) -> int:
+    """Return how many other tasks of a long-running step are not working, for any cause.
 
-    Guard against a budget that is overdrawn by two owners: one stops a task and hands the pool
-    over, and the next one can't tell that the task is away by our doing. So any cause counts.
+    Counting only tasks stopped by a release would let two owners exceed the budget: one stops a
+    task and hands the pool over, and the next one can't tell why the task does not run.
     """
     return sum(
         1
@@ -64,6 +64,6 @@
     )
 
 
-def _stop(run: Run) -> Order:
+def _stop_order(run: Run) -> Order:
     run.phase = RunPhase.STOPPING
-    return Order.of(OrderKind.STOP, run)
+    return Order.for_run(OrderKind.STOP, run)
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lentilrill.execution import EndKind, Look, RunEnd, RunSeen, Verdict
+from lentilrill.execution import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.ids import JobId
 from lentilrill.store import ODD
 from lentilrill.workloads import TaskId
@@ -16,7 +16,7 @@
 VERDICT_BY_REASON = {
     "fence": Verdict.FENCED,
     "old": Verdict.OUTDATED,
-    "late": Verdict.LATE,
+    "late": Verdict.LEASE_EXPIRED,
     "room": Verdict.NO_ROOM,
     "ticket": Verdict.NO_TICKET,
 }
@@ -67,13 +67,13 @@
     if status == 409:
         return VERDICT_BY_REASON.get(decode_clock(data).reason, Verdict.INVALID)
     if status == 421:
-        return Verdict.ELSEWHERE
+        return Verdict.WRONG_INSTANCE
     if status in (429, 503):
         return Verdict.BUSY
     return Verdict.INVALID if 400 <= status < 500 else Verdict.UNKNOWN
 
 
-def decode_look(data: bytes) -> Look:
+def decode_look(data: bytes) -> PollResult:
     """Return what a look found; ``UNKNOWN`` if its body can't be read.
 
     Guard against rows that were cut or garbled: one that can't be read makes the whole look
@@ -84,15 +84,15 @@
         running = tuple(_seen(row) for row in lists.running)
         ended = tuple(_end(row) for row in lists.ended)
     except CHECKED as error:
-        return Look(Verdict.UNKNOWN, reason=f"odd answer: {error}")
-    return Look(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
+        return PollResult(Verdict.UNKNOWN, reason=f"odd answer: {error}")
+    return PollResult(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
 
 
-def _seen(row: list[Any]) -> RunSeen:
+def _seen(row: list[Any]) -> ReportedRun:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
-    return RunSeen(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
+    return ReportedRun(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
 
 
 def _end(row: list[Any]) -> RunEnd:
-    kind = KIND_BY_WORD.get(str(row[3]), EndKind.ODD)
+    kind = KIND_BY_WORD.get(str(row[3]), EndKind.UNEXPECTED)
     return RunEnd(int(row[0]), _task(row[1]), int(row[2]), kind, str(row[4] or ""))
--- a/tests/execution/fakes.py
+++ b/tests/execution/fakes.py
@@ -1,4 +1,4 @@
-"""An endpoint in memory, and a pool's owner that runs on such endpoints."""
+"""In-memory endpoint, and a pool whose owners use such endpoints."""
 
 import threading
 import time
@@ -6,11 +6,11 @@
 
 from lentilrill.execution import (
     EndKind,
-    Look,
     OrderAnswer,
+    PollResult,
     PoolOwner,
+    ReportedRun,
     RunEnd,
-    RunSeen,
     StartOrder,
     Verdict,
 )
@@ -21,13 +21,13 @@
 
 __all__ = ["FakeEndpoint", "OwnedPool", "eventually"]
 
-PATIENCE_S = 20.0
-LONGEST_WAIT_S = 0.05
+TIMEOUT_S = 20.0
+MAX_POLL_WAIT_S = 0.05
 
 
 def eventually(condition: Callable[[], bool]) -> bool:
     """Wait until ``condition`` holds; return whether it ever did."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + TIMEOUT_S
     while not condition():
         if time.monotonic() > end:
             return False
@@ -36,23 +36,23 @@
 
 
 class FakeEndpoint:
-    """Keeps runs, ends and the highest token as an endpoint does; leases don't run out.
+    """Fake endpoint that keeps runs, ends and the highest token; leases never expire.
 
-    :ivar silent: no call is answered, and none is carried out.
-    :ivar deaf: acknowledgements are lost on their way.
-    :ivar starts: all starts that were carried out, in order.
+    :ivar silent: no call is answered or executed.
+    :ivar loses_acknowledgements: acknowledgements are lost.
+    :ivar starts: all executed starts, in order.
     """
 
     def __init__(self) -> None:
         self.silent = False
-        self.deaf = False
+        self.loses_acknowledgements = False
         self.token = 0
-        self.running: dict[tuple[TaskId, int], RunSeen] = {}
+        self.running: dict[tuple[TaskId, int], ReportedRun] = {}
         self.ended: list[RunEnd] = []
         self.starts: list[tuple[TaskId, int]] = []
         self.stops: list[tuple[TaskId, int]] = []
         self.acknowledged = 0
-        self.looks = 0
+        self.polls = 0
         self._cursor = 0
         self._changed = threading.Condition()
 
@@ -65,7 +65,7 @@
             self.token = order.token
             key = (order.task, order.number)
             if key not in self.running:
-                self.running[key] = RunSeen(order.task, order.number, "", 0, 0.0)
+                self.running[key] = ReportedRun(order.task, order.number, "", 0, 0.0)
                 self.starts.append(key)
             return OrderAnswer(Verdict.DONE)
 
@@ -83,22 +83,26 @@
         del task, number, percent, token
         return OrderAnswer(Verdict.DONE)
 
-    def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
+    def poll(
+        self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int
+    ) -> PollResult:
         del expires_ms
         with self._changed:
             if not self.silent and token >= self.token:
                 self.token = token
-                if not self.deaf:
+                if not self.loses_acknowledgements:
                     self.acknowledged = max(self.acknowledged, acknowledged)
                 self.ended = [end for end in self.ended if end.cursor > self.acknowledged]
                 if not self.ended:
-                    self._changed.wait(min(wait_ms / 1000, LONGEST_WAIT_S))
+                    self._changed.wait(min(wait_ms / 1000, MAX_POLL_WAIT_S))
             if self.silent:
-                return Look(Verdict.UNKNOWN)
+                return PollResult(Verdict.UNKNOWN)
             if token < self.token:
-                return Look(Verdict.FENCED)
-            self.looks += 1
-            return Look(Verdict.DONE, 1_000_000, 1, tuple(self.running.values()), tuple(self.ended))
+                return PollResult(Verdict.FENCED)
+            self.polls += 1
+            return PollResult(
+                Verdict.DONE, 1_000_000, 1, tuple(self.running.values()), tuple(self.ended)
+            )
 
     def end(self, task: TaskId, number: int, kind: EndKind = EndKind.DONE) -> None:
         """End a run."""
@@ -113,7 +117,7 @@
 
 
 class OwnedPool:
-    """The pool ``notices`` on fake endpoints, and its owners, one after the other."""
+    """The pool ``notices`` on fake endpoints, and its successive owners."""
 
     def __init__(self, *names: str) -> None:
         self.kv = FakeKeyValue()
@@ -124,7 +128,7 @@
         self.owners: list[PoolOwner] = []
 
     def register(self, entry: EndpointEntry) -> None:
-        """Let an endpoint stand in the store."""
+        """Register an endpoint in the store."""
         self.entries[entry.id] = entry
 
     def take_over(self) -> PoolOwner:
@@ -134,7 +138,7 @@
         return owner
 
     def new_owner(self) -> PoolOwner:
-        """Return a new owner under a new token, yet to be started."""
+        """Return a new owner under a new token without starting it."""
         token = self.kv.put("m/o/notices", b"owner")
         owner = PoolOwner(
             self.kv,
@@ -151,7 +155,7 @@
         return owner
 
     def close(self) -> None:
-        """End all owners."""
+        """Close all owners."""
         for owner in self.owners:
             owner.close()
 
