--- a/src/lentilrill/routing/__init__.py
+++ b/src/lentilrill/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Schedulers, queues, grants, retries and ejection: where and when a job runs."""
+"""Routing of jobs to hosts: schedulers, queues, grants, retry limits and ejection of hosts."""
 
 from lentilrill.routing._client import SlotClient
 from lentilrill.routing._contract import Decline, Job, Slot, Slots, Where
--- a/src/lentilrill/routing/_admission.py
+++ b/src/lentilrill/routing/_admission.py
@@ -1,4 +1,4 @@
-"""Which asks a pool's scheduler refuses, and when their callers should come back."""
+"""Admission control of a pool's scheduler: which asks are refused, and when to retry them."""
 
 import random
 from collections.abc import Callable
@@ -26,14 +26,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A message that a decision wants sent to the process at ``address``."""
+    """A message to send to the process at ``address``."""
 
     address: str
     message: Message
 
 
 class Admission:
-    """Decides whether an ask may wait, by limits, room, and the estimated wait."""
+    """Decides whether an ask may be queued, by plan limits, queue size and estimated wait."""
 
     def __init__(
         self,
@@ -56,15 +56,15 @@
         self._buckets_by_plan: dict[PlanId, TokenBucket] = {}
 
     def configure(self, terms: PoolTerms) -> None:
-        """Take over the plans' limits."""
+        """Apply the limits of the plans."""
         self._terms = terms
         for plan in self._buckets_by_plan.keys() - terms.plans_by_id.keys():
             del self._buckets_by_plan[plan]
 
     def objection(self, ask: Ask, out: list[Reply]) -> Refused | None:
-        """Return why ``ask`` is refused; ``None`` if it may be queued.
+        """Return the refusal of ``ask``, or ``None`` if it may be queued.
 
-        :param out: takes the refusal of an ask that had to make place.
+        :param out: receives the refusal of a queued ask that is evicted in favor of ``ask``.
         """
         now = self._clock()
         terms = self._terms.plans_by_id.get(ask.plan, DEFAULT_TERMS)
@@ -92,7 +92,7 @@
         return None
 
     def refuse(self, waiting: Waiting, refusal: Refusal) -> Reply:
-        """Return the final answer to an ask that was queued."""
+        """Return the refusal of an ask that was queued."""
         drain_s = self._waits.drain_s(waiting.urgency)
         after_s = self._retry_after_s(self._back_after_s(drain_s))
         refused = Refused(waiting.key.request, self._pool, refusal, after_s)
@@ -115,11 +115,12 @@
         return Refused(ask.request, self._pool, refusal, self._retry_after_s(after_s), zone)
 
     def _back_after_s(self, drain_s: float) -> float:
-        # Half of what waits now: by then a job would start well within its wait, if no more
-        # came. Only the excess over its wait is too soon, as more does come in a surge.
+        # Half of the time to drain the queue: by then a job could start well within its
+        # permitted wait if no more jobs arrived. Waiting only for the excess over the permitted
+        # wait is too short, since more jobs keep arriving during a surge.
         return drain_s * BACK_SHARE
 
     def _retry_after_s(self, after_s: float) -> float:
-        # Jitter, or everybody refused in one surge would come back as the next one.
+        # Without jitter, all callers refused in one surge would retry at the same time.
         spread_s = max(LEAST_RETRY_S, after_s) * self._rng.uniform(1.0, 1.5)
         return min(spread_s, MOST_RETRY_S)
--- a/src/lentilrill/routing/_client.py
+++ b/src/lentilrill/routing/_client.py
@@ -1,4 +1,4 @@
-"""Slots for the jobs that this gateway holds, asked from the pools' schedulers."""
+"""Client of the pool schedulers: acquires slots for this gateway's jobs."""
 
 import itertools
 import random
@@ -41,11 +41,11 @@
 
 
 class SlotClient:
-    """The gateway's :class:`~lentilrill.routing.Slots`.
+    """Implements :class:`~lentilrill.routing.Slots` for a gateway.
 
-    Each wait is one thread's. A scheduler in this process is called directly. Messages may be
-    lost and schedulers replaced, so an unanswered ask is repeated after a pause that doubles,
-    and at once when the scheduler changes.
+    Each call of :meth:`acquire` blocks its thread. A scheduler in this process is called
+    directly. Messages may be lost and schedulers replaced, so an unanswered ask is repeated with
+    exponential backoff, and at once when the scheduler changes.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         node.on(Granted, lambda batch, granted: self._answered(batch.reply_to, granted))
         node.on(Refused, lambda batch, refused: self._answered(batch.reply_to, refused))
 
-    # The contract with the request path
+    # Interface to the request path
 
     def acquire(self, job: Job) -> Result[Slot, Decline]:
         """Wait for a slot, at most until the job's deadline or until it is abandoned."""
@@ -97,7 +97,7 @@
         return Failure(decline(Refusal.NO_HOSTS, self._jittered(NO_HOSTS_RETRY_S)))
 
     def abandon(self, request: RequestId) -> None:
-        """The caller is gone: make a waiting :meth:`acquire` return at once with a decline."""
+        """Make a waiting :meth:`acquire` return a decline at once: the caller disconnected."""
         with self._lock:
             waiter = self._waiters_by_request.get(request)
             if waiter is None:
@@ -106,11 +106,11 @@
         self._tell(waiter.asked, Cancel(waiter.ask, waiter.pool))
 
     def start(self, slot: Slot) -> Result[None, Fault]:
-        """Enter the send in the ledger; called directly before the first byte goes out."""
+        """Register the send; call this directly before the first byte is sent."""
         return self._ledger.start(slot)
 
     def release(self, slot: Slot, verdict: Verdict, run_s: float) -> None:
-        """Give the slot back; nothing of the job is on its way to the host any more."""
+        """Release the slot. No bytes of the job may be in transit to the host any more."""
         self._ledger.release(slot)
         if slot.where is Where.ZONE:
             return
@@ -118,14 +118,14 @@
 
     @property
     def waiting(self) -> int:
-        """Jobs of this gateway that wait for a slot."""
+        """Number of jobs of this gateway that wait for a slot."""
         with self._lock:
             return len(self._waiters_by_ask)
 
-    # Following the system
+    # Changes of membership, and periodic work
 
     def refresh(self) -> None:
-        """Follow a change of the roster: ask new schedulers, and tell them what is held."""
+        """Apply a membership change: ask new schedulers, and report the held grants to them."""
         with self._lock:
             waiters = list(self._waiters_by_ask.values())
         for waiter in waiters:
@@ -135,7 +135,7 @@
         self._holdings.report_all()
 
     def tick(self) -> None:
-        """Report the held grants when it is time."""
+        """Report the held grants if the report interval is over."""
         self._holdings.tick()
 
     # Waiting for an answer
@@ -150,8 +150,8 @@
             self._ask(waiter)
             left_s = max(0.0, job.deadline - self._clock())
             woken = waiter.woken.wait(min(left_s, pause_s))
-            # Cleared before the look at the answer: one that came in between would else be slept
-            # over until the ask is repeated.
+            # Cleared before the answer is checked: clearing afterwards could discard the wake-up
+            # of an answer that arrived in between, until the ask is repeated.
             waiter.woken.clear()
             if waiter.answer is not None:
                 return waiter.answer
@@ -163,8 +163,8 @@
                 pause_s = min(2.0 * pause_s, LONGEST_REASK_S)
 
     def _pause_if_redirected(self, waiter: Waiter, left_s: float) -> None:
-        # Two processes may name each other the scheduler until their rosters agree; asking
-        # again without a pause would spin between them.
+        # Two processes may each take the other for the scheduler until their membership lists
+        # agree. Asking again without a pause would loop between them.
         scheduler = self._placement.scheduler(waiter.pool)
         if scheduler is not None and scheduler.inner == waiter.asked:
             waiter.woken.wait(min(left_s, REDIRECT_S))
@@ -227,11 +227,10 @@
             self._take_refusal(sender, message)
 
     def _take_grant(self, sender: str, granted: Granted) -> bool:
-        """Return ``False`` if the grant is not wanted (any more).
+        """Return ``False`` if the grant is late or unexpected and must be returned.
 
-        Guard against late and doubled grants: an answer counts only for an ask that still
-        waits, from the scheduler asked last. A grant that came late is given back, or its slot
-        would stay taken.
+        A grant is accepted only for an ask that still waits, and only from the scheduler asked
+        last. A late grant is returned unused, or its slot would stay occupied.
         """
         with self._lock:
             if self._holdings.has(granted.pool, granted.grant):
--- a/src/lentilrill/routing/_contract.py
+++ b/src/lentilrill/routing/_contract.py
@@ -1,4 +1,4 @@
-"""What the request path needs of routing: slots to run jobs on, and a ledger of sends."""
+"""Interface between the request path and routing: slots to run jobs on."""
 
 from enum import Enum
 from typing import Protocol
@@ -15,13 +15,13 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One accepted request that wants to run.
+    """One accepted request that needs a slot to run.
 
     :param deadline: monotonic seconds by which it must have started.
-    :param run_s: run time in seconds that the caller declares; schedulers go by what they learn.
+    :param run_s: run time in seconds that the caller declares; schedulers use measured run times.
     :param answer_by: monotonic seconds until which it may run; 0 if unknown.
     :param avoid: hosts on which earlier attempts failed.
-    :param spillable: whether another zone may run it; not set for a job that already spilled.
+    :param spillable: whether another zone may run it; false for a job that another zone forwarded.
     """
 
     request: RequestId
@@ -35,7 +35,7 @@
 
 
 class Where(Enum):
-    """What stands behind a slot."""
+    """Kind of process that a slot's job is sent to."""
 
     ENDPOINT = "endpoint"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class Slot(msgspec.Struct, frozen=True):
-    """Leave to send one job to ``address``, already entered in the ledger of sends.
+    """Permission to send one job to ``address``.
 
     :param address: ``ip:port`` of the endpoint, or of another zone's gateway.
     :param send_by: monotonic seconds by which the job must be sent.
@@ -60,9 +60,9 @@
 
 
 class Decline(msgspec.Struct, frozen=True):
-    """Why there is no slot; the final answer to the caller.
+    """Reason why a job gets no slot; the final answer to the caller.
 
-    :param retry_after_s: seconds after which a new try makes sense; ``None`` for never.
+    :param retry_after_s: seconds after which the caller may retry; ``None`` for never.
     """
 
     refusal: Refusal
@@ -77,14 +77,14 @@
         """Wait for a slot, at most until the job's deadline or until it is abandoned."""
 
     def abandon(self, request: RequestId) -> None:
-        """The caller is gone: make a waiting :meth:`acquire` return at once with a decline."""
+        """Make a waiting :meth:`acquire` return a decline at once: the caller disconnected."""
 
     def start(self, slot: Slot) -> Result[None, Fault]:
-        """Enter the send in the ledger; called directly before the first byte goes out.
+        """Register the send; call this directly before the first byte is sent.
 
-        A fault means that the host is being withdrawn or the grant is past ``send_by``: nothing
-        may be sent; release the slot with :attr:`Verdict.UNUSED` and acquire another.
+        A fault means that the host is being withdrawn or the grant is past ``send_by``. Then
+        send nothing, release the slot with :attr:`Verdict.UNUSED` and acquire another.
         """
 
     def release(self, slot: Slot, verdict: Verdict, run_s: float) -> None:
-        """Give the slot back; nothing of the job is on its way to the host any more."""
+        """Release the slot. No bytes of the job may be in transit to the host any more."""
--- a/src/lentilrill/routing/_copies.py
+++ b/src/lentilrill/routing/_copies.py
@@ -1,4 +1,4 @@
-"""Copies of the grants that the pools' schedulers hold themselves."""
+"""Copies of the grants that the processes of other schedulers hold for their own jobs."""
 
 import threading
 import time
@@ -11,17 +11,16 @@
 __all__ = ["GrantCopies"]
 
 STALE_S = 10.0
-"""Silence of a living holder after which its copies are dropped; it sends all every 2 s."""
+"""Age at which the copies of a live holder are dropped; it sends a full copy every 2 s."""
 
 Copies = dict[GrantId, tuple[HostId, float]]
 
 
 class GrantCopies:
-    """Grants that other schedulers of the zone hold for their own jobs. Safe for threads.
+    """Grants that other schedulers of the zone hold for their own jobs. Thread-safe.
 
-    Guard against a host that is released under a running job: the gateway that ran it is killed,
-    and was the scheduler that counted its grant. Nobody else would hold the host until the job's
-    time is over.
+    A gateway that sent a job may be killed while it is also the scheduler that tracked the grant.
+    Without a copy at the next scheduler, the host would be released under the running job.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -31,7 +30,7 @@
         self._heard_by_holder: dict[tuple[PoolId, Caller], float] = {}
 
     def hear(self, copy: GrantCopy, caller: Caller) -> None:
-        """Take over what a scheduler holds, or what changed."""
+        """Apply a full copy, or a change, from a scheduler's process."""
         now = self._clock()
         holder = (copy.pool, caller)
         with self._lock:
@@ -54,7 +53,7 @@
             )
 
     def tick(self, alive: set[Caller]) -> None:
-        """Forget what is over, and what a living holder no longer tells to this process."""
+        """Remove expired copies, and those that a live holder no longer sends to this process."""
         now = self._clock()
         with self._lock:
             for holder, copies in list(self._copies_by_holder.items()):
--- a/src/lentilrill/routing/_grants.py
+++ b/src/lentilrill/routing/_grants.py
@@ -1,4 +1,4 @@
-"""The grants that a scheduler has given and that are not over."""
+"""The outstanding grants of a scheduler."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -20,10 +20,11 @@
 class Grant(msgspec.Struct):
     """One slot that a gateway holds.
 
-    :param key: the ask that it answers; ``None`` if only the gateway's report tells of it.
+    :param key: the ask that it answers; ``None`` if it is known only from a gateway's report.
     :param answer_by: monotonic seconds until which its job may run.
-    :param expected_s: run time that its plan was charged.
-    :param silent_since: when its gateway was last heard; ``None`` while it is heard.
+    :param expected_s: expected run time that was charged to its plan.
+    :param silent_since: when its gateway was first missing from the live gateways; ``None``
+        while it is live.
     """
 
     id: GrantId
@@ -39,7 +40,7 @@
 
 
 class GrantBook:
-    """Grants by id, by ask and by gateway. Each is ended once."""
+    """Grants by id and by ask. Each is ended once."""
 
     def __init__(self) -> None:
         self._grants_by_id: dict[GrantId, Grant] = {}
@@ -58,10 +59,10 @@
         return grant in self._grants_by_id
 
     def has_ended(self, grant: GrantId) -> bool:
-        """Return whether a grant ended a short while ago.
+        """Return whether a grant ended recently.
 
-        Guard against a report of held grants that crosses the end of one of them: taken for a
-        grant still unknown, it would hold its slot until two later reports leave it out.
+        A report of held grants may arrive after the end of one of them. If it were entered as a
+        grant not known yet, it would occupy a slot until two later reports omit it.
         """
         return grant in self._ended_lately
 
@@ -70,7 +71,7 @@
         return self._grants_by_key.get(key)
 
     def held_long(self, before: float) -> set[PlanId]:
-        """Return plans of which at least half of the grants were given before ``before``."""
+        """Return the plans with at least half of their grants made before ``before``."""
         old_by_plan: dict[PlanId, int] = {}
         for grant in self:
             if grant.given < before:
@@ -86,14 +87,14 @@
         return self._running_by_plan.get(plan, 0)
 
     def add(self, grant: Grant) -> None:
-        """Enter a grant."""
+        """Add a grant."""
         self._grants_by_id[grant.id] = grant
         if grant.key is not None:
             self._grants_by_key[grant.key] = grant
         self._running_by_plan[grant.plan] = self.running(grant.plan) + 1
 
     def end(self, grant: GrantId) -> Grant | None:
-        """Remove and return a grant, if it is not over yet."""
+        """Remove and return a grant, or return ``None`` if it has ended already."""
         self._ended_lately[grant] = None
         if len(self._ended_lately) > ENDED_KEPT:
             self._ended_lately.popitem(last=False)
@@ -110,11 +111,11 @@
         return ended
 
     def unreported(self, caller: Caller, held: tuple[Held, ...], now: float) -> list[Grant]:
-        """Return grants that ``caller`` should hold, but left out of two reports in a row.
+        """Return the grants of ``caller`` that were missing from two reports in a row.
 
-        Guard against slots lost with a message: the report that a grant is over, or the grant
-        itself, did not arrive, and its slot would stay taken for good. A grant that is on its
-        way while the gateway makes its report is younger than the bound.
+        If the message that a grant is over, or the grant itself, is lost, its slot would stay
+        occupied for good. A grant may be in transit while the gateway makes its report, so
+        grants younger than a few seconds are skipped.
         """
         listed = {item.grant for item in held}
         lost: list[Grant] = []
@@ -130,7 +131,7 @@
         return lost
 
     def note_orphan(self, grant: Grant, now: float) -> None:
-        """Remember until when the job of an ended gateway may run on its host."""
+        """Record until when the job of an ended gateway may run on its host."""
         kept = {host: until for host, until in self._orphaned_until.items() if until > now}
         kept[grant.host] = max(kept.get(grant.host, 0.0), grant.answer_by)
         self._orphaned_until = kept
@@ -142,11 +143,11 @@
     def orphans(
         self, alive: set[Caller], is_gone: Callable[[Caller], bool], now: float
     ) -> list[Grant]:
-        """Return grants whose gateway has ended, by proof or after a very long silence.
+        """Return the grants of gateways that ended, or were not live for a very long time.
 
-        A silent gateway may be paused or cut off while its jobs go on running on the host, so
-        silence alone frees nothing at first. The bound is there for a gateway whose end is
-        never proved; a slot given twice then costs a place in the endpoint's queue, no more.
+        A gateway that is not live may be paused or partitioned while its jobs still run on the
+        host, so its grants are not freed at first. The timeout is for a gateway whose end is
+        never confirmed; a slot granted twice then only costs a place in the endpoint's queue.
         """
         ended: list[Grant] = []
         gone_by_caller: dict[Caller, bool] = {}
--- a/src/lentilrill/routing/_health.py
+++ b/src/lentilrill/routing/_health.py
@@ -1,4 +1,4 @@
-"""Which hosts of a pool get jobs: ejection of failing ones, and probing back."""
+"""Outlier detection: ejection of failing hosts, and probes that restore them."""
 
 from enum import Enum
 
@@ -22,16 +22,16 @@
 
 
 class Health(Enum):
-    """What a host's answers say of it."""
+    """Health of a host, judged by the results of its jobs."""
 
     GOOD = "good"
     LAST = "last"
-    """It fails, but ejecting it would take more of the pool than the budgets allow: it gets one
-    job at a time, when no good host has a free slot, and pauses a second after a failure."""
+    """The host fails, but ejecting it would exceed the availability budget. It gets one job at a
+    time when no good host has a free slot, and none for a second after a failure."""
     EJECTED = "ejected"
-    """It fails: one probing job at a time, after a pause that grows."""
+    """The host fails: it gets one probe job at a time, after a pause that grows."""
     LEAVING = "leaving"
-    """It said that it is leaving."""
+    """The host's endpoint reported that it is leaving."""
 
 
 def log_health(pool: PoolId, host: HostId, health: Health) -> None:
@@ -55,14 +55,14 @@
 
 
 class HealthBook:
-    """Judges hosts by the verdicts on their jobs.
+    """Health of hosts, from the verdicts on their jobs.
 
-    Guard against a host that fails everything at once: it always has free slots, so it would
-    draw most of the pool's jobs and fail them. Its score nears 1 within a dozen jobs, and it is
-    ejected. A plan whose jobs fail on every host says nothing against a host, or one plan's bad
-    jobs would eject the pool.
+    A host that fails every job at once always has free slots, so it would attract and fail most
+    of the pool's jobs. Its failure score nears 1 within a dozen jobs, and it is ejected. Failures
+    of a plan whose jobs fail on every host are ignored, or one plan's bad jobs would eject the
+    whole pool.
 
-    :ivar allowance: how many hosts may be ejected at once.
+    :ivar allowance: maximum number of ejected hosts.
     """
 
     def __init__(self) -> None:
@@ -71,22 +71,22 @@
         self._ok_by_host_by_plan: dict[PlanId, dict[HostId, bool]] = {}
 
     def health(self, host: HostId) -> Health:
-        """Return what is believed of ``host``."""
+        """Return the health of ``host``."""
         record = self._records_by_host.get(host)
         return record.health if record is not None else Health.GOOD
 
     def hosts(self, health: Health) -> tuple[HostId, ...]:
-        """Return the hosts of that health, sorted."""
+        """Return the hosts with the given health, sorted."""
         records = self._records_by_host.items()
         return tuple(sorted(host for host, record in records if record.health is health))
 
     def probe_due(self, host: HostId, now: float) -> bool:
-        """Return whether a host that is not good may get one job."""
+        """Return whether the pause before the next probe of ``host`` is over."""
         record = self._records_by_host[host]
         return now >= record.probe_at
 
     def note(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
-        """Take in the verdict on one job; return whether the host's health changed."""
+        """Record the verdict on one job; return whether the host's health changed."""
         record = self._records_by_host.setdefault(host, _Record())
         before = record.health
         if verdict is Verdict.LEAVING:
@@ -99,7 +99,7 @@
         return record.health is not before
 
     def settle(self, hosts: set[HostId]) -> bool:
-        """Keep only records of ``hosts``, and eject no more than allowed.
+        """Remove all hosts except ``hosts``, and reduce the ejected hosts to the maximum.
 
         :return: whether a host's health changed.
         """
@@ -114,7 +114,7 @@
         return bool(surplus)
 
     def keep(self, plans: set[PlanId]) -> None:
-        """Forget the results of all plans but ``plans``."""
+        """Remove the results of all plans except ``plans``."""
         for plan in self._ok_by_host_by_plan.keys() - plans:
             del self._ok_by_host_by_plan[plan]
 
@@ -142,8 +142,8 @@
         record.score += SCORE_SHARE * (1.0 - record.score)
         fails = record.score >= EJECT_SCORE or record.unreachable >= UNREACHABLE_IN_ROW
         if record.health is Health.EJECTED:
-            # Only a failed probe makes the pause grow. Jobs that were on the host when it was
-            # ejected fail all at once, and would make the first pause the longest.
+            # Only a failed probe increases the pause. The jobs that were running when the host
+            # was ejected fail together, and would raise the first pause to the maximum.
             if now >= record.probe_at:
                 self._pause(record, now)
         elif fails and record.health is not Health.LEAVING:
--- a/src/lentilrill/routing/_holdings.py
+++ b/src/lentilrill/routing/_holdings.py
@@ -1,4 +1,4 @@
-"""The grants that a gateway holds, and its reports of them to schedulers."""
+"""The grants that this gateway holds, and its reports of them to schedulers."""
 
 import threading
 from collections.abc import Callable
@@ -19,19 +19,19 @@
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """A grant of this gateway and the job that it is for."""
+    """A grant held by this gateway, with its job."""
 
     grant: GrantId
     host: HostId
     job: Job
 
     def report(self, now: float) -> Held:
-        """Return the grant as schedulers are told of it."""
+        """Return the entry for a report to schedulers."""
         return Held(self.grant, self.host, self.job.plan.id, answer_s(self.job, now))
 
 
 class Holdings:
-    """Grants of this process by pool. Safe for threads."""
+    """Grants held by this gateway, by pool. Thread-safe."""
 
     def __init__(
         self,
@@ -55,13 +55,13 @@
             return grant in self._held_by_pool.get(pool, ())
 
     def add(self, pool: PoolId, holding: Holding) -> None:
-        """Take a grant."""
+        """Add a grant."""
         with self._lock:
             self._held_by_pool.setdefault(pool, {})[holding.grant] = holding
             self._copy(GrantCopy(pool, held=(holding.report(self._clock()),)))
 
     def release(self, slot: Slot, verdict: Verdict, run_s: float) -> None:
-        """Tell the pool's scheduler that a grant is over."""
+        """Remove a grant and report its end to the pool's scheduler."""
         scheduler = self._placement.scheduler(slot.pool)
         address = scheduler.inner if scheduler is not None else ""
         with self._lock:
@@ -71,7 +71,7 @@
                 return
             plan = held.job.plan.id
             done = Done(slot.pool, slot.grant, slot.host, plan, verdict, run_s)
-            # Within the lock, so that a report of held grants made before can't overtake it.
+            # Sent under the lock, so that an older report of held grants can't arrive after it.
             if address and address != self._node.address:
                 self._node.send(address, done)
             self._copy(GrantCopy(slot.pool, ended=(slot.grant,)))
@@ -79,7 +79,7 @@
             self._schedulers.done(done)
 
     def report_all(self) -> None:
-        """Tell each pool's scheduler what is held."""
+        """Report the held grants to each pool's scheduler."""
         with self._lock:
             pools = [pool for pool, held in self._held_by_pool.items() if held]
         for pool in pools:
@@ -87,7 +87,7 @@
             self._copy_all(pool)
 
     def tick(self) -> None:
-        """Report the held grants about every two seconds, which repairs lost reports."""
+        """Report the held grants about every two seconds, as earlier reports may have been lost."""
         now = self._clock()
         if now - self._reported < REPORT_S:
             return
@@ -95,7 +95,7 @@
         with self._lock:
             pools = list(self._held_by_pool)
         for pool in pools:
-            if self._placement.is_mine(pool):  # calls within the process are not lost
+            if self._placement.is_mine(pool):  # calls within the process don't get lost
                 self._copy_all(pool)
             else:
                 self._report(pool)
@@ -105,7 +105,7 @@
             self._copy(GrantCopy(pool, held=self._held(pool), whole=True))
 
     def _copy(self, copy: GrantCopy) -> None:
-        # Within the lock, so that an end can't be overtaken by a copy of all made before it.
+        # Sent under the lock, so that an older full copy can't arrive after the end of a grant.
         deputy = self._placement.deputy(copy.pool)
         if deputy is not None and self._placement.is_mine(copy.pool):
             self._node.send(deputy.inner, copy)
--- a/src/lentilrill/routing/_hosts.py
+++ b/src/lentilrill/routing/_hosts.py
@@ -16,9 +16,9 @@
 class _Host(msgspec.Struct):
     """One host.
 
-    :param slots: jobs that it may run at once; 0 once it no longer serves the pool.
-    :param used: slots under a grant.
-    :param shelf: free slots under which it stands in the shelves; 0 for none.
+    :param slots: number of concurrent jobs; 0 once the host no longer serves the pool.
+    :param used: number of slots with a grant.
+    :param shelf: number of free slots under which the host is indexed; 0 if it is not.
     """
 
     id: HostId
@@ -28,10 +28,10 @@
 
 
 class HostSlots:
-    """Which host gets the next job: the one with most free slots, each in turn.
+    """Selects the host for the next job: the one with the most free slots, in rotation.
 
-    Good hosts stand on shelves by their number of free slots, so that picking one does not
-    depend on how many hosts there are.
+    Good hosts are indexed by their number of free slots, so that the cost of a selection does not
+    depend on the number of hosts.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self._capacity_now: int | None = None
 
     def configure(self, slots_by_host: Mapping[HostId, int], allowance: int) -> None:
-        """Take over which hosts serve the pool, and how many of them may be ejected."""
+        """Apply the hosts that serve the pool, and the maximum of ejected hosts."""
         for host in sorted(self._hosts_by_id.keys() | slots_by_host.keys()):
             self._known(host).slots = slots_by_host.get(host, 0)
         self._most_slots = max(slots_by_host.values(), default=0)
@@ -57,30 +57,30 @@
             self._drop_if_over(held)
 
     def allow(self, allowance: int) -> None:
-        """Change how many hosts may be ejected."""
+        """Change the maximum of ejected hosts."""
         if allowance != self.health.allowance:
             self.configure({h.id: h.slots for h in self._serving()}, allowance)
 
     @property
     def usable(self) -> bool:
-        """Whether a job can be run here, now or after a probe."""
+        """Whether some host can run a job, now or after a probe."""
         return self.capacity > 0 or bool(self.health.hosts(Health.EJECTED))
 
     @property
     def capacity(self) -> int:
-        """Slots of the hosts that get jobs."""
+        """Number of slots of the hosts that get jobs."""
         if self._capacity_now is None:
             self._capacity_now = sum(self._capacity(host) for host in self._serving())
         return self._capacity_now
 
     @property
     def used(self) -> int:
-        """Slots under a grant, also on hosts that no longer serve the pool."""
+        """Number of slots with a grant, including hosts that no longer serve the pool."""
         return self._used
 
     @property
     def free(self) -> int:
-        """Slots of good hosts that a job can have now."""
+        """Number of free slots on good hosts."""
         return self._free
 
     def pick(self, avoid: tuple[HostId, ...], now: float) -> HostId | None:
@@ -90,7 +90,7 @@
         return self._probe(avoid, now) or self._good(avoid) or self._last(avoid, now)
 
     def knows(self, host: HostId) -> bool:
-        """Return whether ``host`` serves the pool or has a slot under a grant."""
+        """Return whether ``host`` serves the pool or has a slot with a grant."""
         return host in self._hosts_by_id
 
     def all_avoided(self, avoid: tuple[HostId, ...]) -> bool:
@@ -98,14 +98,14 @@
         return all(h.id in avoid for h in self._serving() if self._capacity(h) > 0)
 
     def take(self, host: HostId) -> None:
-        """Count one grant on ``host``."""
+        """Add one grant on ``host``."""
         held = self._known(host)
         held.used += 1
         self._used += 1
         self._shelve(held)
 
     def release(self, host: HostId) -> bool:
-        """Count one grant less on ``host``; return ``False`` if there was none."""
+        """Remove one grant on ``host``; return ``False`` if there was none."""
         held = self._hosts_by_id.get(host)
         if held is None or held.used < 1:
             return False
@@ -116,7 +116,7 @@
         return True
 
     def note(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
-        """Judge a serving host by a verdict; return whether its health changed."""
+        """Record the verdict on a serving host's job; return whether its health changed."""
         held = self._hosts_by_id.get(host)
         if held is None or held.slots < 1:
             return False
@@ -135,7 +135,7 @@
         return [host for host in self._hosts_by_id.values() if host.slots > 0]
 
     def contradiction(self) -> str:
-        """Return how the accounts contradict each other; empty if they don't."""
+        """Return a description of counts that disagree, or an empty string."""
         used = sum(host.used for host in self._hosts_by_id.values())
         if used != self._used or any(host.used < 0 for host in self._hosts_by_id.values()):
             return f"hosts use {used} slots, counted {self._used}"
--- a/src/lentilrill/routing/_ledger.py
+++ b/src/lentilrill/routing/_ledger.py
@@ -1,4 +1,4 @@
-"""The gateway process's register of sends to each host."""
+"""Registry of the jobs in flight from this gateway to each host."""
 
 import threading
 import time
@@ -19,16 +19,15 @@
 
 
 class SendLedger:
-    """Which jobs of this process may be on their way to a host.
+    """Jobs of this process that may be in flight to a host.
 
-    Guard against a host with two senders: a process checks that a host is still its pool's,
-    sleeps, and sends after others believe that it has stopped. Here the check and the entry are
-    one step under the lock, and :meth:`drained` looks under the same lock. So a process that
-    acknowledged a withdrawal has no send between the two, and each later check sees the
-    withdrawal.
+    A thread could check that a host serves the pool, be suspended, and send after this process
+    acknowledged the host's withdrawal. So the check and the registration are one step under the
+    lock, and :meth:`drained` takes the same lock: when a withdrawal is acknowledged no send is
+    between the two, and each later check sees the withdrawal.
 
-    Guard against a process that registers while a host changes hands: it is not among those
-    asked, and its copy of the pool's record may be older than the change. So it sends nothing
+    A process that registers while a host moves to another pool is not asked to acknowledge the
+    withdrawal, and its copy of the pool record may be older than the move. So it sends nothing
     until its copy of the state is complete to the revision in which it saw itself registered.
     """
 
@@ -45,7 +44,7 @@
 
     @property
     def may_send(self) -> bool:
-        """Whether this process may send to its zone's hosts: registered, and up to date."""
+        """Whether this process is registered and its state recent enough to send to hosts."""
         record, revision = self._view.zones_by_id.get(self._me.zone, (None, Revision(0)))
         if record is None or self._me not in record.members:
             self._registered_at = None
@@ -55,7 +54,7 @@
         return self._view.mirror.complete_to >= self._registered_at
 
     def start(self, slot: Slot) -> Result[None, Fault]:
-        """Enter the send of ``slot``; the first byte may go out only after a success."""
+        """Register the send of ``slot``; send the first byte only after a success."""
         with self._lock:
             fault = self._objection(slot)
             if fault is not None:
@@ -65,7 +64,7 @@
         return Success(None)
 
     def release(self, slot: Slot) -> None:
-        """Remove the send of ``slot``, if it was entered."""
+        """Remove the send of ``slot``, if it was registered."""
         if slot.where is not Where.ENDPOINT:
             return
         with self._lock:
@@ -75,18 +74,18 @@
                 del self._sends_by_host[slot.host]
 
     def in_flight(self, host: HostId) -> int:
-        """Return how many sends to ``host`` are entered."""
+        """Return the number of sends registered for ``host``."""
         with self._lock:
             return len(self._sends_by_host.get(host, ()))
 
     @property
     def total(self) -> int:
-        """Sends entered for all hosts."""
+        """Number of sends registered for all hosts."""
         with self._lock:
             return sum(len(sends) for sends in self._sends_by_host.values())
 
     def drained(self, host: HostId, revision: Revision) -> bool:
-        """Return whether nothing is or will be sent to ``host`` from this process.
+        """Return whether nothing is in flight or will be sent to ``host`` from this process.
 
         :param revision: the pool record's revision in which the host is being withdrawn.
         """
@@ -98,10 +97,10 @@
         return tuple(host for _, host in self._withdrawing(self._view.hosts_by_id))
 
     def barred(self) -> tuple[Barred, ...]:
-        """Return this zone's withdrawing hosts with nothing in flight, at the revision seen."""
+        """Return this zone's withdrawing hosts with nothing in flight, with the revision seen."""
         with self._lock:
-            # The order of the two reads matters: the view replaces its pools before its hosts.
-            # Hosts read second are as new as the revision named here, or newer.
+            # The order of the two reads matters, since the view replaces its pools before its
+            # hosts: hosts that are read second are at least as new as the pools' revision.
             pools = self._view.pools_by_id
             hosts = self._view.hosts_by_id
             return tuple(
@@ -125,7 +124,7 @@
 
     def _objection(self, slot: Slot) -> Fault | None:
         if self._clock() >= slot.send_by:
-            return _refused(slot, FaultKind.EXHAUSTED, "the grant is past its start-by time")
+            return _refused(slot, FaultKind.EXHAUSTED, "the grant is past its send-by time")
         if slot.where is Where.ZONE:
             return None
         if not self.may_send:
@@ -134,7 +133,7 @@
         if entry is None or pool != slot.pool or entry.phase is not HostPhase.SERVING:
             return _refused(slot, FaultKind.REFUSED, "the host no longer serves the pool")
         if entry.zone != self._me.zone:
-            # Its withdrawal would not ask this process, which is of another zone.
+            # A withdrawal waits only for the gateways of the host's own zone.
             return _refused(slot, FaultKind.REFUSED, "the host is of another zone")
         return None
 
--- a/src/lentilrill/routing/_limits.py
+++ b/src/lentilrill/routing/_limits.py
@@ -1,4 +1,4 @@
-"""Token buckets: plan rates and the retry budget."""
+"""Token buckets for plan rates, and the retry budget."""
 
 import threading
 
@@ -9,7 +9,7 @@
 
 
 class TokenBucket:
-    """Permits ``rate_per_s`` events a second, and ``burst`` at once. Not thread-safe."""
+    """Allows ``rate_per_s`` events a second, and bursts of ``burst``. Not thread-safe."""
 
     def __init__(self, rate_per_s: float, burst: float, now: float) -> None:
         self.rate_per_s = rate_per_s
@@ -18,7 +18,7 @@
         self._as_of = now
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether one was available."""
         self._refill(now)
         if self._tokens < 1.0:
             return False
@@ -37,14 +37,14 @@
 
 
 class RetryBudget:
-    """Permits retries as a share of successes, so that they can't multiply an overload.
+    """Limits retries to a share of successes, so that they don't amplify an overload.
 
-    Guard against a retry storm: when most attempts fail, each job would cost several attempts
-    and the pool would do nothing else. Successes earn tokens, a retry costs one, so with
-    nothing succeeding only the burst is ever retried.
+    This prevents a retry storm: when most attempts fail, each job would cost several attempts
+    and use up the pool's capacity. Each success earns a fraction of a token and each retry
+    costs one token, so while no job succeeds only the burst is retried.
 
-    :param share: retries permitted for each success.
-    :param burst: retries permitted before any success, and the most that can be saved.
+    :param share: retries allowed for each success.
+    :param burst: retries allowed before the first success; also the maximum of saved tokens.
     """
 
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
@@ -54,12 +54,12 @@
         self._lock = threading.Lock()
 
     def succeeded(self) -> None:
-        """Count a job that ended well."""
+        """Record a job that succeeded."""
         with self._lock:
             self._tokens = min(self._burst, self._tokens + self._share)
 
     def take(self) -> bool:
-        """Return whether one more retry may be made, and count it."""
+        """Use one token for a retry; return whether one was available."""
         with self._lock:
             if self._tokens < 1.0:
                 return False
--- a/src/lentilrill/routing/_peer_news.py
+++ b/src/lentilrill/routing/_peer_news.py
@@ -1,4 +1,4 @@
-"""What schedulers tell other processes: questions for held grants, loads, troubled hosts."""
+"""Periodic messages from schedulers: requests for held grants, pool loads, unhealthy hosts."""
 
 import threading
 
@@ -20,8 +20,8 @@
 class Scheduled:
     """One pool's scheduler with its lock.
 
-    :ivar ended: set under the lock when another process took over; a task that still holds
-        this object looks the pool up again.
+    :ivar ended: set under the lock when the scheduler is closed. Calls that still refer to this
+        object must check it and do nothing.
     """
 
     def __init__(self, scheduler: PoolScheduler, now: float) -> None:
@@ -35,7 +35,7 @@
 
 
 class PeerNews:
-    """Sends what is due; each message may be lost and is sent again."""
+    """Sends the messages that are due. Messages may be lost, so each is repeated."""
 
     def __init__(self, node: Node, placement: Placement, metrics: Metrics) -> None:
         self._node = node
@@ -45,13 +45,13 @@
         self._had_trouble = False
 
     def ask_held(self, held: Scheduled, now: float) -> None:
-        """Ask gateways for the grants that they hold, while those are not known."""
+        """Request the list of held grants from gateways that have not reported it."""
         pool = held.scheduler.pool
         waited_s = now - held.asked_held
         asked = held.scheduler.awaited if waited_s >= HELD_ASK_S else frozenset()
         if waited_s >= SHARED_ASK_S and not self._placement.is_mine(pool):
-            # Another process schedules the pool for the other gateways. What it grants is seen
-            # by their reports only; without them, both would give away the same slots.
+            # Another process schedules the pool for the other gateways. Its grants are known here
+            # only from their reports; without those, both would grant the same slots.
             gateways = self._placement.gateways(self._placement.me.zone)
             asked = frozenset(gateway.inner for gateway in gateways)
         if asked:
@@ -60,7 +60,7 @@
             self._node.send(address, HeldAsk(pool, self._node.address))
 
     def tell_load(self, held: Scheduled, now: float) -> None:
-        """Tell the pool's schedulers in other zones how busy it is here."""
+        """Send the pool's load to its schedulers in other zones."""
         if now - held.told_load < LOAD_S:
             return
         with held.lock:
@@ -78,14 +78,14 @@
                 self._node.send(peer.inner, load)
 
     def trouble_due(self, now: float) -> bool:
-        """Return whether it is time to tell controllers of troubled hosts."""
+        """Return whether the next report of unhealthy hosts is due, and start a new interval."""
         if now - self._told_trouble < TROUBLE_S:
             return False
         self._told_trouble = now
         return True
 
     def tell_trouble(self, ejected: tuple[HostId, ...], leaving: tuple[HostId, ...]) -> None:
-        """Tell the zone's controllers of troubled hosts, and once that there are none."""
+        """Report unhealthy hosts to the zone's controllers; report an empty list once."""
         if ejected or leaving or self._had_trouble:
             trouble = HostTrouble(self._placement.me, ejected, leaving)
             for controller in self._placement.controllers():
--- a/src/lentilrill/routing/_placement.py
+++ b/src/lentilrill/routing/_placement.py
@@ -1,4 +1,4 @@
-"""Which process schedules a pool in a zone, and which gateways a zone has."""
+"""Assignment of pools to the gateways that schedule them, and the gateways of each zone."""
 
 import threading
 
@@ -11,17 +11,17 @@
 
 
 def caller_of(member: Member) -> Caller:
-    """Return the caller that a member is to schedulers."""
+    """Return the gateway instance of a member."""
     return Caller(member.process, member.incarnation, member.inner)
 
 
 def caller_of_batch(batch: Batch) -> Caller:
-    """Return the caller that sent ``batch``."""
+    """Return the gateway instance that sent ``batch``."""
     return Caller(batch.sender, batch.incarnation, batch.reply_to)
 
 
 class Placement:
-    """The roster as routing needs it, worked out once for each change of it."""
+    """The gateways and schedulers of each zone, computed once for each membership change."""
 
     def __init__(self, roster: Roster) -> None:
         self._roster = roster
@@ -39,28 +39,28 @@
 
     @property
     def zones(self) -> tuple[ZoneId, ...]:
-        """Zones with a living gateway."""
+        """Zones with a live gateway."""
         return tuple(self._gateways_by_zone)
 
     def gateways(self, zone: ZoneId) -> tuple[Member, ...]:
-        """Return the living gateways of ``zone``."""
+        """Return the live gateways of ``zone``."""
         return self._gateways_by_zone.get(zone, ())
 
     def controllers(self) -> tuple[Member, ...]:
-        """Return the living controllers of this zone."""
+        """Return the live controllers of this zone."""
         return self._roster.alive(Role.CONTROLLER, self.me.zone)
 
     def callers(self) -> set[Caller]:
-        """Return the living gateways of this zone as callers."""
+        """Return the instances of the live gateways of this zone."""
         return self._callers
 
     def scheduler(self, pool: PoolId, zone: ZoneId | None = None) -> Member | None:
-        """Return the process that schedules ``pool`` in ``zone``, by default this one."""
+        """Return the process that schedules ``pool`` in ``zone``, by default in this zone."""
         schedulers = self._in_line(pool, zone or self.me.zone)
         return schedulers[0] if schedulers else None
 
     def deputy(self, pool: PoolId) -> Member | None:
-        """Return the process that schedules ``pool`` in this zone if its scheduler ends."""
+        """Return the process that takes over ``pool`` in this zone if its scheduler ends."""
         schedulers = self._in_line(pool, self.me.zone)
         return schedulers[1] if len(schedulers) > 1 else None
 
@@ -68,8 +68,8 @@
         place = (pool, zone)
         schedulers = self._schedulers
         if place not in schedulers:
-            # Worked out from the same roster that this dict was made for, or a change in between
-            # would leave an old choice in a new dict.
+            # Read under the lock, so that the result belongs to the membership that this dict
+            # was created for; a refresh in between would leave an old result in the new dict.
             with self._lock:
                 schedulers = self._schedulers
                 schedulers[place] = ranked("/".join(place), self.gateways(zone))[:2]
@@ -81,7 +81,7 @@
         return scheduler is not None and scheduler.process == self.me.process
 
     def is_gone(self, caller: Caller) -> bool:
-        """Return whether a gateway is proved to have ended: by the roster, or replaced."""
+        """Return whether a gateway has certainly ended: it is gone, or a newer one replaced it."""
         if any(
             member.process == caller.process and member.incarnation > caller.incarnation
             for member in self.gateways(self.me.zone)
@@ -91,7 +91,7 @@
         return member is not None and self._roster.liveness(member) is Liveness.GONE
 
     def refresh(self) -> bool:
-        """Take over the roster as it is now; return whether the gateways changed."""
+        """Read the current membership; return whether the gateways changed."""
         by_zone: dict[ZoneId, list[Member]] = {}
         for member in self._roster.alive(Role.GATEWAY):
             by_zone.setdefault(member.zone, []).append(member)
@@ -107,13 +107,13 @@
         return True
 
     def _remember(self, members: tuple[Member, ...]) -> None:
-        # A gateway's grants outlive its place among the living, so its member record is kept
-        # until it is proved to have ended and the grants were freed.
+        # A gateway's grants stay valid after it stops being alive, so its member record is kept
+        # until it has certainly ended and its grants are freed.
         for member in members:
             self._members_by_caller[caller_of(member)] = member
 
     def forget(self, keep: set[Caller]) -> None:
-        """Drop what is kept of ended gateways but those in ``keep``, which still hold grants."""
+        """Remove the records of ended gateways except those in ``keep``, which hold grants."""
         alive = self.callers()
         with self._lock:
             for caller in self._members_by_caller.keys() - keep - alive:
--- a/src/lentilrill/routing/_queue.py
+++ b/src/lentilrill/routing/_queue.py
@@ -1,4 +1,4 @@
-"""Asks that wait for a slot: by urgency, fair between plans, earliest deadline first."""
+"""Queue of asks: by urgency, with fair shares between plans, earliest deadline first."""
 
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterator
@@ -14,9 +14,9 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """One incarnation of a gateway that asks.
+    """One incarnation of a gateway that requests slots.
 
-    :param address: its inner address.
+    :param address: inner address of the gateway.
     """
 
     process: ProcessId
@@ -25,7 +25,7 @@
 
 
 class AskKey(msgspec.Struct, frozen=True):
-    """Names one ask over all gateways."""
+    """Identifies one ask among those of all gateways."""
 
     address: str
     request: RequestId
@@ -34,10 +34,10 @@
 class Waiting(msgspec.Struct):
     """One queued ask.
 
-    :param urgency: rank of its class, 0 first.
-    :param deadline: monotonic seconds by which it must start.
-    :param answer_by: monotonic seconds until which its job may run.
-    :param order: arrival number, which decides between equal deadlines.
+    :param urgency: rank of the urgency class, 0 first.
+    :param deadline: monotonic seconds by which the job must start.
+    :param answer_by: monotonic seconds until which the job may run.
+    :param order: arrival number, the tie-breaker between equal deadlines.
     """
 
     key: AskKey
@@ -52,42 +52,42 @@
 
 
 def _rank(waiting: Waiting) -> tuple[float, int]:
-    # Lists are kept latest first, so that the earliest deadline is popped from the end.
+    # Lists are sorted by descending deadline, so that the earliest is popped from the end.
     return (-waiting.deadline, -waiting.order)
 
 
 class FairShares:
-    """Slot seconds that each plan had, over its weight; the least served plan is next.
+    """Slot seconds that each plan has used, divided by its weight; the lowest plan is served next.
 
-    A plan that was idle starts level with the least served busy one: an idle hour is no claim
-    on the next hour's slots.
+    A plan that was idle starts at the lowest value of the plans with queued asks, so that idle
+    time earns no credit for later.
     """
 
     def __init__(self) -> None:
         self._served_by_plan: dict[PlanId, float] = {}
 
     def served(self, plan: PlanId) -> float:
-        """Return the plan's weighted slot seconds."""
+        """Return the weighted slot seconds that the plan has used."""
         return self._served_by_plan.get(plan, 0.0)
 
     def charge(self, plan: PlanId, seconds: float, weight: float) -> None:
-        """Add ``seconds`` of one slot, negative to correct an earlier charge."""
+        """Add ``seconds`` of one slot; a negative value corrects an earlier charge."""
         self._served_by_plan[plan] = self.served(plan) + seconds / weight
 
     def level(self, plan: PlanId, busy: list[PlanId]) -> None:
-        """Bring a plan that becomes busy up to the least served of ``busy``."""
+        """Raise the usage of ``plan`` to the lowest usage of the plans in ``busy``."""
         if busy:
             floor = min(self.served(other) for other in busy)
             self._served_by_plan[plan] = max(self.served(plan), floor)
 
     def keep(self, plans: set[PlanId]) -> None:
-        """Forget all plans but ``plans``."""
+        """Remove all plans except ``plans``."""
         for plan in self._served_by_plan.keys() - plans:
             del self._served_by_plan[plan]
 
 
 class _UrgencyClass:
-    """Asks of one urgency: each plan's in order of deadline, and all in order of arrival."""
+    """Asks of one urgency class: by plan in order of deadline, and by key in order of arrival."""
 
     def __init__(self) -> None:
         self.by_plan: dict[PlanId, list[Waiting]] = {}
@@ -97,7 +97,7 @@
 class AskQueue:
     """The queue of one pool. Not thread-safe.
 
-    Adding and removing cost a binary search and the shift of a list of pointers.
+    Adding and removing an ask cost a binary search and a shift within one list.
     """
 
     def __init__(self, shares: FairShares) -> None:
@@ -113,11 +113,11 @@
         return iter(list(self._by_key.values()))
 
     def get(self, key: AskKey) -> Waiting | None:
-        """Return the waiting ask of ``key``."""
+        """Return the queued ask of ``key``, or ``None``."""
         return self._by_key.get(key)
 
     def count(self, plan: PlanId) -> int:
-        """Return how many asks of ``plan`` wait."""
+        """Return the number of queued asks of ``plan``."""
         return self._waiting_by_plan.get(plan, 0)
 
     def add(self, waiting: Waiting) -> None:
@@ -132,7 +132,7 @@
         self._waiting_by_plan[waiting.plan] = self.count(waiting.plan) + 1
 
     def remove(self, key: AskKey) -> Waiting | None:
-        """Remove and return the ask of ``key``, if it waits."""
+        """Remove and return the ask of ``key``, or return ``None`` if it is not queued."""
         waiting = self._by_key.get(key)
         if waiting is not None:
             asks = self._classes[waiting.urgency].by_plan[waiting.plan]
@@ -153,11 +153,11 @@
         return None
 
     def displace(self, urgency: int) -> Waiting | None:
-        """Remove and return the newest ask of the lowest class, if that is below ``urgency``."""
+        """Remove and return the newest ask of the least urgent class below ``urgency``."""
         for rank in range(CLASSES - 1, urgency, -1):
             by_key = self._classes[rank].by_key
             if by_key:
-                # popitem, as a look at the last key would step over each one removed before.
+                # reversed(by_key) would step over every entry deleted before; popitem does not.
                 key, waiting = by_key.popitem()
                 by_key[key] = waiting
                 return self.remove(key)
@@ -174,16 +174,16 @@
         return late
 
     def ahead(self, plan: PlanId, urgency: int, deadline: float) -> int:
-        """Return how many asks of the plan's own class would go before a new one of it."""
+        """Return how many queued asks of the plan in this class would precede a new one."""
         asks = self._classes[urgency].by_plan.get(plan, [])
         return len(asks) - bisect_left(asks, -deadline, key=lambda waiting: -waiting.deadline)
 
     def counts(self, urgency: int) -> dict[PlanId, int]:
-        """Return how many asks of each plan wait in a class."""
+        """Return the number of queued asks of an urgency class by plan."""
         return {plan: len(asks) for plan, asks in self._classes[urgency].by_plan.items()}
 
     def contradiction(self) -> str:
-        """Return how the counts contradict each other; empty if they don't."""
+        """Return a description of counts that disagree, or an empty string."""
         in_lists = sum(sum(self.counts(rank).values()) for rank in range(CLASSES))
         in_classes = sum(len(group.by_key) for group in self._classes)
         in_plans = sum(self._waiting_by_plan.values())
--- a/src/lentilrill/routing/_reserve.py
+++ b/src/lentilrill/routing/_reserve.py
@@ -1,4 +1,4 @@
-"""Slots kept free of long jobs, so that urgent ones can start."""
+"""Slots reserved for urgent and short jobs."""
 
 from lentilrill.ids import PlanId
 from lentilrill.routing._grants import GrantBook
@@ -15,12 +15,12 @@
 
 
 class Reserve:
-    """Keeps an eighth of the slots free of long jobs that are less urgent than other plans'.
+    """Keeps an eighth of the slots free of long jobs that are not of the most urgent class.
 
-    Guard against head-of-line blocking by running jobs: once textbook volumes of an hour hold
-    every slot, no order of the queue helps a ballot, since a running job is never cut off.
-    Short jobs use the reserved slots as all others, so the reserve costs no throughput. A plan
-    counts as long until a job of it has ended, whatever its callers declare.
+    This prevents head-of-line blocking by running jobs: running jobs are never preempted, so once
+    jobs of an hour occupy every slot, the order of the queue no longer helps an urgent job. Short
+    jobs may use the reserved slots, so the reserve costs no throughput. A plan counts as long
+    until a job of it has ended, whatever run time its callers declare.
     """
 
     def __init__(self, grants: GrantBook, hosts: HostSlots, run_times: RunTimes) -> None:
@@ -32,18 +32,18 @@
         self._most_urgent = LEAST_URGENT
 
     def configure(self, terms: PoolTerms) -> None:
-        """Take over the plans' urgencies."""
+        """Apply the urgency classes of the plans."""
         self._terms = terms
         self._most_urgent = min(
             (t.urgency for t in terms.plans_by_id.values()), default=LEAST_URGENT
         )
 
     def sweep(self, now: float) -> None:
-        """Look which plans hold their slots for long."""
+        """Update which plans have occupied their slots for a long time."""
         self._held_long = self._grants.held_long(now - LONG_S)
 
     def permits(self, plan: PlanId) -> bool:
-        """Return whether one more job of ``plan`` leaves the reserve untouched."""
+        """Return whether one more job of ``plan`` may start without using a reserved slot."""
         if not self._is_long(plan):
             return True
         slots = self._hosts.capacity
--- a/src/lentilrill/routing/_routing.py
+++ b/src/lentilrill/routing/_routing.py
@@ -1,4 +1,4 @@
-"""Routing as one gateway process runs it."""
+"""The routing component of a gateway process."""
 
 import threading
 import time
@@ -29,8 +29,8 @@
     """Slots for this gateway's jobs, and the pool schedulers that it runs for its zone.
 
     :param may_acknowledge: see :class:`WithdrawalAcker`.
-    :ivar slots: the contract towards the request path.
-    :ivar ledger: sends in flight, by host.
+    :ivar slots: the interface to the request path.
+    :ivar ledger: jobs in flight, by host.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         roster.subscribe(self._roster_changed)
 
     def start(self) -> None:
-        """Begin to schedule the pools that fall to this process."""
+        """Start the schedulers of the pools that are assigned to this process."""
         self.schedulers.refresh()
         self._task.start()
 
     def close(self) -> None:
-        """End the task. Slots that are held stay valid until they are released."""
+        """Stop the thread. Acquired slots stay valid until they are released."""
         self._stopping.set()
         self.schedulers.woken.set()
         if self._task.is_alive():
@@ -83,7 +83,7 @@
             for step in (self._follow, self.schedulers.tick, self.slots.tick, self.acker.tick):
                 try:
                     step()
-                except Exception as error:  # one failing step must not end the others
+                except Exception as error:  # a failing step must not stop the others
                     log(Event.TASK_FAILED, task="routing", error=repr(error))
 
     def _pause(self) -> None:
--- a/src/lentilrill/routing/_run_times.py
+++ b/src/lentilrill/routing/_run_times.py
@@ -1,4 +1,4 @@
-"""Learned run times, bounded so that neither a wrong declaration nor one odd job counts much."""
+"""Measured run times of a pool's jobs, with bounded influence of outliers."""
 
 from lentilrill.ids import PlanId
 
@@ -12,11 +12,11 @@
 
 
 class RunTimes:
-    """Moving averages of the pool's run times, for each plan and for all.
+    """Exponential moving averages of run times, for each plan and for the whole pool.
 
-    Guard against declared run times that are far off: only what ran counts, and until a plan's
-    first job ended, the pool's average stands in for it. An observation counts as at most eight
-    times the average, so that one lost or endless job does not make the pool refuse everything.
+    Only measured run times are used, since declared ones may be far off. Until a plan's first job
+    has ended, the pool's average is used for it. A measurement is capped at eight times the
+    average, so that one lost or hanging job does not make the pool refuse every job.
     """
 
     def __init__(self) -> None:
@@ -25,25 +25,25 @@
 
     @property
     def mean_s(self) -> float:
-        """Mean over all plans."""
+        """Mean run time over all plans."""
         return self._mean_s or FIRST_GUESS_S
 
     def expected_s(self, plan: PlanId) -> float:
-        """Return the run time to expect of the plan's next job."""
+        """Return the expected run time of the plan's next job."""
         return self._mean_s_by_plan.get(plan) or self.mean_s
 
     def known(self, plan: PlanId) -> bool:
-        """Return whether a job of ``plan`` has ended here."""
+        """Return whether a run time of ``plan`` has been measured."""
         return plan in self._mean_s_by_plan
 
     def learn(self, plan: PlanId, run_s: float) -> None:
-        """Take in how long a job of ``plan`` ran."""
+        """Add the run time of one job of ``plan`` to the averages."""
         run_s = min(max(run_s, LEAST_S), MOST_S)
         self._mean_s = _moved(self._mean_s, run_s)
         self._mean_s_by_plan[plan] = _moved(self._mean_s_by_plan.get(plan, 0.0), run_s)
 
     def keep(self, plans: set[PlanId]) -> None:
-        """Forget all plans but ``plans``."""
+        """Remove all plans except ``plans``."""
         for plan in self._mean_s_by_plan.keys() - plans:
             del self._mean_s_by_plan[plan]
 
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -1,4 +1,4 @@
-"""The queue and the slots of one pool in one zone: who runs next, where, and who is refused."""
+"""Scheduler of one pool in one zone: grants slots to queued asks."""
 
 import random
 from collections.abc import Callable
@@ -36,9 +36,11 @@
 
 
 class PoolScheduler:
-    """Decides for one pool in one zone. Not thread-safe; the caller sends the replies.
+    """Grants the slots of one pool in one zone. Not thread-safe.
 
-    :param epoch: makes the grants' ids unique over all schedulers.
+    Methods return the replies that their caller must send.
+
+    :param epoch: makes the ids of grants unique among all schedulers.
     :param awaited: gateways whose held grants must be known before the first grant.
     :param clock: monotonic seconds.
     """
@@ -78,21 +80,21 @@
 
     @property
     def waiting(self) -> int:
-        """Asks in the queue."""
+        """Number of queued asks."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Grants that are not over."""
+        """Number of outstanding grants."""
         return len(self._grants)
 
     def occupies(self, host: HostId) -> bool:
-        """Return whether a job granted here may still run on ``host``, or still be granted.
+        """Return whether a job granted here may still run on ``host``, or may be granted.
 
-        Guard against a host that is stopped under a job whose gateway was killed: the endpoint
-        runs on, and nobody is left to say so. The scheduler does not acknowledge a withdrawal
-        while it counts a grant on the host, nor, after a gateway ended without its report,
-        before the job's time is over.
+        When a gateway is killed, its job keeps running on the endpoint, and no process reports
+        its end. So that the host is not stopped under such a job, a withdrawal is not
+        acknowledged while a grant on the host is outstanding nor, after a gateway ended without
+        a report, until the job's maximum run time is over.
         """
         return self.hosts.knows(host) or self._grants.orphaned(host, self._clock())
 
@@ -103,13 +105,13 @@
 
     @property
     def awaited(self) -> frozenset[str]:
-        """Gateways whose held grants are still unknown; empty once grants are given."""
+        """Gateways whose held grants are still unknown; empty once grants can be made."""
         if self._awaited and self._clock() >= self._rebuilt_by:
             self._awaited.clear()
         return frozenset(self._awaited)
 
     def configure(self, terms: PoolTerms) -> list[Reply]:
-        """Take over hosts, plans and limits."""
+        """Apply a configuration of hosts, plans and limits."""
         self._terms = terms
         self._reserve.configure(terms)
         self._admission.configure(terms)
@@ -135,8 +137,8 @@
             return out
         self._asks += 1
         now = self._clock()
-        # In an overload the earliest deadline is about to pass. Granted at its last moment, the
-        # job would start too late, and its slot time would be lost to one that could.
+        # In an overload the earliest deadline is always about to pass. A job granted at the last
+        # moment would start too late, and waste slot time that another job could use.
         deadline = now + ask.wait_s - START_MARGIN_S
         self._queue.add(
             Waiting(
@@ -154,7 +156,7 @@
         return self._grant_free(out)
 
     def cancel(self, request: RequestId, caller: Caller) -> list[Reply]:
-        """Forget an ask, or free the grant that answered it."""
+        """Remove an ask from the queue, or free the grant that answered it."""
         key = AskKey(caller.address, request)
         if self._queue.remove(key) is not None:
             return []
@@ -162,11 +164,11 @@
         return self._end(grant.id, Verdict.UNUSED, 0.0) if grant is not None else []
 
     def done(self, done: Done) -> list[Reply]:
-        """Free the slot of a grant that is over, and give it to the next ask."""
+        """Free the slot of a grant that is over, and grant it to the next ask."""
         return self._end(done.grant, done.verdict, done.run_s)
 
     def held(self, report: HeldGrants, caller: Caller) -> list[Reply]:
-        """Take over what a gateway says it holds."""
+        """Apply a gateway's report of the grants that it holds."""
         now = self._clock()
         for item in report.grants:
             if item.grant not in self._grants and not self._grants.has_ended(item.grant):
@@ -185,23 +187,23 @@
                 )
         out: list[Reply] = []
         for grant in self._grants.unreported(caller, report.grants, now):
-            self._reclaim(grant, "left out of its gateway's reports", out)
+            self._reclaim(grant, "missing from its gateway's reports", out)
         self._awaited.discard(caller.address)
         return self._grant_free(out)
 
     def hear(self, load: PoolLoad) -> None:
-        """Take over how busy the pool is in another zone."""
+        """Record the load of the pool in another zone."""
         self._others.hear(load, self._clock())
         self.hosts.allow(self._allowance())
 
     def load(self) -> PoolLoad:
-        """Return how busy the pool is here."""
+        """Return the load of the pool in this zone."""
         ejected = len(self.hosts.health.hosts(Health.EJECTED))
         free = 0 if self._queue or self.awaited else self.hosts.free
         return PoolLoad(self.pool, self.zone, free, self._waits.drain_s(), ejected)
 
     def tick(self, alive: set[Caller], is_gone: Callable[[Caller], bool]) -> list[Reply]:
-        """Refuse what is too late, and free what ended gateways held."""
+        """Refuse asks past their deadline, and free the grants of ended gateways."""
         now = self._clock()
         out: list[Reply] = []
         for waiting in self._queue.expired(now):
@@ -218,8 +220,8 @@
         now: float,
         out: list[Reply],
     ) -> None:
-        # An ask of a silent gateway would be granted a slot that nobody uses. If the gateway
-        # comes back it asks again, with the deadline that gives it the same place.
+        # A slot granted to a gateway that is not live would stay unused. If the gateway comes
+        # back, it repeats the ask with the same deadline and regains its place in the queue.
         for waiting in self._queue:
             if waiting.caller not in alive:
                 self._queue.remove(waiting.key)
@@ -230,14 +232,14 @@
         self._check()
 
     def resign(self) -> list[Reply]:
-        """Tell every waiting gateway to ask the pool's next scheduler."""
+        """Empty the queue; the refusals make the gateways ask the pool's next scheduler."""
         out = [self._admission.refuse(waiting, Refusal.NOT_SCHEDULER) for waiting in self._queue]
         for reply in out:
             assert isinstance(reply.message, Refused)
             self._queue.remove(AskKey(reply.address, reply.message.request))
         return out
 
-    # Who runs next, and where
+    # Choice of the next ask and its host
 
     def _grant_free(self, out: list[Reply]) -> list[Reply]:
         if self.awaited or not self._queue:
@@ -301,7 +303,7 @@
         if ended is None:
             return []
         if not self.hosts.release(ended.host):
-            self._violated(f"grant on {ended.host} released without a slot")
+            self._violated(f"grant on {ended.host} ended, but the host has no slot in use")
         self._shares.charge(ended.plan, run_s - ended.expected_s, self._weight(ended.plan))
         if verdict is Verdict.OK:
             self._run_times.learn(ended.plan, run_s)
@@ -317,7 +319,7 @@
     def _weight(self, plan: PlanId) -> float:
         return self._terms.plans_by_id.get(plan, DEFAULT_TERMS).weight
 
-    # Accounts
+    # Limits and consistency checks
 
     def _allowance(self) -> int:
         return max(0, self._terms.budget - self._terms.away - self._others.ejected())
@@ -327,7 +329,7 @@
             if contradiction:
                 self._violated(contradiction)
         if self.hosts.used != len(self._grants):
-            self._violated(f"{self.hosts.used} slots used by {len(self._grants)} grants")
+            self._violated(f"{self.hosts.used} slots in use, but {len(self._grants)} grants")
 
     def _violated(self, reason: str) -> None:
         self.violations += 1
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -1,4 +1,4 @@
-"""The pool schedulers that this process runs, and their messages."""
+"""The pool schedulers that run in this process, and the dispatch of their messages."""
 
 import random
 import threading
@@ -41,10 +41,10 @@
 
 
 class SchedulerHost:
-    """Runs the scheduler of each pool for which this process is the zone's choice.
+    """Runs the schedulers of the pools that are assigned to this process in its zone.
 
-    :ivar answer: takes the grants and refusals for this process itself.
-    :ivar woken: set when an ask begins to wait, so that ticks become frequent.
+    :ivar answer: receives the grants and refusals for this process itself.
+    :ivar woken: set when an ask is queued, so that ticks become frequent.
     """
 
     def __init__(
@@ -79,18 +79,18 @@
 
     @property
     def schedulers_by_pool(self) -> dict[PoolId, PoolScheduler]:
-        """The schedulers that run here."""
+        """The schedulers that run in this process."""
         with self._lock:
             return {pool: held.scheduler for pool, held in self._scheduled_by_pool.items()}
 
     @property
     def busy(self) -> bool:
-        """Whether an ask waits, or a scheduler does not know yet what is held."""
+        """Whether an ask is queued, or a scheduler lacks reports of held grants."""
         schedulers = [held.scheduler for _, held in self._all()]
         return any(scheduler.waiting or scheduler.awaited for scheduler in schedulers)
 
     def ask(self, ask: Ask, caller: Caller) -> None:
-        """Take an ask of a gateway of this zone."""
+        """Handle an ask from a gateway of this zone."""
         wanted = ask.insist or self._placement.is_mine(ask.pool)
         if not self._runs(ask.pool) and not (wanted and ask.pool in self._view.pools_by_id):
             refused = Refused(ask.request, ask.pool, Refusal.NOT_SCHEDULER)
@@ -102,20 +102,20 @@
         self._decide(ask.pool, lambda scheduler: scheduler.ask(ask, caller))
 
     def cancel(self, cancel: Cancel, caller: Caller) -> None:
-        """Take back an ask."""
+        """Handle the cancellation of an ask."""
         request: RequestId = cancel.request
         self._decide(cancel.pool, lambda scheduler: scheduler.cancel(request, caller))
 
     def done(self, done: Done) -> None:
-        """Take the report that a grant is over."""
+        """Handle the report that a grant is over."""
         self._decide(done.pool, lambda scheduler: scheduler.done(done))
 
     def held(self, report: HeldGrants, caller: Caller) -> None:
-        """Take a gateway's report of the grants that it holds."""
+        """Handle a gateway's report of the grants that it holds."""
         self._decide(report.pool, lambda scheduler: scheduler.held(report, caller))
 
     def occupies(self, host: HostId) -> bool:
-        """Return whether a job that this process knows a grant of may run on ``host``."""
+        """Return whether a job may run on ``host`` under a grant that is known here."""
         for _, held in self._all():
             with held.lock:
                 if held.scheduler.occupies(host):
@@ -123,7 +123,7 @@
         return self._copies.occupies(host)
 
     def refresh(self) -> None:
-        """Follow the view and the roster: start, configure and end schedulers."""
+        """Start, configure and stop schedulers by the current view and membership."""
         with self._refreshing:
             zone = self._placement.me.zone
             for pool in self._pools_here():
@@ -137,7 +137,7 @@
                     self._decide(pool, lambda s, terms=terms: s.configure(terms))  # type: ignore[misc]
 
     def tick(self) -> None:
-        """Do what is due by the clock: refusals, reports to peers, freed grants."""
+        """Do the periodic work: refusals, reports to peers, freeing of grants."""
         alive = self._placement.callers()
         now = self._clock()
         self._copies.tick(alive)
@@ -211,7 +211,7 @@
             replies = decide(held.scheduler)
             if held.scheduler.waiting and not self.woken.is_set():
                 self.woken.set()
-        # Delivered without the lock: an answer to this very process may come back at once.
+        # Delivered without the lock, as an answer to this process may call back at once.
         self._deliver(replies)
         return held.scheduler
 
@@ -224,8 +224,8 @@
             self._answer_here(local)
 
     def _answer_here(self, messages: list[Message]) -> None:
-        # An unwanted grant comes back as a report, which may grant the slot to the next ask of
-        # this process, and so on: worked off in a loop, or a long queue would exhaust the stack.
+        # A grant that is returned unused may grant its slot to the next ask of this process, and
+        # so on. A loop handles them, since recursion over a long queue would exhaust the stack.
         pending: deque[Message] | None = getattr(self._delivering, "pending", None)
         if pending is not None:
             pending.extend(messages)
--- a/src/lentilrill/routing/_spill.py
+++ b/src/lentilrill/routing/_spill.py
@@ -1,4 +1,4 @@
-"""How busy a pool is in other zones, as their schedulers told."""
+"""Loads of a pool in other zones, as reported by their schedulers."""
 
 from collections.abc import Iterable
 
@@ -19,20 +19,20 @@
 
 
 class OtherZones:
-    """Newest loads of one pool by zone."""
+    """Latest loads of one pool by zone."""
 
     def __init__(self) -> None:
         self._loads_by_zone: dict[ZoneId, _Load] = {}
 
     def hear(self, load: PoolLoad, now: float) -> None:
-        """Take over a zone's load."""
+        """Record a zone's load."""
         self._loads_by_zone[load.zone] = _Load(load, now)
 
     def claim(self, zones: Iterable[ZoneId], now: float) -> ZoneId | None:
-        """Return the zone with most free slots and count one of them as used.
+        """Return the zone with the most free slots, and count one of them as used.
 
-        Guard against all zones spilling to one: between two reports a scheduler sends no more
-        jobs to a zone than the slots it said were free.
+        Between two load reports a scheduler spills no more jobs to a zone than it reported free
+        slots. Otherwise all zones would spill their jobs to the same few slots.
 
         :param zones: zones that the plan may use; empty means all.
         """
@@ -49,5 +49,5 @@
         return best
 
     def ejected(self) -> int:
-        """Return how many hosts other zones' schedulers have ejected, as last heard."""
+        """Return the number of hosts ejected in other zones, by their latest reports."""
         return sum(held.load.ejected for held in self._loads_by_zone.values())
--- a/src/lentilrill/routing/_terms.py
+++ b/src/lentilrill/routing/_terms.py
@@ -1,4 +1,4 @@
-"""What the operators' document and the pool records say to one pool's scheduler."""
+"""Configuration of one pool's scheduler, from the operators' document and the pool records."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 class PlanTerms(msgspec.Struct, frozen=True):
     """Limits of one plan in one zone; see :class:`~lentilrill.settings.Entitlement`.
 
-    :param weight: its share of the slots when several plans wait.
+    :param weight: relative share of the slots when several plans have queued jobs.
     :param urgency: rank of its urgency class, 0 first.
     """
 
@@ -25,15 +25,15 @@
 
 
 DEFAULT_TERMS = PlanTerms()
-"""For a plan that this process has not heard of yet."""
+"""Limits of a plan that is not in this process's copy of the document yet."""
 
 
 class PoolTerms(msgspec.Struct, frozen=True):
-    """What a scheduler schedules.
+    """Hosts and limits of one pool in one zone.
 
     :param slots_by_host: slots of each host of the zone that serves the pool.
     :param away: hosts of the pool in all zones that are being withdrawn or stopped.
-    :param budget: hosts of the pool that may be away at once without breaking a plan.
+    :param budget: hosts of the pool that may be unavailable at once under every plan's budget.
     """
 
     slots_by_host: dict[HostId, int]
@@ -43,7 +43,7 @@
 
 
 def pool_terms(view: FleetView, pool: PoolId, zone: ZoneId) -> PoolTerms:
-    """Return the terms of ``pool`` in ``zone`` as ``view`` has them now."""
+    """Return the configuration of ``pool`` in ``zone`` from the current state of ``view``."""
     document = view.document
     configured = document.pools_by_id().get(pool)
     slots = configured.slots_per_host if configured is not None else 0
--- a/src/lentilrill/routing/_waiting.py
+++ b/src/lentilrill/routing/_waiting.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps of its asks: waiters, and where pools have hosts."""
+"""Threads that wait for a slot, and the zones in which pools have hosts."""
 
 import threading
 
@@ -21,21 +21,21 @@
 
 
 def decline(refusal: Refusal, retry_after_s: float | None) -> Decline:
-    """Return the final answer to a job that gets no slot."""
+    """Return the decline for a refusal."""
     return Decline(refusal, REASONS[refusal], retry_after_s)
 
 
 def answer_s(job: Job, now: float) -> float:
-    """Return the seconds until which a job may run."""
+    """Return the seconds from now until which a job may run."""
     return max(0.0, job.answer_by - now) if job.answer_by else LONGEST_RUN_S
 
 
 class Waiter:
     """One thread that waits in :meth:`SlotClient.acquire`.
 
-    :ivar ask: names this attempt to schedulers; a later attempt of the job has another.
+    :ivar ask: identifies this attempt to schedulers; a later attempt of the job has another.
     :ivar asked: address of the scheduler that was asked last.
-    :ivar redirected: when the asked process first said that it is not the scheduler.
+    :ivar redirected: when the asked process first answered that it is not the scheduler.
     """
 
     def __init__(self, job: Job, pool: PoolId, ask: RequestId) -> None:
@@ -49,7 +49,7 @@
 
 
 class PoolZones:
-    """In which zones each pool has serving hosts, worked out once for each state of the view."""
+    """Zones in which each pool has serving hosts, computed once for each state of the view."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
--- a/src/lentilrill/routing/_waits.py
+++ b/src/lentilrill/routing/_waits.py
@@ -1,4 +1,4 @@
-"""How long an ask of now would wait."""
+"""Estimate of the queueing delay."""
 
 from lentilrill.ids import PlanId
 from lentilrill.inner import Ask
@@ -15,10 +15,10 @@
 
 
 class WaitEstimate:
-    """Estimates from the queue ahead and learned run times.
+    """Estimates queueing delays from the queued work and measured run times.
 
-    Estimates are on the short side: refusing an ask that could have started is worse than
-    queueing one that can't, which is refused at its deadline.
+    Estimates are deliberately low: refusing an ask that could have started is worse than
+    queueing one that can't start in time, as the latter is refused at its deadline.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._run_times = run_times
 
     def wait_s(self, ask: Ask, now: float, terms: PoolTerms) -> float:
-        """Return the seconds until ``ask`` would start."""
+        """Return the estimated seconds until ``ask`` would start."""
         if not self._queue and self._hosts.free:
             return 0.0
         slots = max(1, self._hosts.capacity)
@@ -45,12 +45,12 @@
         return wait_s
 
     def drain_s(self, urgency: int = LEAST_URGENT) -> float:
-        """Return the seconds until all that waits of that urgency or above has started."""
+        """Return the estimated seconds until all queued asks of that urgency or above start."""
         work_s = sum(self._class_work_s(rank) for rank in range(urgency + 1))
         return work_s / max(1, self._hosts.capacity)
 
     def plan_drain_s(self, plan: PlanId) -> float:
-        """Return the seconds until what waits of a plan could have started, were it alone."""
+        """Return the estimated seconds until all queued asks of a plan start, without others."""
         work_s = self._queue.count(plan) * self._run_times.expected_s(plan)
         return work_s / max(1, self._hosts.capacity)
 
--- a/src/lentilrill/routing/_withdrawals.py
+++ b/src/lentilrill/routing/_withdrawals.py
@@ -1,4 +1,4 @@
-"""Acknowledgement of withdrawals: this process sends nothing to a host any more."""
+"""Acknowledgement of withdrawals: this process sends no more jobs to a host."""
 
 import time
 from collections.abc import Callable
@@ -19,14 +19,14 @@
 
 
 class WithdrawalAcker:
-    """Tells the zone's controllers which withdrawing hosts this process is done with.
+    """Reports to the zone's controllers which withdrawing hosts this process no longer uses.
 
-    Messages may be lost and controllers replaced, so it repeats what holds about each second,
+    Messages may be lost and controllers replaced, so the report is repeated about once a second
     until the host's record changes.
 
-    :param occupied: whether a scheduler of this process counts on a job running on a host.
-    :param may_acknowledge: whether this process may speak now; not while a peer that it gave
-        its state to is unregistered and has not acknowledged itself.
+    :param occupied: returns whether a job may still run on a host under a grant known here.
+    :param may_acknowledge: returns whether this process may acknowledge now. It may not while a
+        peer that received its state is unregistered and has not acknowledged the withdrawal.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._told_barred: tuple[Barred, ...] = ()
 
     def tick(self) -> None:
-        """Send the acknowledgements that are new, or all about each second."""
+        """Send the acknowledgements if they changed, or if the last report is a second old."""
         now = self._clock()
         barred = self._barred()
         if barred == self._told_barred and now - self._told < REPEAT_S:
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -1,4 +1,4 @@
-"""What tests of one pool's scheduler share: a clock that moves when told, and two gateways."""
+"""Base class for tests of one pool's scheduler, with a fake clock and two gateways."""
 
 import random
 
@@ -42,7 +42,7 @@
         return grants(self.ask(plan, caller, **changes))[0]
 
     def teach(self, run_s: float, plan: str = "schools") -> None:
-        """Let the scheduler see jobs of the plan that ran so long."""
+        """Run jobs of the plan with that run time, so that the scheduler measures it."""
         for _ in range(20):
             self.scheduler.done(done(self.granted(plan), run_s=run_s))
 
--- a/tests/routing/site.py
+++ b/tests/routing/site.py
@@ -1,4 +1,4 @@
-"""A small zone for the tests of routing: clock, roster, view, gateways."""
+"""Test environment for routing: a fake clock and membership, and real views and gateways."""
 
 import itertools
 import threading
@@ -35,7 +35,7 @@
 
 
 class Clock:
-    """A clock that moves when told."""
+    """A clock that the test sets."""
 
     def __init__(self, now: float = 1000.0) -> None:
         self.now = now
@@ -45,7 +45,7 @@
 
 
 class Members:
-    """Which members live; one list shared by all processes of a test."""
+    """The live members; shared by all processes of a test."""
 
     def __init__(self) -> None:
         self.living: list[Member] = []
@@ -53,36 +53,36 @@
         self.listeners: list[Callable[[], None]] = []
 
     def change(self) -> None:
-        """Tell every process."""
+        """Notify every process of a change."""
         for listener in list(self.listeners):
             listener()
 
     def end(self, member: Member, proved: bool = False) -> None:
-        """A member falls silent; ``proved``: it is known to have ended."""
+        """Remove a live member; with ``proved`` it is also gone for certain."""
         self.living.remove(member)
         if proved:
             self.gone.add(member)
         self.change()
 
     def roster(self, me: Member) -> "FixedRoster":
-        """Return the roster of one process."""
+        """Return the membership list of one process."""
         return FixedRoster(self, me)
 
 
 class FixedRoster:
-    """A roster that believes what the test says."""
+    """A membership list that the test sets."""
 
     def __init__(self, members: Members, me: Member) -> None:
         self._members = members
         self.me = me
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        """Return the living members of a role."""
+        """Return the live members of a role."""
         found = [m for m in self._members.living if m.role is role and zone in (None, m.zone)]
         return tuple(sorted(found, key=lambda m: m.process))
 
     def liveness(self, member: Member) -> Liveness:
-        """Return whether a member lives, is silent, or is gone."""
+        """Return whether a member is alive, suspect or gone."""
         if member in self._members.gone:
             return Liveness.GONE
         return Liveness.ALIVE if member in self._members.living else Liveness.SUSPECT
@@ -93,7 +93,7 @@
 
 
 class Fleet:
-    """The platform's state as all processes of a test see it."""
+    """The stored state, as seen by all processes of a test."""
 
     def __init__(self, document: Document | None = None) -> None:
         self.mirror = Mirror()
@@ -110,7 +110,7 @@
         )
 
     def put(self, key: str, value: msgspec.Struct, complete: bool = True) -> Revision:
-        """Write one state key; all views are complete to it unless told otherwise."""
+        """Write one state key; with ``complete`` all views are complete to it."""
         self.revision = Revision(self.revision + 1)
         item = Item(key, msgspec.json.encode(value), self.revision)
         self.mirror.offer((item,), self.revision if complete else Revision(0))
@@ -127,7 +127,7 @@
 
 
 class Gateway:
-    """One gateway process: node and routing."""
+    """One gateway process with its node and its routing."""
 
     def __init__(
         self, name: str, keys: InnerKeys, members: Members, fleet: Fleet, zone: str = "z1"
@@ -140,11 +140,11 @@
         self.slots = self.routing.slots
 
     def start(self) -> None:
-        """Begin to schedule."""
+        """Start its schedulers."""
         self.routing.start()
 
     def close(self) -> None:
-        """End its tasks."""
+        """Stop its threads."""
         self.routing.close()
         self.node.close(0.1)
 
@@ -157,7 +157,7 @@
 
 
 def an_ask(plan: str = "schools", caller: Caller | None = None, **changes: object) -> Ask:
-    """Return an ask with a new request id, urgent last."""
+    """Return an ask with a new request id, of normal urgency by default."""
     values: dict = {
         "request": RequestId(f"r{next(_requests)}"),
         "pool": PoolId("schools"),
@@ -187,7 +187,7 @@
 
 
 def eventually(holds: Callable[[], bool], limit_s: float = 20.0) -> None:
-    """Wait until ``holds``; fail after a generous limit."""
+    """Wait until ``holds()`` is true; fail after ``limit_s``."""
     end = time.monotonic() + limit_s
     pause = threading.Event()
     while not holds():
--- a/tests/routing/test_copies.py
+++ b/tests/routing/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of grants at the process that schedules next."""
+"""Copies of grants at the process that is next in line as scheduler."""
 
 from testtools import TestCase
 
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of sends: one step from check to entry, and what may be acknowledged."""
+"""Registry of sends: atomic check and registration, and acknowledgement of withdrawals."""
 
 import threading
 from unittest import mock
@@ -50,8 +50,8 @@
         self.assertEqual((0, 0), (self.ledger.in_flight(H1), self.ledger.total))
 
     def test_a_paused_process_does_not_send_on_an_old_grant(self) -> None:
-        # A gateway is granted a slot and paused. The scheduler is replaced, the slot given
-        # anew. Woken up, the gateway must not send on the old grant.
+        # A gateway is granted a slot and then paused. The scheduler is replaced, and the slot is
+        # granted again. When the gateway resumes, it must not send on the old grant.
         slot = self.a_slot()
         self.clock.now += 2.0
         self.assertEqual(FaultKind.EXHAUSTED, self.ledger.start(slot).failure().kind)
@@ -66,8 +66,8 @@
         self.assertIsInstance(self.ledger.start(self.a_slot(pool="library")), Success)
 
     def test_nothing_is_sent_to_a_host_of_another_zone(self) -> None:
-        # A withdrawal asks the gateways of the host's own zone. One of another zone that sent
-        # there all the same would not be asked, and the host would change hands under its job.
+        # A withdrawal waits only for the gateways of the host's own zone. If a gateway of another
+        # zone sent a job to the host, the host could change its pool under that job.
         self.fleet.hosts(builders.an_entry("h1", zone="z2"))
         self.assertEqual(FaultKind.REFUSED, self.ledger.start(self.a_slot()).failure().kind)
 
@@ -81,9 +81,9 @@
         self.assertFalse(self.ledger.drained(H1, revision + 1))
 
     def test_no_acknowledgement_between_check_and_send(self) -> None:
-        # A gateway checks that a host serves and is held up right there. The withdrawal
-        # arrives, nothing is in flight, and it acknowledges; the host changes its pool, then
-        # the held-up thread sends. The look for sends must wait for the check to be entered.
+        # A thread checks that a host serves and is suspended there. The withdrawal arrives, nothing
+        # is in flight, and the gateway acknowledges; the host changes its pool, then the thread
+        # sends. So the check for sends in flight must wait until the send is registered.
         checked, go_on = threading.Event(), threading.Event()
         hosts = self.fleet.view.hosts_by_id
 
@@ -118,9 +118,9 @@
         self.assertIsInstance(ledger.start(self.a_slot()), Failure)
 
     def test_a_newcomer_with_an_old_pool_record_sends_nothing(self) -> None:
-        # A gateway registers just after the withdrawal of a host was closed without asking
-        # it. It hears of its registration before it hears of the closing, and would send to a
-        # host that is another pool's by now.
+        # A gateway registers just after the withdrawal of a host was closed without waiting for
+        # it. It sees its registration before it sees that change, and would send to a host that
+        # another pool uses by now.
         newcomer = builders.a_member("gw-2")
         ledger = SendLedger(self.fleet.view, newcomer, self.clock)
         registered = self.fleet.register(self.me, newcomer, complete=False)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -21,8 +21,8 @@
 
 class RetryBudgetTest(TestCase):
     def test_failures_alone_are_not_retried_for_long(self) -> None:
-        # Every attempt fails. With three attempts a job, the pool would get three times the
-        # load just when it can bear none.
+        # Every attempt fails. With three attempts for each job, the pool would get three times the
+        # load while it is already overloaded.
         budget = RetryBudget(share=0.1, burst=5.0)
         self.assertEqual(5, sum(budget.take() for _ in range(1000)))
 
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Order and grants of one pool's scheduler."""
+"""Queue order and grants of one pool's scheduler."""
 
 from lentilrill.ids import HostId, PlanId
 from lentilrill.inner import Granted, Held, HeldGrants, Refusal, Verdict
@@ -11,8 +11,8 @@
 
 class OrderTest(SchedulerCase):
     def test_urgent_work_does_not_wait_behind_ledgers(self) -> None:
-        # Routes are asked for while a refill reconciliation has filled the queue. In order of
-        # arrival, drivers would leave with yesterday's lists.
+        # Urgent jobs arrive while patient ones fill the queue. In order of arrival, they would wait
+        # for all of those and miss their deadlines.
         running = self.granted()
         asks = {f"ledger{n}": an_ask("ledgers", GW, urgency=2) for n in range(3)}
         asks["late route"] = an_ask("routes", GW, urgency=0, wait_s=9.0)
@@ -25,8 +25,8 @@
         )
 
     def test_plans_share_by_weight(self) -> None:
-        # One plan sends forty jobs before another sends ten. In order of arrival the second
-        # would wait for all forty; it is owed twice the hosts, so it gets two slots of three.
+        # One plan sends forty jobs before another sends ten. In order of arrival the second would
+        # wait for all forty. It has twice the weight, so it gets two slots of three.
         self.configure(app=PlanTerms(weight=2.0), orders=PlanTerms(weight=1.0))
         running = self.granted("orders")
         asks = {f"orders{n}": an_ask("orders", GW) for n in range(40)}
@@ -37,8 +37,8 @@
         self.assertIn(sum(name.startswith("app") for name in first), (9, 10, 11))
 
     def test_long_jobs_are_charged_for_what_they_ran(self) -> None:
-        # A plan's jobs run ten times as long as another's. Counted by jobs, it would get ten
-        # times the other's slot seconds.
+        # A plan's jobs run ten times as long as another's. If shares counted jobs, it would get
+        # ten times the other's slot seconds.
         terms = PlanTerms()
         self.configure(liar=terms, honest=terms)
         self.teach(0.1, "honest")
@@ -62,8 +62,8 @@
         return next(g.plan for g in self.scheduler._grants if g.id == granted.grant)
 
     def test_an_idle_plan_saves_up_no_claim(self) -> None:
-        # One plan worked all night, the other was idle. Were its idle hours a claim, it would
-        # have every slot for hours in the morning, and the first none.
+        # One plan was busy for hours while the other was idle. If idle time earned credit, the idle
+        # plan would then get every slot for hours, and the busy one none.
         self.configure(busy=PlanTerms(), idle=PlanTerms())
         self.teach(10.0, "busy")
         running = self.granted("busy")
@@ -77,7 +77,7 @@
 
 class GrantsTest(SchedulerCase):
     def test_a_repeated_ask_keeps_one_place(self) -> None:
-        # A gateway that heard nothing asks again. Counted twice, the job would hold two slots.
+        # A gateway that got no answer repeats its ask. Counted twice, the job would hold two slots.
         ask = an_ask()
         first, second = grants(self.scheduler.ask(ask, GW)), grants(self.scheduler.ask(ask, GW))
         self.assertEqual(first, second)
@@ -87,8 +87,8 @@
         self.assertEqual((1, 1), (self.scheduler.running, self.scheduler.waiting))
 
     def test_a_grant_is_released_once(self) -> None:
-        # The report that a job ended comes twice. Released twice, the host would get a job
-        # more than it has slots.
+        # The report that a job ended arrives twice. If the slot were released twice, the host would
+        # get more jobs than it has slots.
         first = self.granted()
         self.scheduler.done(done(first))
         second = self.granted()
@@ -97,8 +97,8 @@
         self.assertEqual(second.host, "h1")
 
     def test_a_lost_report_is_made_up_for(self) -> None:
-        # The message that a job ended is lost. Its slot would stay taken for good. The
-        # gateway's reports leave the grant out; one alone may have crossed it on the way.
+        # The report that a job ended is lost, and its slot would stay occupied for good. Two of the
+        # gateway's reports must omit the grant, since one may have been sent before it arrived.
         self.granted()
         report = HeldGrants(POOL, ())
         self.clock.now += 10.0
@@ -108,8 +108,8 @@
         self.assertEqual(0, self.scheduler.running)
 
     def test_a_contradiction_in_the_accounts_is_reported(self) -> None:
-        # A slot is freed without its grant. Unnoticed, the host would run a job too many at a
-        # time, for good; the next look at the accounts must say so.
+        # A slot is freed without its grant, so the host could run one job too many for good. The
+        # next consistency check must report it.
         self.granted()
         self.scheduler.hosts.release(HostId("h1"))
         self.clock.now += 1.0
@@ -119,8 +119,8 @@
         self.scheduler.hosts.take(HostId("h1"))
 
     def test_a_report_that_crosses_an_end_brings_nothing_back(self) -> None:
-        # A gateway lists a grant in its report, the job ends, and the end is heard first. Taken
-        # for a grant unknown so far, it would hold its slot for seconds.
+        # A gateway lists a grant in its report, the job ends, and the end arrives first. Entered as
+        # a new grant, it would occupy its slot for seconds.
         first = self.granted()
         self.scheduler.done(done(first))
         held = Held(first.grant, first.host, PlanId("schools"))
@@ -128,8 +128,8 @@
         self.assertEqual(0, self.scheduler.running)
 
     def test_a_grant_on_its_way_is_not_taken_for_lost(self) -> None:
-        # A gateway reports what it holds while a grant is on its way to it. Freed for being
-        # left out, the slot would be given twice.
+        # A gateway sends a report while a grant is in transit to it. If the omitted grant were
+        # freed, the slot would be granted twice.
         self.granted()
         for _ in range(5):
             self.scheduler.held(HeldGrants(POOL, ()), GW)
@@ -137,8 +137,8 @@
         self.assertEqual(1, self.scheduler.running)
 
     def test_a_silent_gateway_keeps_its_slots(self) -> None:
-        # A gateway is paused, its job runs on. Freed on silence, the slot would be given twice.
-        # Proof that the gateway ended frees it; so does, in the end, a very long silence.
+        # A gateway is paused while its job runs on. If its silence freed the slot, the slot would
+        # be granted twice. Proof that the gateway ended frees it, and so does a very long silence.
         self.granted()
         self.clock.now += 60.0
         self.tick(GW2)
@@ -154,8 +154,8 @@
         self.assertEqual(0, self.scheduler.running)
 
     def test_a_job_of_an_ended_gateway_occupies_its_host_for_its_time(self) -> None:
-        # The gateway is gone, its job may run on. Its slot is free at once, since an endpoint
-        # queues one job more; but the host itself is not, until the job's time is over.
+        # The gateway is gone, but its job may run on. Its slot is freed at once, since an endpoint
+        # can queue one more job, but the host stays occupied until the job's time is over.
         self.granted(answer_s=60.0)
         self.clock.now += 10.0
         self.tick(GW2, gone=(GW,))
@@ -165,7 +165,7 @@
         self.assertFalse(self.scheduler.occupies(HostId("h1")))
 
     def test_a_silent_gateway_is_granted_nothing(self) -> None:
-        # A gateway falls silent with asks in the queue. Granted, their slots would stand idle.
+        # A gateway becomes silent with asks in the queue. Slots granted to them would be unused.
         running = self.granted(caller=GW2)
         self.ask(caller=GW)
         self.ask(caller=GW2)
@@ -174,8 +174,8 @@
         self.assertEqual(GW2.address, granted.address)
 
     def test_a_new_scheduler_first_learns_what_is_held(self) -> None:
-        # A scheduler is replaced while jobs run. The next one knows none of them, and would
-        # give their slots away again. It waits for all gateways, or for a bounded time.
+        # A scheduler is replaced while jobs run. The next one has no record of their grants, and
+        # would grant their slots again. So it first waits for all gateways' reports, or a timeout.
         self.scheduler = self.a_scheduler(GW.address, GW2.address, epoch=2)
         self.configure(slots=2)
         self.assertEqual([], self.ask())
@@ -208,8 +208,8 @@
 
 class StaleTest(SchedulerCase):
     def test_a_resigning_scheduler_sends_everybody_on(self) -> None:
-        # Another process takes over the pool. Asks left in the old queue would wait for a
-        # scheduler that gives no slots any more, up to their deadlines.
+        # Another process takes over the pool. Asks left in the old queue would wait until their
+        # deadlines for a scheduler that makes no more grants.
         self.granted()
         ask = an_ask()
         self.scheduler.ask(ask, GW)
@@ -218,7 +218,7 @@
         self.assertEqual(0, self.scheduler.waiting)
 
     def test_a_pool_whose_hosts_all_leave_refuses(self) -> None:
-        # Both hosts say that they leave. Asks would wait for slots that nobody will free.
+        # Both hosts report that they are leaving. Asks would wait for slots that never become free.
         for _ in range(2):
             self.configure(hosts=2)
             self.scheduler.done(done(self.granted(), Verdict.LEAVING))
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of one pool's scheduler: those of other zones, and those that fail."""
+"""Spilling to other zones and ejection of failing hosts by one pool's scheduler."""
 
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Granted, PoolLoad, Verdict
@@ -12,8 +12,8 @@
         self.scheduler.hear(PoolLoad(POOL, ZoneId(zone), free, 0.0, 0))
 
     def test_spills_no_more_than_the_other_zone_has_free(self) -> None:
-        # All zones of a surge see the one with free slots. Sent there without counting, the
-        # jobs of two hundred milliseconds would bury it.
+        # In a surge, all zones see the one with free slots. Without counting what was spilled, all
+        # jobs between two load reports would be sent there and overload it.
         self.teach(1.0)
         self.granted()
         self.ask()
@@ -57,8 +57,8 @@
         return hosts
 
     def test_a_host_that_fails_everything_is_ejected(self) -> None:
-        # A worker answers every job with an error in a millisecond. It always has free slots,
-        # so it would draw and fail most of the pool's jobs.
+        # A host answers every job with an error within a millisecond. It always has free slots,
+        # so it would attract and fail most of the pool's jobs.
         self.configure(slots=8, hosts=3, budget=1)
         self.assertLess(self.fail(100).count("h1"), 12)
         self.assertNotIn("h1", self.fail(50))
@@ -69,7 +69,7 @@
         self.assertEqual(3, self.fail(60, Verdict.UNREACHABLE).count("h1"))
 
     def test_probes_come_one_at_a_time_after_growing_pauses(self) -> None:
-        # An ejected host is tried again. All slots at once would fail eight jobs at each try.
+        # An ejected host is probed with one job; jobs in all its slots would all fail each time.
         self.configure(slots=8, hosts=3, budget=1)
         self.fail(100)
         pauses = []
@@ -100,8 +100,8 @@
         self.assertEqual(8 * 3, self.scheduler.hosts.capacity)
 
     def test_ejection_takes_no_more_than_the_budgets_allow(self) -> None:
-        # Two hosts of three fail, and the plans allow one host to be away. Ejecting both would
-        # break the promise by the system's own doing. The second one is used last instead.
+        # Two hosts of three fail, and the plans allow one host to be unavailable. Ejecting both
+        # would exceed that budget, so the second one is used as a last resort instead.
         self.configure(slots=8, hosts=3, budget=1)
         for _ in range(100):
             granted = self.granted()
@@ -118,8 +118,8 @@
         self.assertEqual([], self.ask())
 
     def test_jobs_in_flight_do_not_make_the_pause_grow(self) -> None:
-        # A host hangs; its eight jobs break together. Each counted as a failed probe, the
-        # first pause would be a minute, long after the host is well again.
+        # A host hangs and its eight jobs fail together. If each counted as a failed probe, the
+        # first pause would be a minute, long after the host has recovered.
         self.configure(slots=8, hosts=3, budget=1)
         held = [self.granted() for _ in range(24)]
         for granted in held:
@@ -136,15 +136,15 @@
         self.assertEqual(0, self.scheduler.load().ejected)
 
     def test_jobs_that_fail_everywhere_eject_no_host(self) -> None:
-        # One plan's jobs can never run, on any host. Held against the hosts, they would eject
-        # the pool under the plans that are well.
+        # One plan's jobs fail on every host. If they counted against the hosts, the whole pool
+        # would be ejected, although other plans' jobs succeed.
         self.configure(slots=8, hosts=3, budget=3)
         for _ in range(100):
             self.scheduler.done(done(self.granted("broken"), Verdict.ERROR, plan="broken"))
         self.assertEqual(0, self.scheduler.load().ejected)
 
     def test_a_leaving_host_gets_no_more_work(self) -> None:
-        # An endpoint says that it is leaving. Jobs sent to it later would be cut off.
+        # An endpoint reports that it is leaving. Jobs sent to it later would be interrupted.
         self.configure(slots=8, hosts=2)
         while (granted := self.granted()).host != "h1":
             pass
--- a/tests/routing/test_scheduler_limits.py
+++ b/tests/routing/test_scheduler_limits.py
@@ -1,4 +1,4 @@
-"""Limits and reserves of one pool's scheduler."""
+"""Limits and reserved slots of one pool's scheduler."""
 
 import random
 
@@ -27,8 +27,7 @@
         self.granted()
 
     def test_the_concurrency_of_a_plan_is_bounded(self) -> None:
-        # A plan may run one job at once. Its second one waits, though slots are free, and must
-        # not hold up the jobs of others behind it.
+        # A plan at its concurrency limit must not block the jobs of other plans queued behind it.
         self.configure(slots=8, schools=PlanTerms(concurrency=1))
         first = self.granted()
         self.assertEqual([], self.ask(urgency=0))
@@ -36,8 +35,8 @@
         self.assertEqual(1, len(grants(self.scheduler.done(done(first)))))
 
     def test_what_cannot_start_in_time_is_refused_at_once(self) -> None:
-        # The queue holds five seconds of work, which a caller can't wait. Queued all the same,
-        # it would hear after five seconds that it was for nothing.
+        # A job whose estimated wait exceeds its limit is refused at once; queued, it would be
+        # refused only at its deadline.
         self.teach(1.0)
         self.granted()
         out = [self.ask(wait_s=5.0) for _ in range(10)]
@@ -47,8 +46,8 @@
         self.assertEqual([], self.ask(urgency=0, wait_s=5.0))
 
     def test_who_is_refused_is_told_to_come_back_when_the_queue_is_shorter(self) -> None:
-        # A surge refuses hundreds. Told to come back when there would just be room, in tenths
-        # of a second, they would be the surge's next wave, to be refused again.
+        # A surge causes hundreds of refusals. With a retry delay of tenths of a second, until
+        # there is barely room, the callers would retry together and be refused again.
         self.teach(1.0)
         self.granted()
         waiting = [self.ask(wait_s=20.0) for _ in range(25)]
@@ -58,8 +57,8 @@
         self.assertEqual(5, len(set(after_s)))
 
     def test_one_endless_job_does_not_make_everything_late(self) -> None:
-        # One job of a plan hangs for ten minutes. Were the estimate to follow it, every ask
-        # would be refused as too late, although the next jobs are as short as ever.
+        # One job hangs for ten minutes. Without the cap on outliers, the estimated wait would grow
+        # so much that every ask is refused as too late, although the next jobs are short.
         self.teach(0.1)
         self.scheduler.done(done(self.granted(), run_s=600.0))
         self.granted()
@@ -73,8 +72,8 @@
             self.assertEqual([], self.ask("new", wait_s=2.0))
 
     def test_a_full_queue_sheds_the_lowest_class_first(self) -> None:
-        # Ledgers fill the queue, then a route comes. It takes the place of the newest ledger,
-        # whose caller must hear so at once and not at the end of its wait.
+        # An urgent ask evicts the newest ask of the lowest class from a full queue. The evicted
+        # ask must be refused at once, not at its deadline.
         self.patch(_admission, "MOST_QUEUE", 256)
         self.configure(ledgers=PlanTerms(queue=10_000))
         self.teach(0.001, "ledgers")
@@ -99,8 +98,8 @@
         self.assertEqual((ask.request, Refusal.TOO_LATE), (refused.request, refused.refusal))
 
     def test_no_grant_at_the_last_moment(self) -> None:
-        # In an overload, the ask with the earliest deadline is always about to be late. Granted
-        # a millisecond before, it would start late: its caller gave up, its slot time is lost.
+        # In an overload, the ask with the earliest deadline is always about to expire. Granted a
+        # millisecond before its deadline, the job would start late and waste its slot time.
         running = self.granted()
         self.ask(wait_s=5.0)
         ask = an_ask(wait_s=9.0)
@@ -110,8 +109,8 @@
         self.assertEqual(ask.request, granted.request)
 
     def test_thousands_of_cancellations(self) -> None:
-        # A service restarts and all its callers hang up. Their places must be free at once,
-        # and the next slot must go to a caller that is still there.
+        # When a service restarts, all its callers disconnect. Their asks must leave the queue at
+        # once, and the next slot must go to a caller that is still connected.
         self.configure(slots=128, schools=PlanTerms(queue=10_000))
         running = [self.granted() for _ in range(128)]
         asks = [an_ask("schools", GW, wait_s=600.0) for _ in range(5000)]
@@ -131,14 +130,13 @@
         self.configure(slots=8, hosts=2, volumes=PlanTerms(urgency=2), ballots=PlanTerms(urgency=0))
 
     def volumes(self, count: int = 20) -> int:
-        """Ask for that many volumes; return how many start."""
+        """Ask for slots for that many long jobs; return how many start."""
         return sum(len(grants(self.ask("volumes", urgency=2))) for _ in range(count))
 
     def test_long_volumes_leave_slots_for_a_ballot(self) -> None:
-        # Textbook volumes of an hour are asked for in the night, when nothing else runs. In
-        # every slot, they would hold up the morning's ballots for an hour: no order of the
-        # queue helps behind running jobs, and those are never cut off. Nothing is known of
-        # the plan's run times yet.
+        # Jobs of an hour arrive while nothing else runs, and no run time of their plan has been
+        # measured. In every slot they would delay urgent jobs for an hour, since running jobs are
+        # never preempted.
         self.assertEqual(14, self.volumes())
         self.assertEqual(2, len([self.granted("ballots", urgency=0) for _ in range(2)]))
 
@@ -147,8 +145,8 @@
         self.assertEqual(16, self.volumes())
 
     def test_a_plan_whose_jobs_grow_long_is_noticed_while_they_run(self) -> None:
-        # A plan's jobs were short so far. Now they run for an hour; waiting for the first to
-        # end, the scheduler would go on filling the reserved slots for that hour.
+        # A plan's jobs were short and now run for an hour. If only completed jobs counted, the
+        # scheduler would fill the reserved slots with long jobs for that hour.
         self.scheduler.done(done(self.granted("volumes", urgency=2), run_s=0.2))
         self.volumes(14)
         self.clock.now += 5.0
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -1,4 +1,4 @@
-"""Long random runs of one pool's scheduler, its gateways, and messages lost between them."""
+"""Random runs of one pool's scheduler and its gateways, with lost messages."""
 
 import random
 
@@ -33,10 +33,10 @@
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Gateways that ask, hold, report, lose messages and die, against one scheduler.
+    """One scheduler with gateways that ask, hold grants, report, lose messages and end.
 
-    The model holds what each gateway holds. While no scheduler was replaced and no message
-    lost, no host may have more grants than slots; and no ask may get two final answers.
+    The model tracks the grants that each gateway holds. While no grant or end report was lost,
+    no host may have more grants than slots, and no ask may get two final answers.
     """
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
         for reply in replies:
             request = reply.message.request  # type: ignore[union-attr]
             if isinstance(reply.message, Granted) and reply.message.host not in self.serving:
-                # Only a grant from before, repeated; the gateway sees that and gives it back.
+                # Only a repeat of an earlier grant; the gateway returns it unused.
                 assert reply.message.grant in self.granted
                 self.take(self.scheduler.done(done(reply.message, Verdict.UNUSED, 0.0)))
                 continue
@@ -184,7 +184,7 @@
             assert all(held.count(HostId(host)) <= SLOTS for host in HOSTS)
 
     def teardown(self) -> None:
-        # In the end every message arrives: all is granted or refused, and no slot is lost.
+        # Once every message arrives, every ask is granted or refused, and every slot is free.
         self.serving = set(HOSTS)
         self.configure()
         self.held.clear()
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots over several gateway processes: asks, grants, replacement, withdrawal."""
+"""Slots with several gateway processes: asks, grants, scheduler replacement, withdrawal."""
 
 import threading
 import time
@@ -59,8 +59,8 @@
             gateway.slots.release(slot, Verdict.OK, 0.01)
 
     def test_no_more_slots_than_hosts_have(self) -> None:
-        # Three gateways ask at once for a host of two slots. Were each to count for itself,
-        # six jobs would run on it. The scheduler gives two grants, and the others as jobs end.
+        # Three gateways ask at once for slots of a host with two slots. If each gateway counted
+        # separately, six jobs would run on it. The scheduler makes two grants at a time.
         waits = [(g, self.acquire(g)) for g in self.gateways for _ in range(2)]
         ended = 0
         while waits:
@@ -73,8 +73,8 @@
         self.assertEqual(6, ended)
 
     def test_an_abandoned_wait_ends_at_once(self) -> None:
-        # A caller hangs up while its job waits. Its thread must come back at once, and the
-        # slot that frees later must go to somebody else.
+        # A caller disconnects while its job waits. Its thread must return at once, and the slot
+        # that is freed later must go to another job.
         one, two = self.others()
         held = [self.acquire(one).result(WAIT_S).unwrap() for _ in range(2)]
         job = a_job(time.monotonic() + 600.0)
@@ -88,8 +88,8 @@
         self.assertIsInstance(self.acquire(one).result(WAIT_S), Success)
 
     def test_an_answer_between_two_looks_is_not_slept_over(self) -> None:
-        # A waiting thread is woken by a change of the roster. Its answer comes just as it gets
-        # ready to wait again; were that wake wiped out, the caller would wait for the repeat.
+        # A membership change wakes a waiting thread, and its answer arrives just before it waits
+        # again. If that wake-up were cleared, the caller would wait until the ask is repeated.
         self.patch(_client, "REASK_S", 600.0)
         slots = self.others()[0].slots
         for _ in range(2):
@@ -117,9 +117,9 @@
 
     def test_a_lost_scheduler_is_replaced(self) -> None:
         # The scheduler's process dies while jobs run and others wait. The next scheduler must
-        # learn of the two grants that are still held before it gives any, or four jobs would
-        # run on two slots; and the waiting job must be served without its caller's doing, as
-        # soon as the change is known.
+        # receive the two outstanding grants before it makes any, or four jobs would run on two
+        # slots. The waiting job must be granted a slot without a retry by its caller, as soon as
+        # the change is known.
         self.patch(_client, "REASK_S", 600.0)
         one, two = self.others()
         held = [self.acquire(one).result(WAIT_S).unwrap() for _ in range(2)]
@@ -137,9 +137,9 @@
         self.assertIsInstance(waiting.result(WAIT_S), Success)
 
     def test_a_withdrawing_host_is_acknowledged_when_idle(self) -> None:
-        # A host is withdrawn while a job runs on it. Acknowledged too early, the host would
-        # change its pool under the job. The gateway that runs it and the scheduler that counts
-        # its grant acknowledge when the job has ended, the third gateway at once.
+        # A host is withdrawn while a job runs on it. If this were acknowledged too early, the host
+        # would change its pool under the job. The gateway that sent the job and the scheduler that
+        # tracks its grant acknowledge after the job has ended, the third gateway at once.
         controller = builders.a_member(
             "ctl", role=Role.CONTROLLER, inner=self.gateways[0].member.inner
         )
@@ -166,9 +166,9 @@
         self.assertEqual("h2", self.acquire(one).result(WAIT_S).unwrap().host)
 
     def test_a_killed_gateway_leaves_its_job_to_the_scheduler(self) -> None:
-        # A gateway is killed while its job runs on a host; nobody is left to say when the job
-        # ends. Were the host released on the word of the others, it would be stopped or change
-        # its pool under an embossing run.
+        # A gateway is killed while its job runs on a host, so no process reports the job's end. If
+        # the other gateways' acknowledgements sufficed, the host would be stopped, or change its
+        # pool, under the running job.
         one = self.others()[0]
         slot = self.acquire(one).result(WAIT_S).unwrap()
         self.assertIsInstance(one.slots.start(slot), Success)
@@ -183,7 +183,7 @@
         self.assertEqual("h1", self.others()[0].routing.acker._barred()[0].host)
 
     def test_a_killed_scheduler_leaves_its_own_job_to_the_next(self) -> None:
-        """A host was stopped under the job of a killed gateway that was the scheduler as well."""
+        """A host was stopped under the job of a killed gateway that was also the scheduler."""
         one = self.scheduling()
         slot = self.acquire(one).result(WAIT_S).unwrap()
         self.assertIsInstance(one.slots.start(slot), Success)
@@ -199,7 +199,7 @@
         self.assertEqual((), heir.routing.acker._barred())
 
     def test_a_host_is_free_for_the_next_scheduler_when_a_job_has_ended(self) -> None:
-        """A withdrawal waited for the time of a job that had ended long before."""
+        """A withdrawal waited for the maximum run time of a job that had already ended."""
         one = self.scheduling()
         slot = self.acquire(one).result(WAIT_S).unwrap()
         heirs = [g.routing.schedulers for g in self.others()]
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -1,4 +1,4 @@
-"""Schedulers in several processes: disagreeing rosters, other zones, word to controllers."""
+"""Schedulers in several processes: inconsistent membership, spilling, reports to controllers."""
 
 import queue
 import time
@@ -43,9 +43,9 @@
         return self.threads.submit(gateway.slots.acquire, job).result(WAIT_S).unwrap()
 
     def test_a_gateway_that_is_told_off_insists(self) -> None:
-        # Between one gateway and the scheduler all messages are lost, between the others none.
-        # That gateway takes the next one for the scheduler, which says it is not. Left at
-        # that, its callers would be refused for as long as the rosters differ.
+        # One gateway is partitioned from the scheduler, the others are not. It selects the next
+        # gateway as the scheduler, which refuses. Without `insist` its callers would be refused
+        # for as long as the membership lists differ.
         self.patch(_client, "INSIST_AFTER_S", 0.0)
         self.fleet.hosts(builders.an_entry("h1"))
         lowest, middle, highest = self.by_rank("gw-1", "gw-2", "gw-3")
@@ -57,13 +57,13 @@
         self.assertEqual(scheduler.member, other.routing.placement.scheduler(POOL))
         self.assertEqual(other.member, cut_off.routing.placement.scheduler(POOL))
         self.assertEqual("h1", self.acquire(cut_off).host)
-        # Two schedulers now give out h1's two slots; the second learns of the first's grants.
+        # Two schedulers now grant h1's two slots; the second gets reports of the first's grants.
         self.acquire(scheduler)
         second = other.routing.schedulers.schedulers_by_pool[POOL]
         eventually(lambda: second.running == 2)
 
     def by_rank(self, *names: str) -> list[str]:
-        """Return process names so that a later one is preferred as the pool's scheduler."""
+        """Return the process names in ascending order of preference as the pool's scheduler."""
         members = [builders.a_member(name) for name in names]
         ranked: list[str] = []
         while members:
@@ -74,8 +74,8 @@
         return ranked
 
     def test_a_full_zone_spills_to_one_with_free_slots(self) -> None:
-        # Every slot of the pool here runs a long job, while those of another zone are free.
-        # The caller's wait would pass with slots idle a millisecond away.
+        # Every slot of the pool in this zone runs a long job, while another zone has free slots.
+        # Without spilling, the caller's wait would expire with slots idle nearby.
         self.fleet.hosts(builders.an_entry("h1"), builders.an_entry("h2", zone="z2"))
         near, far = self.a_gateway("gw-1"), self.a_gateway("gw-2", "z2")
         self.start(near, far)
@@ -91,8 +91,8 @@
         self.assertEqual((Where.ZONE, "z2"), (spilled.where, spilled.zone))
 
     def test_controllers_hear_of_leaving_hosts(self) -> None:
-        # An endpoint says that it leaves while the platform's list still shows it as live. The
-        # controllers can't replace it unless they are told.
+        # An endpoint reports that it is leaving while the platform's host list still shows it as
+        # live. The controllers can't replace it unless the scheduler reports it.
         heard: queue.Queue[HostTrouble] = queue.Queue()
         self.fleet.hosts(builders.an_entry("h1"), builders.an_entry("h2"))
         gateway = self.a_gateway("gw-1")
@@ -105,8 +105,8 @@
         self.assertEqual((slot.host,), heard.get(timeout=WAIT_S).leaving)
 
     def test_a_withdrawn_grant_is_asked_for_anew(self) -> None:
-        # A host is withdrawn while grants for it are on their way. The job was sent nowhere, so
-        # the gateway asks again and its caller notices nothing.
+        # A host is withdrawn while grants for it are in transit. The job was not sent, so the
+        # gateway acquires another slot and the caller is not affected.
         self.fleet.hosts(builders.an_entry("h1"), builders.an_entry("h2"))
         gateway = self.a_gateway("gw-1")
         self.start(gateway)
