--- a/src/lentilrill/routing/__init__.py
+++ b/src/lentilrill/routing/__init__.py
@@ -6,21 +6,21 @@
 from lentilrill.routing._limits import RetryBudget, TokenBucket
 from lentilrill.routing._routing import Routing
 from lentilrill.routing._scheduler import PoolScheduler
-from lentilrill.routing._schedulers import SchedulerHost
-from lentilrill.routing._withdrawals import WithdrawalAcker
+from lentilrill.routing._schedulers import LocalSchedulers
+from lentilrill.routing._withdrawals import WithdrawalAcknowledger
 
 __all__ = [
     "Decline",
     "Job",
+    "LocalSchedulers",
     "PoolScheduler",
     "RetryBudget",
     "Routing",
-    "SchedulerHost",
     "SendLedger",
     "Slot",
     "SlotClient",
     "Slots",
     "TokenBucket",
     "Where",
-    "WithdrawalAcker",
+    "WithdrawalAcknowledger",
 ]
--- a/src/lentilrill/routing/_admission.py
+++ b/src/lentilrill/routing/_admission.py
@@ -9,20 +9,20 @@
 from lentilrill.inner import Ask, Message, Refusal, Refused
 from lentilrill.routing._hosts import HostSlots
 from lentilrill.routing._limits import TokenBucket
-from lentilrill.routing._queue import AskQueue, Waiting
+from lentilrill.routing._queue import AskQueue, QueuedAsk
 from lentilrill.routing._spill import OtherZones
 from lentilrill.routing._terms import DEFAULT_TERMS, PlanTerms, PoolTerms
 from lentilrill.routing._waits import WaitEstimate
 
 __all__ = ["Admission", "Reply"]
 
-MOST_QUEUE = 20_000
+MAX_QUEUE = 20_000
 SPILL_WAIT_S = 0.25
 NO_HOSTS_RETRY_S = 5.0
-LEAST_RETRY_S = 0.2
-MOST_RETRY_S = 60.0
+MIN_RETRY_S = 0.2
+MAX_RETRY_S = 60.0
 RATE_BURST_S = 1.0
-BACK_SHARE = 0.5
+RETRY_DRAIN_SHARE = 0.5
 
 
 class Reply(msgspec.Struct, frozen=True):
@@ -40,16 +40,16 @@
         pool: PoolId,
         queue: AskQueue,
         hosts: HostSlots,
-        waits: WaitEstimate,
-        others: OtherZones,
+        wait_estimate: WaitEstimate,
+        other_zones: OtherZones,
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
         self._pool = pool
         self._queue = queue
         self._hosts = hosts
-        self._waits = waits
-        self._others = others
+        self._wait_estimate = wait_estimate
+        self._other_zones = other_zones
         self._clock = clock
         self._rng = rng
         self._terms = PoolTerms({}, {})
@@ -61,44 +61,44 @@
         for plan in self._buckets_by_plan.keys() - terms.plans_by_id.keys():
             del self._buckets_by_plan[plan]
 
-    def objection(self, ask: Ask, out: list[Reply]) -> Refused | None:
+    def refusal_for(self, ask: Ask, replies: list[Reply]) -> Refused | None:
         """Return the refusal of ``ask``, or ``None`` if it may be queued.
 
-        :param out: receives the refusal of a queued ask that is evicted in favor of ``ask``.
+        :param replies: receives the refusal of a queued ask that is evicted in favor of ``ask``.
         """
         now = self._clock()
         terms = self._terms.plans_by_id.get(ask.plan, DEFAULT_TERMS)
         if not self._hosts.usable:
             return self._refused(ask, Refusal.NO_HOSTS, NO_HOSTS_RETRY_S, spill=True)
         if self._queue.count(ask.plan) >= terms.queue:
-            after_s = self._back_after_s(self._waits.plan_drain_s(ask.plan))
+            after_s = self._retry_delay_s(self._wait_estimate.plan_drain_s(ask.plan))
             return self._refused(ask, Refusal.PLAN_LIMIT, after_s, spill=False)
-        wait_s = self._waits.wait_s(ask, now, self._terms)
+        wait_s = self._wait_estimate.wait_s(ask, now, self._terms)
         if wait_s > ask.wait_s:
-            return self._refused(ask, Refusal.TOO_LATE, self._back_after_s(wait_s), spill=True)
+            return self._refused(ask, Refusal.TOO_LATE, self._retry_delay_s(wait_s), spill=True)
         if ask.spillable and wait_s > SPILL_WAIT_S:
-            zone = self._others.claim(terms.zones, now)
+            zone = self._other_zones.claim(terms.zones, now)
             if zone is not None:
                 return Refused(ask.request, self._pool, Refusal.TOO_LATE, wait_s, zone)
-        limited_s = self._rate_limited_s(ask.plan, terms, now)
+        limited_s = self._rate_limit_delay_s(ask.plan, terms, now)
         if limited_s > 0.0:
             return self._refused(ask, Refusal.PLAN_LIMIT, limited_s, spill=False)
-        if len(self._queue) >= MOST_QUEUE:
-            displaced = self._queue.displace(ask.urgency)
-            if displaced is None:
-                after_s = self._back_after_s(self._waits.drain_s(ask.urgency))
+        if len(self._queue) >= MAX_QUEUE:
+            evicted = self._queue.evict_below(ask.urgency)
+            if evicted is None:
+                after_s = self._retry_delay_s(self._wait_estimate.drain_s(ask.urgency))
                 return self._refused(ask, Refusal.QUEUE_FULL, after_s, spill=True)
-            out.append(self.refuse(displaced, Refusal.QUEUE_FULL))
+            replies.append(self.refuse(evicted, Refusal.QUEUE_FULL))
         return None
 
-    def refuse(self, waiting: Waiting, refusal: Refusal) -> Reply:
+    def refuse(self, queued: QueuedAsk, refusal: Refusal) -> Reply:
         """Return the refusal of an ask that was queued."""
-        drain_s = self._waits.drain_s(waiting.urgency)
-        after_s = self._retry_after_s(self._back_after_s(drain_s))
-        refused = Refused(waiting.key.request, self._pool, refusal, after_s)
-        return Reply(waiting.key.address, refused)
+        drain_s = self._wait_estimate.drain_s(queued.urgency)
+        after_s = self._jittered_delay_s(self._retry_delay_s(drain_s))
+        refused = Refused(queued.key.request, self._pool, refusal, after_s)
+        return Reply(queued.key.address, refused)
 
-    def _rate_limited_s(self, plan: PlanId, terms: PlanTerms, now: float) -> float:
+    def _rate_limit_delay_s(self, plan: PlanId, terms: PlanTerms, now: float) -> float:
         if terms.rate_per_s <= 0.0:
             return 0.0
         bucket = self._buckets_by_plan.get(plan)
@@ -111,16 +111,16 @@
         zone = None
         if spill and ask.spillable:
             terms = self._terms.plans_by_id.get(ask.plan, DEFAULT_TERMS)
-            zone = self._others.claim(terms.zones, self._clock())
-        return Refused(ask.request, self._pool, refusal, self._retry_after_s(after_s), zone)
+            zone = self._other_zones.claim(terms.zones, self._clock())
+        return Refused(ask.request, self._pool, refusal, self._jittered_delay_s(after_s), zone)
 
-    def _back_after_s(self, drain_s: float) -> float:
+    def _retry_delay_s(self, drain_s: float) -> float:
         # Half of the time to drain the queue: by then a job could start well within its
         # permitted wait if no more jobs arrived. Waiting only for the excess over the permitted
         # wait is too short, since more jobs keep arriving during a surge.
-        return drain_s * BACK_SHARE
+        return drain_s * RETRY_DRAIN_SHARE
 
-    def _retry_after_s(self, after_s: float) -> float:
+    def _jittered_delay_s(self, after_s: float) -> float:
         # Without jitter, all callers refused in one surge would retry at the same time.
-        spread_s = max(LEAST_RETRY_S, after_s) * self._rng.uniform(1.0, 1.5)
-        return min(spread_s, MOST_RETRY_S)
+        delay_s = max(MIN_RETRY_S, after_s) * self._rng.uniform(1.0, 1.5)
+        return min(delay_s, MAX_RETRY_S)
--- a/src/lentilrill/routing/_client.py
+++ b/src/lentilrill/routing/_client.py
@@ -24,17 +24,17 @@
 )
 from lentilrill.membership import Member
 from lentilrill.routing._contract import Decline, Job, Slot, Where
-from lentilrill.routing._holdings import Holding, Holdings
 from lentilrill.routing._ledger import SendLedger
+from lentilrill.routing._local_grants import LocalGrant, LocalGrants
 from lentilrill.routing._placement import Placement, caller_of
-from lentilrill.routing._schedulers import SchedulerHost
-from lentilrill.routing._waiting import PoolZones, Waiter, answer_s, decline
+from lentilrill.routing._schedulers import LocalSchedulers
+from lentilrill.routing._waiters import PoolZones, Waiter, answer_s, decline
 
 __all__ = ["SlotClient"]
 
-REASK_S = 1.0
-LONGEST_REASK_S = 8.0
-REDIRECT_S = 0.1
+ASK_INTERVAL_S = 1.0
+MAX_ASK_INTERVAL_S = 8.0
+REDIRECT_PAUSE_S = 0.1
 INSIST_AFTER_S = 2.0
 NO_HOSTS_RETRY_S = 5.0
 LATE_RETRY_S = 1.0
@@ -54,7 +54,7 @@
         view: FleetView,
         placement: Placement,
         ledger: SendLedger,
-        schedulers: SchedulerHost,
+        schedulers: LocalSchedulers,
         clock: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
     ) -> None:
@@ -69,11 +69,11 @@
         self._attempts = itertools.count(1)
         self._waiters_by_ask: dict[RequestId, Waiter] = {}
         self._waiters_by_request: dict[RequestId, Waiter] = {}
-        self._holdings = Holdings(node, placement, schedulers, clock)
+        self._local_grants = LocalGrants(node, placement, schedulers, clock)
         self._pool_zones = PoolZones(view)
-        schedulers.answer = self._answered
-        node.on(Granted, lambda batch, granted: self._answered(batch.reply_to, granted))
-        node.on(Refused, lambda batch, refused: self._answered(batch.reply_to, refused))
+        schedulers.on_answer = self._on_answer
+        node.on(Granted, lambda batch, granted: self._on_answer(batch.reply_to, granted))
+        node.on(Refused, lambda batch, refused: self._on_answer(batch.reply_to, refused))
 
     # Interface to the request path
 
@@ -91,7 +91,7 @@
         for pool in job.entitlement.pools if job.spillable else ():
             zones = zones_by_pool.get(pool, set()) - {zone}
             for other in sorted(zones & allowed if allowed else zones):
-                spilled = self._spilled(job, pool, other)
+                spilled = self._zone_slot(job, pool, other)
                 if spilled is not None:
                     return Success(spilled)
         return Failure(decline(Refusal.NO_HOSTS, self._jittered(NO_HOSTS_RETRY_S)))
@@ -102,8 +102,8 @@
             waiter = self._waiters_by_request.get(request)
             if waiter is None:
                 return
-            self._settle(waiter, Failure(decline(Refusal.TOO_LATE, None)))
-        self._tell(waiter.asked, Cancel(waiter.ask, waiter.pool))
+            self._complete(waiter, Failure(decline(Refusal.TOO_LATE, None)))
+        self._send(waiter.scheduler_address, Cancel(waiter.ask, waiter.pool))
 
     def start(self, slot: Slot) -> Result[None, Fault]:
         """Register the send; call this directly before the first byte is sent."""
@@ -114,7 +114,7 @@
         self._ledger.release(slot)
         if slot.where is Where.ZONE:
             return
-        self._holdings.release(slot, verdict, run_s)
+        self._local_grants.release(slot, verdict, run_s)
 
     @property
     def waiting(self) -> int:
@@ -130,13 +130,13 @@
             waiters = list(self._waiters_by_ask.values())
         for waiter in waiters:
             scheduler = self._placement.scheduler(waiter.pool)
-            if scheduler is not None and scheduler.inner != waiter.asked:
+            if scheduler is not None and scheduler.inner != waiter.scheduler_address:
                 waiter.woken.set()
-        self._holdings.report_all()
+        self._local_grants.report_all()
 
     def tick(self) -> None:
         """Report the held grants if the report interval is over."""
-        self._holdings.tick()
+        self._local_grants.tick()
 
     # Waiting for an answer
 
@@ -145,9 +145,9 @@
         with self._lock:
             self._waiters_by_ask[waiter.ask] = waiter
             self._waiters_by_request[job.request] = waiter
-        pause_s = REASK_S
+        pause_s = ASK_INTERVAL_S
         while True:
-            self._ask(waiter)
+            self._send_ask(waiter)
             left_s = max(0.0, job.deadline - self._clock())
             woken = waiter.woken.wait(min(left_s, pause_s))
             # Cleared before the answer is checked: clearing afterwards could discard the wake-up
@@ -156,24 +156,24 @@
             if waiter.answer is not None:
                 return waiter.answer
             if not woken and left_s <= pause_s:
-                return self._give_up(waiter)
+                return self._expire(waiter)
             if woken:
                 self._pause_if_redirected(waiter, left_s)
             else:
-                pause_s = min(2.0 * pause_s, LONGEST_REASK_S)
+                pause_s = min(2.0 * pause_s, MAX_ASK_INTERVAL_S)
 
     def _pause_if_redirected(self, waiter: Waiter, left_s: float) -> None:
         # Two processes may each take the other for the scheduler until their membership lists
         # agree. Asking again without a pause would loop between them.
         scheduler = self._placement.scheduler(waiter.pool)
-        if scheduler is not None and scheduler.inner == waiter.asked:
-            waiter.woken.wait(min(left_s, REDIRECT_S))
+        if scheduler is not None and scheduler.inner == waiter.scheduler_address:
+            waiter.woken.wait(min(left_s, REDIRECT_PAUSE_S))
 
-    def _ask(self, waiter: Waiter) -> None:
+    def _send_ask(self, waiter: Waiter) -> None:
         scheduler = self._placement.scheduler(waiter.pool)
         if scheduler is None:
             return
-        job, before = waiter.job, waiter.asked
+        job, previous = waiter.job, waiter.scheduler_address
         now = self._clock()
         ask = Ask(
             waiter.ask,
@@ -185,24 +185,24 @@
             job.avoid,
             answer_s(job, now),
             job.spillable,
-            waiter.redirected is not None and now - waiter.redirected > INSIST_AFTER_S,
+            waiter.redirected_at is not None and now - waiter.redirected_at > INSIST_AFTER_S,
         )
-        waiter.asked = scheduler.inner
-        if before and before != scheduler.inner:
-            waiter.redirected = None
-            self._tell(before, Cancel(waiter.ask, waiter.pool))
-        self._tell(scheduler.inner, ask)
+        waiter.scheduler_address = scheduler.inner
+        if previous and previous != scheduler.inner:
+            waiter.redirected_at = None
+            self._send(previous, Cancel(waiter.ask, waiter.pool))
+        self._send(scheduler.inner, ask)
 
-    def _give_up(self, waiter: Waiter) -> Result[Slot, Decline]:
+    def _expire(self, waiter: Waiter) -> Result[Slot, Decline]:
         with self._lock:
             if waiter.answer is not None:
                 return waiter.answer
             declined = decline(Refusal.TOO_LATE, self._jittered(LATE_RETRY_S))
-            self._settle(waiter, Failure(declined))
-        self._tell(waiter.asked, Cancel(waiter.ask, waiter.pool))
+            self._complete(waiter, Failure(declined))
+        self._send(waiter.scheduler_address, Cancel(waiter.ask, waiter.pool))
         return Failure(declined)
 
-    def _settle(self, waiter: Waiter, answer: Result[Slot, Decline]) -> None:
+    def _complete(self, waiter: Waiter, answer: Result[Slot, Decline]) -> None:
         waiter.answer = answer
         del self._waiters_by_ask[waiter.ask]
         if self._waiters_by_request.get(waiter.job.request) is waiter:
@@ -211,9 +211,9 @@
 
     # Answers
 
-    def _answered(self, sender: str, message: Granted | Refused) -> None:
+    def _on_answer(self, sender: str, message: Granted | Refused) -> None:
         if isinstance(message, Granted):
-            if not self._take_grant(sender, message):
+            if not self._accept_grant(sender, message):
                 unused = Done(
                     message.pool,
                     message.grant,
@@ -222,28 +222,28 @@
                     Verdict.UNUSED,
                     0.0,
                 )
-                self._tell(sender, unused)
+                self._send(sender, unused)
         else:
-            self._take_refusal(sender, message)
+            self._on_refused(sender, message)
 
-    def _take_grant(self, sender: str, granted: Granted) -> bool:
+    def _accept_grant(self, sender: str, granted: Granted) -> bool:
         """Return ``False`` if the grant is late or unexpected and must be returned.
 
         A grant is accepted only for an ask that still waits, and only from the scheduler asked
         last. A late grant is returned unused, or its slot would stay occupied.
         """
         with self._lock:
-            if self._holdings.has(granted.pool, granted.grant):
+            if self._local_grants.has(granted.pool, granted.grant):
                 return True
             waiter = self._waiters_by_ask.get(granted.request)
-            if waiter is None or waiter.asked != sender:
+            if waiter is None or waiter.scheduler_address != sender:
                 return False
             pool, entry = self._view.hosts_by_id.get(granted.host, (None, None))
             if entry is None or pool != granted.pool or entry.phase is not HostPhase.SERVING:
                 waiter.woken.set()
                 return False
-            holding = Holding(granted.grant, granted.host, waiter.job)
-            self._holdings.add(granted.pool, holding)
+            local_grant = LocalGrant(granted.grant, granted.host, waiter.job)
+            self._local_grants.add(granted.pool, local_grant)
             slot = Slot(
                 waiter.job.request,
                 granted.pool,
@@ -254,27 +254,27 @@
                 entry.zone,
                 self._clock() + granted.start_within_s,
             )
-            self._settle(waiter, Success(slot))
+            self._complete(waiter, Success(slot))
         return True
 
-    def _take_refusal(self, sender: str, refused: Refused) -> None:
+    def _on_refused(self, sender: str, refused: Refused) -> None:
         with self._lock:
             waiter = self._waiters_by_ask.get(refused.request)
-            if waiter is None or waiter.asked != sender:
+            if waiter is None or waiter.scheduler_address != sender:
                 return
             if refused.refusal is Refusal.NOT_SCHEDULER:
-                waiter.redirected = waiter.redirected or self._clock()
+                waiter.redirected_at = waiter.redirected_at or self._clock()
                 waiter.woken.set()
                 return
             if refused.spill is not None and waiter.job.spillable:
-                spilled = self._spilled(waiter.job, waiter.pool, refused.spill)
+                spilled = self._zone_slot(waiter.job, waiter.pool, refused.spill)
                 if spilled is not None:
-                    self._settle(waiter, Success(spilled))
+                    self._complete(waiter, Success(spilled))
                     return
             declined = decline(refused.refusal, refused.retry_after_s)
-            self._settle(waiter, Failure(declined))
+            self._complete(waiter, Failure(declined))
 
-    def _spilled(self, job: Job, pool: PoolId, zone: ZoneId) -> Slot | None:
+    def _zone_slot(self, job: Job, pool: PoolId, zone: ZoneId) -> Slot | None:
         gateways: tuple[Member, ...] = self._placement.gateways(zone)
         if not gateways:
             return None
@@ -284,7 +284,7 @@
             job.request, pool, Where.ZONE, gateway.http, none, HostId(""), zone, job.deadline
         )
 
-    def _tell(self, address: str, message: Message) -> None:
+    def _send(self, address: str, message: Message) -> None:
         if address != self._node.address:
             if address:
                 self._node.send(address, message)
@@ -292,11 +292,11 @@
         me = caller_of(self._placement.me)
         match message:
             case Ask():
-                self._schedulers.ask(message, me)
+                self._schedulers.on_ask(message, me)
             case Cancel():
-                self._schedulers.cancel(message, me)
+                self._schedulers.on_cancel(message, me)
             case Done():
-                self._schedulers.done(message)
+                self._schedulers.on_done(message)
 
     def _jittered(self, seconds: float) -> float:
         return seconds * self._rng.uniform(1.0, 1.5)
--- a/src/lentilrill/routing/_copies.py
+++ b/src/lentilrill/routing/_copies.py
@@ -10,10 +10,10 @@
 
 __all__ = ["GrantCopies"]
 
-STALE_S = 10.0
+STALE_AFTER_S = 10.0
 """Age at which the copies of a live holder are dropped; it sends a full copy every 2 s."""
 
-Copies = dict[GrantId, tuple[HostId, float]]
+_CopiesByGrant = dict[GrantId, tuple[HostId, float]]
 
 
 class GrantCopies:
@@ -26,10 +26,10 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._copies_by_holder: dict[tuple[PoolId, Caller], Copies] = {}
-        self._heard_by_holder: dict[tuple[PoolId, Caller], float] = {}
+        self._copies_by_holder: dict[tuple[PoolId, Caller], _CopiesByGrant] = {}
+        self._received_at_by_holder: dict[tuple[PoolId, Caller], float] = {}
 
-    def hear(self, copy: GrantCopy, caller: Caller) -> None:
+    def update(self, copy: GrantCopy, caller: Caller) -> None:
         """Apply a full copy, or a change, from a scheduler's process."""
         now = self._clock()
         holder = (copy.pool, caller)
@@ -40,7 +40,7 @@
             for held in copy.held:
                 copies[held.grant] = (held.host, now + held.answer_s)
             self._copies_by_holder[holder] = copies
-            self._heard_by_holder[holder] = now
+            self._received_at_by_holder[holder] = now
 
     def occupies(self, host: HostId) -> bool:
         """Return whether the job of a copied grant may still run on ``host``."""
@@ -58,7 +58,9 @@
         with self._lock:
             for holder, copies in list(self._copies_by_holder.items()):
                 _, caller = holder
-                is_stale = caller in alive and now - self._heard_by_holder[holder] > STALE_S
+                is_stale = (
+                    caller in alive and now - self._received_at_by_holder[holder] > STALE_AFTER_S
+                )
                 if is_stale or all(until <= now for _, until in copies.values()):
                     del self._copies_by_holder[holder]
-                    del self._heard_by_holder[holder]
+                    del self._received_at_by_holder[holder]
--- a/src/lentilrill/routing/_grants.py
+++ b/src/lentilrill/routing/_grants.py
@@ -9,12 +9,12 @@
 from lentilrill.inner import Held
 from lentilrill.routing._queue import AskKey, Caller
 
-__all__ = ["Grant", "GrantBook"]
+__all__ = ["Grant", "GrantTable"]
 
-UNLISTED_S = 3.0
-UNLISTED_REPORTS = 2
+REPORT_GRACE_S = 3.0
+MISSED_REPORTS_TO_FREE = 2
 SILENT_GATEWAY_S = 900.0
-ENDED_KEPT = 4096
+MAX_RECENTLY_ENDED = 4096
 
 
 class Grant(msgspec.Struct):
@@ -32,22 +32,22 @@
     plan: PlanId
     caller: Caller
     key: AskKey | None
-    given: float
+    granted_at: float
     expected_s: float
     answer_by: float
-    unlisted: int = 0
+    missed_reports: int = 0
     silent_since: float | None = None
 
 
-class GrantBook:
+class GrantTable:
     """Grants by id and by ask. Each is ended once."""
 
     def __init__(self) -> None:
         self._grants_by_id: dict[GrantId, Grant] = {}
         self._grants_by_key: dict[AskKey, Grant] = {}
         self._running_by_plan: dict[PlanId, int] = {}
-        self._orphaned_until: dict[HostId, float] = {}
-        self._ended_lately: OrderedDict[GrantId, None] = OrderedDict()
+        self._orphan_until_by_host: dict[HostId, float] = {}
+        self._recently_ended: OrderedDict[GrantId, None] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._grants_by_id)
@@ -64,17 +64,17 @@
         A report of held grants may arrive after the end of one of them. If it were entered as a
         grant not known yet, it would occupy a slot until two later reports omit it.
         """
-        return grant in self._ended_lately
+        return grant in self._recently_ended
 
-    def of_ask(self, key: AskKey) -> Grant | None:
+    def find_by_ask(self, key: AskKey) -> Grant | None:
         """Return the grant that answered an ask."""
         return self._grants_by_key.get(key)
 
-    def held_long(self, before: float) -> set[PlanId]:
+    def plans_with_old_grants(self, before: float) -> set[PlanId]:
         """Return the plans with at least half of their grants made before ``before``."""
         old_by_plan: dict[PlanId, int] = {}
         for grant in self:
-            if grant.given < before:
+            if grant.granted_at < before:
                 old_by_plan[grant.plan] = old_by_plan.get(grant.plan, 0) + 1
         return {plan for plan, old in old_by_plan.items() if 2 * old >= self.running(plan)}
 
@@ -95,22 +95,22 @@
 
     def end(self, grant: GrantId) -> Grant | None:
         """Remove and return a grant, or return ``None`` if it has ended already."""
-        self._ended_lately[grant] = None
-        if len(self._ended_lately) > ENDED_KEPT:
-            self._ended_lately.popitem(last=False)
+        self._recently_ended[grant] = None
+        if len(self._recently_ended) > MAX_RECENTLY_ENDED:
+            self._recently_ended.popitem(last=False)
         ended = self._grants_by_id.pop(grant, None)
         if ended is None:
             return None
         if ended.key is not None:
             self._grants_by_key.pop(ended.key, None)
-        left = self.running(ended.plan) - 1
-        if left:
-            self._running_by_plan[ended.plan] = left
+        remaining = self.running(ended.plan) - 1
+        if remaining:
+            self._running_by_plan[ended.plan] = remaining
         else:
             del self._running_by_plan[ended.plan]
         return ended
 
-    def unreported(self, caller: Caller, held: tuple[Held, ...], now: float) -> list[Grant]:
+    def find_unreported(self, caller: Caller, held: tuple[Held, ...], now: float) -> list[Grant]:
         """Return the grants of ``caller`` that were missing from two reports in a row.
 
         If the message that a grant is over, or the grant itself, is lost, its slot would stay
@@ -123,24 +123,24 @@
             if grant.caller != caller:
                 continue
             if grant.id in listed:
-                grant.unlisted = 0
-            elif now - grant.given > UNLISTED_S:
-                grant.unlisted += 1
-                if grant.unlisted >= UNLISTED_REPORTS:
+                grant.missed_reports = 0
+            elif now - grant.granted_at > REPORT_GRACE_S:
+                grant.missed_reports += 1
+                if grant.missed_reports >= MISSED_REPORTS_TO_FREE:
                     lost.append(grant)
         return lost
 
-    def note_orphan(self, grant: Grant, now: float) -> None:
+    def record_orphan(self, grant: Grant, now: float) -> None:
         """Record until when the job of an ended gateway may run on its host."""
-        kept = {host: until for host, until in self._orphaned_until.items() if until > now}
-        kept[grant.host] = max(kept.get(grant.host, 0.0), grant.answer_by)
-        self._orphaned_until = kept
+        orphans = {host: until for host, until in self._orphan_until_by_host.items() if until > now}
+        orphans[grant.host] = max(orphans.get(grant.host, 0.0), grant.answer_by)
+        self._orphan_until_by_host = orphans
 
-    def orphaned(self, host: HostId, now: float) -> bool:
+    def has_orphan(self, host: HostId, now: float) -> bool:
         """Return whether the job of an ended gateway may still run on ``host``."""
-        return self._orphaned_until.get(host, 0.0) > now
+        return self._orphan_until_by_host.get(host, 0.0) > now
 
-    def orphans(
+    def find_orphans(
         self, alive: set[Caller], is_gone: Callable[[Caller], bool], now: float
     ) -> list[Grant]:
         """Return the grants of gateways that ended, or were not live for a very long time.
--- a/src/lentilrill/routing/_health.py
+++ b/src/lentilrill/routing/_health.py
@@ -10,13 +10,13 @@
 
 __all__ = ["Health", "HealthBook", "log_health"]
 
-SCORE_SHARE = 0.2
+SCORE_SMOOTHING = 0.2
 EJECT_SCORE = 0.8
-UNREACHABLE_IN_ROW = 3
+UNREACHABLE_TO_EJECT = 3
 PROBES_TO_RESTORE = 3
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 60.0
-LEAVING_HOLD_S = 600.0
+MIN_PAUSE_S = 1.0
+MAX_PAUSE_S = 60.0
+LEAVING_PAUSE_S = 600.0
 
 FAILURES = (Verdict.ERROR, Verdict.UNREACHABLE, Verdict.BROKEN)
 
@@ -25,7 +25,7 @@
     """Health of a host, judged by the results of its jobs."""
 
     GOOD = "good"
-    LAST = "last"
+    LAST_RESORT = "last"
     """The host fails, but ejecting it would exceed the availability budget. It gets one job at a
     time when no good host has a free slot, and none for a second after a failure."""
     EJECTED = "ejected"
@@ -45,13 +45,13 @@
             log(Event.HOST_EJECTED, pool=pool, host=host, health=health.value)
 
 
-class _Record(msgspec.Struct):
+class _HostHealth(msgspec.Struct):
     health: Health = Health.GOOD
     score: float = 0.0
-    unreachable: int = 0
-    good_in_row: int = 0
+    consecutive_unreachable: int = 0
+    consecutive_ok: int = 0
     pause_s: float = 0.0
-    probe_at: float = 0.0
+    next_probe_at: float = 0.0
 
 
 class HealthBook:
@@ -62,12 +62,12 @@
     of a plan whose jobs fail on every host are ignored, or one plan's bad jobs would eject the
     whole pool.
 
-    :ivar allowance: maximum number of ejected hosts.
+    :ivar max_ejected: maximum number of ejected hosts.
     """
 
     def __init__(self) -> None:
-        self.allowance = 0
-        self._records_by_host: dict[HostId, _Record] = {}
+        self.max_ejected = 0
+        self._records_by_host: dict[HostId, _HostHealth] = {}
         self._ok_by_host_by_plan: dict[PlanId, dict[HostId, bool]] = {}
 
     def health(self, host: HostId) -> Health:
@@ -75,7 +75,7 @@
         record = self._records_by_host.get(host)
         return record.health if record is not None else Health.GOOD
 
-    def hosts(self, health: Health) -> tuple[HostId, ...]:
+    def hosts_with(self, health: Health) -> tuple[HostId, ...]:
         """Return the hosts with the given health, sorted."""
         records = self._records_by_host.items()
         return tuple(sorted(host for host, record in records if record.health is health))
@@ -83,22 +83,22 @@
     def probe_due(self, host: HostId, now: float) -> bool:
         """Return whether the pause before the next probe of ``host`` is over."""
         record = self._records_by_host[host]
-        return now >= record.probe_at
+        return now >= record.next_probe_at
 
     def note(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
         """Record the verdict on one job; return whether the host's health changed."""
-        record = self._records_by_host.setdefault(host, _Record())
+        record = self._records_by_host.setdefault(host, _HostHealth())
         before = record.health
         if verdict is Verdict.LEAVING:
             record.health = Health.LEAVING
-            record.probe_at = now + LEAVING_HOLD_S
+            record.next_probe_at = now + LEAVING_PAUSE_S
         elif verdict is Verdict.OK:
             self._succeeded(host, record, plan)
         elif verdict in FAILURES:
             self._failed(host, record, plan, verdict, now)
         return record.health is not before
 
-    def settle(self, hosts: set[HostId]) -> bool:
+    def retain_hosts(self, hosts: set[HostId]) -> bool:
         """Remove all hosts except ``hosts``, and reduce the ejected hosts to the maximum.
 
         :return: whether a host's health changed.
@@ -108,44 +108,46 @@
         for results in self._ok_by_host_by_plan.values():
             for host in results.keys() - hosts:
                 del results[host]
-        surplus = self.hosts(Health.EJECTED)[max(0, self.allowance) :]
+        surplus = self.hosts_with(Health.EJECTED)[max(0, self.max_ejected) :]
         for host in surplus:
-            self._records_by_host[host].health = Health.LAST
+            self._records_by_host[host].health = Health.LAST_RESORT
         return bool(surplus)
 
-    def keep(self, plans: set[PlanId]) -> None:
+    def retain_plans(self, plans: set[PlanId]) -> None:
         """Remove the results of all plans except ``plans``."""
         for plan in self._ok_by_host_by_plan.keys() - plans:
             del self._ok_by_host_by_plan[plan]
 
-    def _succeeded(self, host: HostId, record: _Record, plan: PlanId) -> None:
-        record.score *= 1.0 - SCORE_SHARE
-        record.unreachable = 0
-        record.good_in_row += 1
+    def _succeeded(self, host: HostId, record: _HostHealth, plan: PlanId) -> None:
+        record.score *= 1.0 - SCORE_SMOOTHING
+        record.consecutive_unreachable = 0
+        record.consecutive_ok += 1
         self._ok_by_host_by_plan.setdefault(plan, {})[host] = True
-        if record.health is not Health.GOOD and record.good_in_row >= PROBES_TO_RESTORE:
+        if record.health is not Health.GOOD and record.consecutive_ok >= PROBES_TO_RESTORE:
             record.health = Health.GOOD
             record.score = 0.0
             record.pause_s /= 2.0
         elif record.health is Health.EJECTED:
-            record.probe_at = 0.0
+            record.next_probe_at = 0.0
 
     def _failed(
-        self, host: HostId, record: _Record, plan: PlanId, verdict: Verdict, now: float
+        self, host: HostId, record: _HostHealth, plan: PlanId, verdict: Verdict, now: float
     ) -> None:
-        record.good_in_row = 0
+        record.consecutive_ok = 0
         self._ok_by_host_by_plan.setdefault(plan, {})[host] = False
         if verdict is Verdict.UNREACHABLE:
-            record.unreachable += 1
+            record.consecutive_unreachable += 1
         elif self._fails_everywhere(plan, host):
             return
-        record.score += SCORE_SHARE * (1.0 - record.score)
-        fails = record.score >= EJECT_SCORE or record.unreachable >= UNREACHABLE_IN_ROW
+        record.score += SCORE_SMOOTHING * (1.0 - record.score)
+        fails = (
+            record.score >= EJECT_SCORE or record.consecutive_unreachable >= UNREACHABLE_TO_EJECT
+        )
         if record.health is Health.EJECTED:
             # Only a failed probe increases the pause. The jobs that were running when the host
             # was ejected fail together, and would raise the first pause to the maximum.
-            if now >= record.probe_at:
-                self._pause(record, now)
+            if now >= record.next_probe_at:
+                self._extend_pause(record, now)
         elif fails and record.health is not Health.LEAVING:
             self._eject(record, now)
 
@@ -153,14 +155,14 @@
         elsewhere = [ok for at, ok in self._ok_by_host_by_plan[plan].items() if at != host]
         return bool(elsewhere) and not any(elsewhere)
 
-    def _eject(self, record: _Record, now: float) -> None:
-        if len(self.hosts(Health.EJECTED)) >= self.allowance:
-            record.health = Health.LAST
-            record.probe_at = now + FIRST_PAUSE_S
+    def _eject(self, record: _HostHealth, now: float) -> None:
+        if len(self.hosts_with(Health.EJECTED)) >= self.max_ejected:
+            record.health = Health.LAST_RESORT
+            record.next_probe_at = now + MIN_PAUSE_S
             return
         record.health = Health.EJECTED
-        self._pause(record, now)
+        self._extend_pause(record, now)
 
-    def _pause(self, record: _Record, now: float) -> None:
-        record.pause_s = min(max(FIRST_PAUSE_S, record.pause_s * 2.0), LONGEST_PAUSE_S)
-        record.probe_at = now + record.pause_s
+    def _extend_pause(self, record: _HostHealth, now: float) -> None:
+        record.pause_s = min(max(MIN_PAUSE_S, record.pause_s * 2.0), MAX_PAUSE_S)
+        record.next_probe_at = now + record.pause_s
--- a/src/lentilrill/routing/_ledger.py
+++ b/src/lentilrill/routing/_ledger.py
@@ -15,7 +15,7 @@
 
 __all__ = ["SendLedger"]
 
-_Seen = tuple[dict[HostId, tuple[PoolId, HostEntry]], tuple[tuple[PoolId, HostId], ...]]
+_WithdrawingCache = tuple[dict[HostId, tuple[PoolId, HostEntry]], tuple[tuple[PoolId, HostId], ...]]
 
 
 class SendLedger:
@@ -37,7 +37,7 @@
         self._view = view
         self._me = me
         self._registered_at: Revision | None = None
-        self._seen: _Seen = ({}, ())
+        self._withdrawing_cache: _WithdrawingCache = ({}, ())
         self._clock = clock
         self._lock = threading.Lock()
         self._sends_by_host: dict[HostId, dict[GrantId, Slot]] = {}
@@ -56,7 +56,7 @@
     def start(self, slot: Slot) -> Result[None, Fault]:
         """Register the send of ``slot``; send the first byte only after a success."""
         with self._lock:
-            fault = self._objection(slot)
+            fault = self._find_fault(slot)
             if fault is not None:
                 return Failure(fault)
             if slot.where is Where.ENDPOINT:
@@ -89,14 +89,17 @@
 
         :param revision: the pool record's revision in which the host is being withdrawn.
         """
-        return any(barred.host == host and barred.revision >= revision for barred in self.barred())
+        return any(
+            blocked.host == host and blocked.revision >= revision
+            for blocked in self.blocked_hosts()
+        )
 
     @property
     def withdrawing(self) -> tuple[HostId, ...]:
         """Hosts of this zone that are being withdrawn."""
         return tuple(host for _, host in self._withdrawing(self._view.hosts_by_id))
 
-    def barred(self) -> tuple[Barred, ...]:
+    def blocked_hosts(self) -> tuple[Barred, ...]:
         """Return this zone's withdrawing hosts with nothing in flight, with the revision seen."""
         with self._lock:
             # The order of the two reads matters, since the view replaces its pools before its
@@ -106,42 +109,42 @@
             return tuple(
                 Barred(host, pools[pool][1])
                 for pool, host in self._withdrawing(hosts)
-                if host not in self._sends_by_host and _withdraws(pools.get(pool), host)
+                if host not in self._sends_by_host and _is_withdrawing(pools.get(pool), host)
             )
 
     def _withdrawing(
         self, hosts: dict[HostId, tuple[PoolId, HostEntry]]
     ) -> tuple[tuple[PoolId, HostId], ...]:
-        seen, found = self._seen
-        if seen is not hosts:
-            found = tuple(
+        hosts_read, withdrawing = self._withdrawing_cache
+        if hosts_read is not hosts:
+            withdrawing = tuple(
                 (pool, entry.id)
                 for pool, entry in hosts.values()
                 if entry.phase is HostPhase.WITHDRAWING and entry.zone == self._me.zone
             )
-            self._seen = (hosts, found)
-        return found
+            self._withdrawing_cache = (hosts, withdrawing)
+        return withdrawing
 
-    def _objection(self, slot: Slot) -> Fault | None:
+    def _find_fault(self, slot: Slot) -> Fault | None:
         if self._clock() >= slot.send_by:
-            return _refused(slot, FaultKind.EXHAUSTED, "the grant is past its send-by time")
+            return _start_fault(slot, FaultKind.EXHAUSTED, "the grant is past its send-by time")
         if slot.where is Where.ZONE:
             return None
         if not self.may_send:
-            return _refused(slot, FaultKind.REFUSED, "this process is not registered yet")
+            return _start_fault(slot, FaultKind.REFUSED, "this process is not registered yet")
         pool, entry = self._view.hosts_by_id.get(slot.host, (None, None))
         if entry is None or pool != slot.pool or entry.phase is not HostPhase.SERVING:
-            return _refused(slot, FaultKind.REFUSED, "the host no longer serves the pool")
+            return _start_fault(slot, FaultKind.REFUSED, "the host no longer serves the pool")
         if entry.zone != self._me.zone:
             # A withdrawal waits only for the gateways of the host's own zone.
-            return _refused(slot, FaultKind.REFUSED, "the host is of another zone")
+            return _start_fault(slot, FaultKind.REFUSED, "the host is of another zone")
         return None
 
 
-def _withdraws(record: tuple[PoolRecord, Revision] | None, host: HostId) -> bool:
+def _is_withdrawing(record: tuple[PoolRecord, Revision] | None, host: HostId) -> bool:
     entry = record[0].hosts_by_id().get(host) if record is not None else None
     return entry is not None and entry.phase is HostPhase.WITHDRAWING
 
 
-def _refused(slot: Slot, kind: FaultKind, reason: str) -> Fault:
+def _start_fault(slot: Slot, kind: FaultKind, reason: str) -> Fault:
     return Fault("routing.start", slot.address, kind, reason)
--- a/src/lentilrill/routing/_limits.py
+++ b/src/lentilrill/routing/_limits.py
@@ -4,7 +4,7 @@
 
 __all__ = ["RetryBudget", "TokenBucket"]
 
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
 
 
@@ -15,7 +15,7 @@
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._tokens = burst
-        self._as_of = now
+        self._refilled_at = now
 
     def take(self, now: float) -> bool:
         """Take one token; return whether one was available."""
@@ -31,9 +31,9 @@
         return max(0.0, (1.0 - self._tokens) / self.rate_per_s)
 
     def _refill(self, now: float) -> None:
-        elapsed = max(0.0, now - self._as_of)
+        elapsed = max(0.0, now - self._refilled_at)
         self._tokens = min(self.burst, self._tokens + elapsed * self.rate_per_s)
-        self._as_of = now
+        self._refilled_at = now
 
 
 class RetryBudget:
@@ -43,12 +43,12 @@
     and use up the pool's capacity. Each success earns a fraction of a token and each retry
     costs one token, so while no job succeeds only the burst is retried.
 
-    :param share: retries allowed for each success.
+    :param ratio: retries allowed for each success.
     :param burst: retries allowed before the first success; also the maximum of saved tokens.
     """
 
-    def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST) -> None:
-        self._share = share
+    def __init__(self, ratio: float = RETRY_RATIO, burst: float = RETRY_BURST) -> None:
+        self._ratio = ratio
         self._burst = burst
         self._tokens = burst
         self._lock = threading.Lock()
@@ -56,7 +56,7 @@
     def succeeded(self) -> None:
         """Record a job that succeeded."""
         with self._lock:
-            self._tokens = min(self._burst, self._tokens + self._share)
+            self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
         """Use one token for a retry; return whether one was available."""
--- a/src/lentilrill/routing/_placement.py
+++ b/src/lentilrill/routing/_placement.py
@@ -23,8 +23,8 @@
 class Placement:
     """The gateways and schedulers of each zone, computed once for each membership change."""
 
-    def __init__(self, roster: Roster) -> None:
-        self._roster = roster
+    def __init__(self, membership: Roster) -> None:
+        self._membership = membership
         self._lock = threading.Lock()
         self._gateways_by_zone: dict[ZoneId, tuple[Member, ...]] = {}
         self._schedulers: dict[tuple[PoolId, ZoneId], list[Member]] = {}
@@ -35,7 +35,7 @@
     @property
     def me(self) -> Member:
         """This process."""
-        return self._roster.me
+        return self._membership.me
 
     @property
     def zones(self) -> tuple[ZoneId, ...]:
@@ -48,7 +48,7 @@
 
     def controllers(self) -> tuple[Member, ...]:
         """Return the live controllers of this zone."""
-        return self._roster.alive(Role.CONTROLLER, self.me.zone)
+        return self._membership.alive(Role.CONTROLLER, self.me.zone)
 
     def callers(self) -> set[Caller]:
         """Return the instances of the live gateways of this zone."""
@@ -56,24 +56,24 @@
 
     def scheduler(self, pool: PoolId, zone: ZoneId | None = None) -> Member | None:
         """Return the process that schedules ``pool`` in ``zone``, by default in this zone."""
-        schedulers = self._in_line(pool, zone or self.me.zone)
+        schedulers = self._ranked_schedulers(pool, zone or self.me.zone)
         return schedulers[0] if schedulers else None
 
-    def deputy(self, pool: PoolId) -> Member | None:
+    def next_scheduler(self, pool: PoolId) -> Member | None:
         """Return the process that takes over ``pool`` in this zone if its scheduler ends."""
-        schedulers = self._in_line(pool, self.me.zone)
+        schedulers = self._ranked_schedulers(pool, self.me.zone)
         return schedulers[1] if len(schedulers) > 1 else None
 
-    def _in_line(self, pool: PoolId, zone: ZoneId) -> list[Member]:
-        place = (pool, zone)
+    def _ranked_schedulers(self, pool: PoolId, zone: ZoneId) -> list[Member]:
+        key = (pool, zone)
         schedulers = self._schedulers
-        if place not in schedulers:
+        if key not in schedulers:
             # Read under the lock, so that the result belongs to the membership that this dict
             # was created for; a refresh in between would leave an old result in the new dict.
             with self._lock:
                 schedulers = self._schedulers
-                schedulers[place] = ranked("/".join(place), self.gateways(zone))[:2]
-        return schedulers[place]
+                schedulers[key] = ranked("/".join(key), self.gateways(zone))[:2]
+        return schedulers[key]
 
     def is_mine(self, pool: PoolId) -> bool:
         """Return whether this process schedules ``pool`` in its zone."""
@@ -88,12 +88,12 @@
         ):
             return True
         member = self._members_by_caller.get(caller)
-        return member is not None and self._roster.liveness(member) is Liveness.GONE
+        return member is not None and self._membership.liveness(member) is Liveness.GONE
 
     def refresh(self) -> bool:
         """Read the current membership; return whether the gateways changed."""
         by_zone: dict[ZoneId, list[Member]] = {}
-        for member in self._roster.alive(Role.GATEWAY):
+        for member in self._membership.alive(Role.GATEWAY):
             by_zone.setdefault(member.zone, []).append(member)
         gateways_by_zone = {zone: tuple(members) for zone, members in by_zone.items()}
         with self._lock:
@@ -103,10 +103,10 @@
             self._schedulers = {}
             members = gateways_by_zone.get(self.me.zone, ())
             self._callers = {caller_of(member) for member in members}
-            self._remember(members)
+            self._add_members(members)
         return True
 
-    def _remember(self, members: tuple[Member, ...]) -> None:
+    def _add_members(self, members: tuple[Member, ...]) -> None:
         # A gateway's grants stay valid after it stops being alive, so its member record is kept
         # until it has certainly ended and its grants are freed.
         for member in members:
--- a/src/lentilrill/routing/_queue.py
+++ b/src/lentilrill/routing/_queue.py
@@ -8,9 +8,9 @@
 from lentilrill.ids import HostId, Incarnation, PlanId, ProcessId, RequestId
 from lentilrill.settings import Urgency
 
-__all__ = ["AskKey", "AskQueue", "Caller", "FairShares", "Waiting"]
+__all__ = ["AskKey", "AskQueue", "Caller", "FairShares", "QueuedAsk"]
 
-CLASSES = len(Urgency)
+URGENCY_CLASSES = len(Urgency)
 
 
 class Caller(msgspec.Struct, frozen=True):
@@ -31,13 +31,13 @@
     request: RequestId
 
 
-class Waiting(msgspec.Struct):
+class QueuedAsk(msgspec.Struct):
     """One queued ask.
 
     :param urgency: rank of the urgency class, 0 first.
     :param deadline: monotonic seconds by which the job must start.
     :param answer_by: monotonic seconds until which the job may run.
-    :param order: arrival number, the tie-breaker between equal deadlines.
+    :param sequence: arrival number, the tie-breaker between equal deadlines.
     """
 
     key: AskKey
@@ -45,15 +45,15 @@
     plan: PlanId
     urgency: int
     deadline: float
-    order: int
-    asked: float
+    sequence: int
+    asked_at: float
     answer_by: float
     avoid: tuple[HostId, ...] = ()
 
 
-def _rank(waiting: Waiting) -> tuple[float, int]:
+def _sort_key(queued: QueuedAsk) -> tuple[float, int]:
     # Lists are sorted by descending deadline, so that the earliest is popped from the end.
-    return (-waiting.deadline, -waiting.order)
+    return (-queued.deadline, -queued.sequence)
 
 
 class FairShares:
@@ -64,34 +64,34 @@
     """
 
     def __init__(self) -> None:
-        self._served_by_plan: dict[PlanId, float] = {}
+        self._usage_by_plan: dict[PlanId, float] = {}
 
-    def served(self, plan: PlanId) -> float:
+    def usage(self, plan: PlanId) -> float:
         """Return the weighted slot seconds that the plan has used."""
-        return self._served_by_plan.get(plan, 0.0)
+        return self._usage_by_plan.get(plan, 0.0)
 
     def charge(self, plan: PlanId, seconds: float, weight: float) -> None:
         """Add ``seconds`` of one slot; a negative value corrects an earlier charge."""
-        self._served_by_plan[plan] = self.served(plan) + seconds / weight
+        self._usage_by_plan[plan] = self.usage(plan) + seconds / weight
 
-    def level(self, plan: PlanId, busy: list[PlanId]) -> None:
+    def raise_to_lowest(self, plan: PlanId, busy: list[PlanId]) -> None:
         """Raise the usage of ``plan`` to the lowest usage of the plans in ``busy``."""
         if busy:
-            floor = min(self.served(other) for other in busy)
-            self._served_by_plan[plan] = max(self.served(plan), floor)
+            lowest = min(self.usage(other) for other in busy)
+            self._usage_by_plan[plan] = max(self.usage(plan), lowest)
 
-    def keep(self, plans: set[PlanId]) -> None:
+    def retain_plans(self, plans: set[PlanId]) -> None:
         """Remove all plans except ``plans``."""
-        for plan in self._served_by_plan.keys() - plans:
-            del self._served_by_plan[plan]
+        for plan in self._usage_by_plan.keys() - plans:
+            del self._usage_by_plan[plan]
 
 
 class _UrgencyClass:
     """Asks of one urgency class: by plan in order of deadline, and by key in order of arrival."""
 
     def __init__(self) -> None:
-        self.by_plan: dict[PlanId, list[Waiting]] = {}
-        self.by_key: dict[AskKey, Waiting] = {}
+        self.by_plan: dict[PlanId, list[QueuedAsk]] = {}
+        self.by_key: dict[AskKey, QueuedAsk] = {}
 
 
 class AskQueue:
@@ -102,17 +102,17 @@
 
     def __init__(self, shares: FairShares) -> None:
         self._shares = shares
-        self._classes = [_UrgencyClass() for _ in range(CLASSES)]
-        self._by_key: dict[AskKey, Waiting] = {}
+        self._classes = [_UrgencyClass() for _ in range(URGENCY_CLASSES)]
+        self._by_key: dict[AskKey, QueuedAsk] = {}
         self._waiting_by_plan: dict[PlanId, int] = {}
 
     def __len__(self) -> int:
         return len(self._by_key)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedAsk]:
         return iter(list(self._by_key.values()))
 
-    def get(self, key: AskKey) -> Waiting | None:
+    def get(self, key: AskKey) -> QueuedAsk | None:
         """Return the queued ask of ``key``, or ``None``."""
         return self._by_key.get(key)
 
@@ -120,85 +120,85 @@
         """Return the number of queued asks of ``plan``."""
         return self._waiting_by_plan.get(plan, 0)
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, queued: QueuedAsk) -> None:
         """Add an ask."""
-        group = self._classes[waiting.urgency]
-        if waiting.plan not in group.by_plan:
-            self._shares.level(waiting.plan, list(group.by_plan))
-            group.by_plan[waiting.plan] = []
-        insort(group.by_plan[waiting.plan], waiting, key=_rank)
-        group.by_key[waiting.key] = waiting
-        self._by_key[waiting.key] = waiting
-        self._waiting_by_plan[waiting.plan] = self.count(waiting.plan) + 1
-
-    def remove(self, key: AskKey) -> Waiting | None:
+        urgency_class = self._classes[queued.urgency]
+        if queued.plan not in urgency_class.by_plan:
+            self._shares.raise_to_lowest(queued.plan, list(urgency_class.by_plan))
+            urgency_class.by_plan[queued.plan] = []
+        insort(urgency_class.by_plan[queued.plan], queued, key=_sort_key)
+        urgency_class.by_key[queued.key] = queued
+        self._by_key[queued.key] = queued
+        self._waiting_by_plan[queued.plan] = self.count(queued.plan) + 1
+
+    def remove(self, key: AskKey) -> QueuedAsk | None:
         """Remove and return the ask of ``key``, or return ``None`` if it is not queued."""
-        waiting = self._by_key.get(key)
-        if waiting is not None:
-            asks = self._classes[waiting.urgency].by_plan[waiting.plan]
-            del asks[bisect_left(asks, _rank(waiting), key=_rank)]
-            self._forget(waiting, asks)
-        return waiting
-
-    def take(self, may_run: Callable[[PlanId], bool]) -> Waiting | None:
+        queued = self._by_key.get(key)
+        if queued is not None:
+            asks = self._classes[queued.urgency].by_plan[queued.plan]
+            del asks[bisect_left(asks, _sort_key(queued), key=_sort_key)]
+            self._unindex(queued, asks)
+        return queued
+
+    def pop_next(self, may_run: Callable[[PlanId], bool]) -> QueuedAsk | None:
         """Remove and return the next ask among the plans for which ``may_run`` is true."""
-        for group in self._classes:
-            plans = [plan for plan in group.by_plan if may_run(plan)]
+        for urgency_class in self._classes:
+            plans = [plan for plan in urgency_class.by_plan if may_run(plan)]
             if plans:
-                plan = min(plans, key=self._shares.served)
-                asks = group.by_plan[plan]
-                waiting = asks.pop()
-                self._forget(waiting, asks)
-                return waiting
+                plan = min(plans, key=self._shares.usage)
+                asks = urgency_class.by_plan[plan]
+                queued = asks.pop()
+                self._unindex(queued, asks)
+                return queued
         return None
 
-    def displace(self, urgency: int) -> Waiting | None:
+    def evict_below(self, urgency: int) -> QueuedAsk | None:
         """Remove and return the newest ask of the least urgent class below ``urgency``."""
-        for rank in range(CLASSES - 1, urgency, -1):
+        for rank in range(URGENCY_CLASSES - 1, urgency, -1):
             by_key = self._classes[rank].by_key
             if by_key:
                 # reversed(by_key) would step over every entry deleted before; popitem does not.
-                key, waiting = by_key.popitem()
-                by_key[key] = waiting
+                key, queued = by_key.popitem()
+                by_key[key] = queued
                 return self.remove(key)
         return None
 
-    def expired(self, now: float) -> list[Waiting]:
+    def pop_expired(self, now: float) -> list[QueuedAsk]:
         """Remove and return the asks whose deadline has passed."""
-        late: list[Waiting] = []
-        for group in self._classes:
-            for asks in list(group.by_plan.values()):
+        expired: list[QueuedAsk] = []
+        for urgency_class in self._classes:
+            for asks in list(urgency_class.by_plan.values()):
                 while asks and asks[-1].deadline <= now:
-                    late.append(asks.pop())
-                    self._forget(late[-1], asks)
-        return late
+                    expired.append(asks.pop())
+                    self._unindex(expired[-1], asks)
+        return expired
 
-    def ahead(self, plan: PlanId, urgency: int, deadline: float) -> int:
+    def count_ahead(self, plan: PlanId, urgency: int, deadline: float) -> int:
         """Return how many queued asks of the plan in this class would precede a new one."""
         asks = self._classes[urgency].by_plan.get(plan, [])
-        return len(asks) - bisect_left(asks, -deadline, key=lambda waiting: -waiting.deadline)
+        return len(asks) - bisect_left(asks, -deadline, key=lambda queued: -queued.deadline)
 
-    def counts(self, urgency: int) -> dict[PlanId, int]:
+    def counts_by_plan(self, urgency: int) -> dict[PlanId, int]:
         """Return the number of queued asks of an urgency class by plan."""
         return {plan: len(asks) for plan, asks in self._classes[urgency].by_plan.items()}
 
-    def contradiction(self) -> str:
+    def find_inconsistency(self) -> str:
         """Return a description of counts that disagree, or an empty string."""
-        in_lists = sum(sum(self.counts(rank).values()) for rank in range(CLASSES))
-        in_classes = sum(len(group.by_key) for group in self._classes)
+        in_lists = sum(sum(self.counts_by_plan(rank).values()) for rank in range(URGENCY_CLASSES))
+        in_classes = sum(len(urgency_class.by_key) for urgency_class in self._classes)
         in_plans = sum(self._waiting_by_plan.values())
         if in_lists == in_classes == in_plans == len(self._by_key):
             return ""
         return f"queue counts {in_lists}, {in_classes}, {in_plans}, {len(self._by_key)}"
 
-    def _forget(self, waiting: Waiting, asks: list[Waiting]) -> None:
-        group = self._classes[waiting.urgency]
+    def _unindex(self, queued: QueuedAsk, asks: list[QueuedAsk]) -> None:
+        urgency_class = self._classes[queued.urgency]
         if not asks:
-            del group.by_plan[waiting.plan]
-        del group.by_key[waiting.key]
-        del self._by_key[waiting.key]
-        left = self._waiting_by_plan[waiting.plan] - 1
-        if left:
-            self._waiting_by_plan[waiting.plan] = left
+            del urgency_class.by_plan[queued.plan]
+        del urgency_class.by_key[queued.key]
+        del self._by_key[queued.key]
+        remaining = self._waiting_by_plan[queued.plan] - 1
+        if remaining:
+            self._waiting_by_plan[queued.plan] = remaining
         else:
-            del self._waiting_by_plan[waiting.plan]
+            del self._waiting_by_plan[queued.plan]
--- a/src/lentilrill/routing/_reserve.py
+++ b/src/lentilrill/routing/_reserve.py
@@ -1,7 +1,7 @@
 """Slots reserved for urgent and short jobs."""
 
 from lentilrill.ids import PlanId
-from lentilrill.routing._grants import GrantBook
+from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.routing._terms import DEFAULT_TERMS, PoolTerms
@@ -9,8 +9,8 @@
 
 __all__ = ["Reserve"]
 
-LONG_S = 2.0
-RESERVED_SHARE = 8
+LONG_RUN_S = 2.0
+RESERVED_DIVISOR = 8
 LEAST_URGENT = Urgency.PATIENT.rank
 
 
@@ -23,37 +23,37 @@
     until a job of it has ended, whatever run time its callers declare.
     """
 
-    def __init__(self, grants: GrantBook, hosts: HostSlots, run_times: RunTimes) -> None:
+    def __init__(self, grants: GrantTable, hosts: HostSlots, run_times: RunTimes) -> None:
         self._grants = grants
         self._hosts = hosts
         self._run_times = run_times
-        self._held_long: set[PlanId] = set()
+        self._long_plans: set[PlanId] = set()
         self._terms = PoolTerms({}, {})
-        self._most_urgent = LEAST_URGENT
+        self._top_urgency = LEAST_URGENT
 
     def configure(self, terms: PoolTerms) -> None:
         """Apply the urgency classes of the plans."""
         self._terms = terms
-        self._most_urgent = min(
+        self._top_urgency = min(
             (t.urgency for t in terms.plans_by_id.values()), default=LEAST_URGENT
         )
 
-    def sweep(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Update which plans have occupied their slots for a long time."""
-        self._held_long = self._grants.held_long(now - LONG_S)
+        self._long_plans = self._grants.plans_with_old_grants(now - LONG_RUN_S)
 
     def permits(self, plan: PlanId) -> bool:
         """Return whether one more job of ``plan`` may start without using a reserved slot."""
         if not self._is_long(plan):
             return True
         slots = self._hosts.capacity
-        reserved = max(1, slots // RESERVED_SHARE) if slots > 1 else 0
+        reserved = max(1, slots // RESERVED_DIVISOR) if slots > 1 else 0
         long = sum(self._grants.running(p) for p in self._grants.plans() if self._is_long(p))
         return long < slots - reserved
 
     def _is_long(self, plan: PlanId) -> bool:
-        if self._terms.plans_by_id.get(plan, DEFAULT_TERMS).urgency <= self._most_urgent:
+        if self._terms.plans_by_id.get(plan, DEFAULT_TERMS).urgency <= self._top_urgency:
             return False
-        if plan in self._held_long or not self._run_times.known(plan):
+        if plan in self._long_plans or not self._run_times.is_measured(plan):
             return True
-        return self._run_times.expected_s(plan) > LONG_S
+        return self._run_times.expected_s(plan) > LONG_RUN_S
--- a/src/lentilrill/routing/_routing.py
+++ b/src/lentilrill/routing/_routing.py
@@ -10,15 +10,15 @@
 from lentilrill.routing._client import SlotClient
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._placement import Placement
-from lentilrill.routing._schedulers import SchedulerHost
-from lentilrill.routing._withdrawals import WithdrawalAcker
+from lentilrill.routing._schedulers import LocalSchedulers
+from lentilrill.routing._withdrawals import WithdrawalAcknowledger
 from lentilrill.telemetry import Event, Metrics, log
 
 __all__ = ["Routing"]
 
 TICK_S = 0.05
 IDLE_TICK_S = 0.5
-ROSTER_S = 1.0
+MEMBERSHIP_INTERVAL_S = 1.0
 
 
 def _always() -> bool:
@@ -28,7 +28,7 @@
 class Routing:
     """Slots for this gateway's jobs, and the pool schedulers that it runs for its zone.
 
-    :param may_acknowledge: see :class:`WithdrawalAcker`.
+    :param may_acknowledge: see :class:`WithdrawalAcknowledger`.
     :ivar slots: the interface to the request path.
     :ivar ledger: jobs in flight, by host.
     """
@@ -37,42 +37,42 @@
         self,
         node: Node,
         view: FleetView,
-        roster: Roster,
+        membership: Roster,
         clock: Callable[[], float] = time.monotonic,
         metrics: Metrics | None = None,
         may_acknowledge: Callable[[], bool] = _always,
     ) -> None:
-        self.ledger = SendLedger(view, roster.me, clock)
-        self.placement = Placement(roster)
-        self.schedulers = SchedulerHost(node, view, self.placement, clock, metrics=metrics)
+        self.ledger = SendLedger(view, membership.me, clock)
+        self.placement = Placement(membership)
+        self.schedulers = LocalSchedulers(node, view, self.placement, clock, metrics=metrics)
         self.slots = SlotClient(node, view, self.placement, self.ledger, self.schedulers, clock)
-        self.acker = WithdrawalAcker(
+        self.acknowledger = WithdrawalAcknowledger(
             node, self.placement, self.ledger, self.schedulers.occupies, clock, may_acknowledge
         )
         self._clock = clock
-        self._followed = clock()
+        self._refreshed_at = clock()
         self._stopping = threading.Event()
-        self._task = threading.Thread(target=self._run, name="routing", daemon=True)
-        view.subscribe(self._view_changed)
-        roster.subscribe(self._roster_changed)
+        self._thread = threading.Thread(target=self._run, name="routing", daemon=True)
+        view.subscribe(self._on_view_changed)
+        membership.subscribe(self._on_membership_changed)
 
     def start(self) -> None:
         """Start the schedulers of the pools that are assigned to this process."""
         self.schedulers.refresh()
-        self._task.start()
+        self._thread.start()
 
     def close(self) -> None:
         """Stop the thread. Acquired slots stay valid until they are released."""
         self._stopping.set()
         self.schedulers.woken.set()
-        if self._task.is_alive():
-            self._task.join()
+        if self._thread.is_alive():
+            self._thread.join()
 
-    def _view_changed(self) -> None:
+    def _on_view_changed(self) -> None:
         self.schedulers.refresh()
-        self.acker.tick()
+        self.acknowledger.tick()
 
-    def _roster_changed(self) -> None:
+    def _on_membership_changed(self) -> None:
         if self.placement.refresh():
             self.schedulers.refresh()
             self.slots.refresh()
@@ -80,7 +80,12 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             self._pause()
-            for step in (self._follow, self.schedulers.tick, self.slots.tick, self.acker.tick):
+            for step in (
+                self._refresh_if_due,
+                self.schedulers.tick,
+                self.slots.tick,
+                self.acknowledger.tick,
+            ):
                 try:
                     step()
                 except Exception as error:  # a failing step must not stop the others
@@ -93,7 +98,7 @@
             self.schedulers.woken.wait(IDLE_TICK_S)
         self.schedulers.woken.clear()
 
-    def _follow(self) -> None:
-        if self._clock() - self._followed >= ROSTER_S:
-            self._followed = self._clock()
-            self._roster_changed()
+    def _refresh_if_due(self) -> None:
+        if self._clock() - self._refreshed_at >= MEMBERSHIP_INTERVAL_S:
+            self._refreshed_at = self._clock()
+            self._on_membership_changed()
--- a/src/lentilrill/routing/_run_times.py
+++ b/src/lentilrill/routing/_run_times.py
@@ -4,11 +4,11 @@
 
 __all__ = ["RunTimes"]
 
-FIRST_GUESS_S = 0.2
-LEAST_S = 0.001
-MOST_S = 600.0
+DEFAULT_RUN_S = 0.2
+MIN_RUN_S = 0.001
+MAX_RUN_S = 600.0
 OUTLIER_FACTOR = 8.0
-NEWEST_SHARE = 0.1
+SMOOTHING = 0.1
 
 
 class RunTimes:
@@ -26,29 +26,29 @@
     @property
     def mean_s(self) -> float:
         """Mean run time over all plans."""
-        return self._mean_s or FIRST_GUESS_S
+        return self._mean_s or DEFAULT_RUN_S
 
     def expected_s(self, plan: PlanId) -> float:
         """Return the expected run time of the plan's next job."""
         return self._mean_s_by_plan.get(plan) or self.mean_s
 
-    def known(self, plan: PlanId) -> bool:
+    def is_measured(self, plan: PlanId) -> bool:
         """Return whether a run time of ``plan`` has been measured."""
         return plan in self._mean_s_by_plan
 
-    def learn(self, plan: PlanId, run_s: float) -> None:
+    def add(self, plan: PlanId, run_s: float) -> None:
         """Add the run time of one job of ``plan`` to the averages."""
-        run_s = min(max(run_s, LEAST_S), MOST_S)
-        self._mean_s = _moved(self._mean_s, run_s)
-        self._mean_s_by_plan[plan] = _moved(self._mean_s_by_plan.get(plan, 0.0), run_s)
+        run_s = min(max(run_s, MIN_RUN_S), MAX_RUN_S)
+        self._mean_s = _updated_mean(self._mean_s, run_s)
+        self._mean_s_by_plan[plan] = _updated_mean(self._mean_s_by_plan.get(plan, 0.0), run_s)
 
-    def keep(self, plans: set[PlanId]) -> None:
+    def retain_plans(self, plans: set[PlanId]) -> None:
         """Remove all plans except ``plans``."""
         for plan in self._mean_s_by_plan.keys() - plans:
             del self._mean_s_by_plan[plan]
 
 
-def _moved(mean_s: float, run_s: float) -> float:
+def _updated_mean(mean_s: float, run_s: float) -> float:
     if mean_s <= 0.0:
         return run_s
-    return mean_s + NEWEST_SHARE * (min(run_s, mean_s * OUTLIER_FACTOR) - mean_s)
+    return mean_s + SMOOTHING * (min(run_s, mean_s * OUTLIER_FACTOR) - mean_s)
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -15,10 +15,10 @@
     Verdict,
 )
 from lentilrill.routing._admission import Admission, Reply
-from lentilrill.routing._grants import Grant, GrantBook
+from lentilrill.routing._grants import Grant, GrantTable
 from lentilrill.routing._health import Health, log_health
 from lentilrill.routing._hosts import HostSlots
-from lentilrill.routing._queue import AskKey, AskQueue, Caller, FairShares, Waiting
+from lentilrill.routing._queue import AskKey, AskQueue, Caller, FairShares, QueuedAsk
 from lentilrill.routing._reserve import Reserve
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.routing._spill import OtherZones
@@ -29,9 +29,9 @@
 __all__ = ["PoolScheduler", "Reply"]
 
 START_WITHIN_S = 2.0
-REBUILD_S = 2.0
-MOST_ASIDE = 8
-SWEEP_S = 1.0
+REBUILD_TIMEOUT_S = 2.0
+MAX_SKIPPED = 8
+SWEEP_INTERVAL_S = 1.0
 START_MARGIN_S = 0.005
 
 
@@ -41,7 +41,7 @@
     Methods return the replies that their caller must send.
 
     :param epoch: makes the ids of grants unique among all schedulers.
-    :param awaited: gateways whose held grants must be known before the first grant.
+    :param awaited_gateways: gateways whose held grants must be known before the first grant.
     :param clock: monotonic seconds.
     """
 
@@ -50,7 +50,7 @@
         pool: PoolId,
         zone: ZoneId,
         epoch: int,
-        awaited: set[str],
+        awaited_gateways: set[str],
         clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
@@ -60,23 +60,23 @@
         self.violations = 0
         self.hosts = HostSlots()
         self._clock = clock
-        self._awaited = set(awaited)
-        self._rebuilt_by = clock() + REBUILD_S
+        self._awaited_gateways = set(awaited_gateways)
+        self._rebuild_deadline = clock() + REBUILD_TIMEOUT_S
         self._terms = PoolTerms({}, {})
         self._shares = FairShares()
         self._queue = AskQueue(self._shares)
-        self._grants = GrantBook()
+        self._grants = GrantTable()
         self._run_times = RunTimes()
-        self._waits = WaitEstimate(self._queue, self._grants, self.hosts, self._run_times)
+        self._wait_estimate = WaitEstimate(self._queue, self._grants, self.hosts, self._run_times)
         self._reserve = Reserve(self._grants, self.hosts, self._run_times)
-        self._others = OtherZones()
+        self._other_zones = OtherZones()
         self._admission = Admission(
-            pool, self._queue, self.hosts, self._waits, self._others, clock, rng
+            pool, self._queue, self.hosts, self._wait_estimate, self._other_zones, clock, rng
         )
-        self._asks = 0
-        self._granted = 0
-        self._swept = clock()
-        self._alive: set[Caller] = set()
+        self._ask_count = 0
+        self._grant_count = 0
+        self._swept_at = clock()
+        self._alive_gateways: set[Caller] = set()
 
     @property
     def waiting(self) -> int:
@@ -96,7 +96,7 @@
         acknowledged while a grant on the host is outstanding nor, after a gateway ended without
         a report, until the job's maximum run time is over.
         """
-        return self.hosts.knows(host) or self._grants.orphaned(host, self._clock())
+        return self.hosts.is_tracked(host) or self._grants.has_orphan(host, self._clock())
 
     @property
     def holders(self) -> set[Caller]:
@@ -104,68 +104,68 @@
         return {grant.caller for grant in self._grants}
 
     @property
-    def awaited(self) -> frozenset[str]:
+    def awaited_gateways(self) -> frozenset[str]:
         """Gateways whose held grants are still unknown; empty once grants can be made."""
-        if self._awaited and self._clock() >= self._rebuilt_by:
-            self._awaited.clear()
-        return frozenset(self._awaited)
+        if self._awaited_gateways and self._clock() >= self._rebuild_deadline:
+            self._awaited_gateways.clear()
+        return frozenset(self._awaited_gateways)
 
     def configure(self, terms: PoolTerms) -> list[Reply]:
         """Apply a configuration of hosts, plans and limits."""
         self._terms = terms
         self._reserve.configure(terms)
         self._admission.configure(terms)
-        self.hosts.configure(terms.slots_by_host, self._allowance())
-        kept = set(terms.plans_by_id)
-        self._shares.keep(kept)
-        self._run_times.keep(kept)
-        self.hosts.health.keep(kept)
+        self.hosts.configure(terms.slots_by_host, self._max_ejected())
+        plans = set(terms.plans_by_id)
+        self._shares.retain_plans(plans)
+        self._run_times.retain_plans(plans)
+        self.hosts.health.retain_plans(plans)
         return self._grant_free([])
 
     def ask(self, ask: Ask, caller: Caller) -> list[Reply]:
         """Grant a slot, queue the ask, or refuse it."""
         key = AskKey(caller.address, ask.request)
-        given = self._grants.of_ask(key)
-        if given is not None:
-            return [self._granted_reply(given, ask.request)]
+        existing = self._grants.find_by_ask(key)
+        if existing is not None:
+            return [self._granted_reply(existing, ask.request)]
         if self._queue.get(key) is not None:
             return []
-        out: list[Reply] = []
-        refused = self._admission.objection(ask, out)
+        replies: list[Reply] = []
+        refused = self._admission.refusal_for(ask, replies)
         if refused is not None:
-            out.append(Reply(caller.address, refused))
-            return out
-        self._asks += 1
+            replies.append(Reply(caller.address, refused))
+            return replies
+        self._ask_count += 1
         now = self._clock()
         # In an overload the earliest deadline is always about to pass. A job granted at the last
         # moment would start too late, and waste slot time that another job could use.
         deadline = now + ask.wait_s - START_MARGIN_S
         self._queue.add(
-            Waiting(
+            QueuedAsk(
                 key,
                 caller,
                 ask.plan,
                 ask.urgency,
                 deadline,
-                self._asks,
+                self._ask_count,
                 now,
                 now + ask.answer_s,
                 ask.avoid,
             )
         )
-        return self._grant_free(out)
+        return self._grant_free(replies)
 
     def cancel(self, request: RequestId, caller: Caller) -> list[Reply]:
         """Remove an ask from the queue, or free the grant that answered it."""
         key = AskKey(caller.address, request)
         if self._queue.remove(key) is not None:
             return []
-        grant = self._grants.of_ask(key)
-        return self._end(grant.id, Verdict.UNUSED, 0.0) if grant is not None else []
+        grant = self._grants.find_by_ask(key)
+        return self._end_grant(grant.id, Verdict.UNUSED, 0.0) if grant is not None else []
 
     def done(self, done: Done) -> list[Reply]:
         """Free the slot of a grant that is over, and grant it to the next ask."""
-        return self._end(done.grant, done.verdict, done.run_s)
+        return self._end_grant(done.grant, done.verdict, done.run_s)
 
     def held(self, report: HeldGrants, caller: Caller) -> list[Reply]:
         """Apply a gateway's report of the grants that it holds."""
@@ -173,7 +173,7 @@
         for item in report.grants:
             if item.grant not in self._grants and not self._grants.has_ended(item.grant):
                 expected_s = self._run_times.expected_s(item.plan)
-                self._enter(
+                self._add_grant(
                     Grant(
                         item.grant,
                         item.host,
@@ -185,86 +185,86 @@
                         now + item.answer_s,
                     )
                 )
-        out: list[Reply] = []
-        for grant in self._grants.unreported(caller, report.grants, now):
-            self._reclaim(grant, "missing from its gateway's reports", out)
-        self._awaited.discard(caller.address)
-        return self._grant_free(out)
+        replies: list[Reply] = []
+        for grant in self._grants.find_unreported(caller, report.grants, now):
+            self._reclaim(grant, "missing from its gateway's reports", replies)
+        self._awaited_gateways.discard(caller.address)
+        return self._grant_free(replies)
 
     def hear(self, load: PoolLoad) -> None:
         """Record the load of the pool in another zone."""
-        self._others.hear(load, self._clock())
-        self.hosts.allow(self._allowance())
+        self._other_zones.update(load, self._clock())
+        self.hosts.set_max_ejected(self._max_ejected())
 
     def load(self) -> PoolLoad:
         """Return the load of the pool in this zone."""
-        ejected = len(self.hosts.health.hosts(Health.EJECTED))
-        free = 0 if self._queue or self.awaited else self.hosts.free
-        return PoolLoad(self.pool, self.zone, free, self._waits.drain_s(), ejected)
+        ejected = len(self.hosts.health.hosts_with(Health.EJECTED))
+        free = 0 if self._queue or self.awaited_gateways else self.hosts.free
+        return PoolLoad(self.pool, self.zone, free, self._wait_estimate.drain_s(), ejected)
 
     def tick(self, alive: set[Caller], is_gone: Callable[[Caller], bool]) -> list[Reply]:
         """Refuse asks past their deadline, and free the grants of ended gateways."""
         now = self._clock()
-        out: list[Reply] = []
-        for waiting in self._queue.expired(now):
-            out.append(self._admission.refuse(waiting, Refusal.TOO_LATE))
-        if now - self._swept >= SWEEP_S or alive != self._alive:
-            self._swept, self._alive = now, alive
-            self._sweep(alive, is_gone, now, out)
-        return self._grant_free(out)
+        replies: list[Reply] = []
+        for queued in self._queue.pop_expired(now):
+            replies.append(self._admission.refuse(queued, Refusal.TOO_LATE))
+        if now - self._swept_at >= SWEEP_INTERVAL_S or alive != self._alive_gateways:
+            self._swept_at, self._alive_gateways = now, alive
+            self._sweep(alive, is_gone, now, replies)
+        return self._grant_free(replies)
 
     def _sweep(
         self,
         alive: set[Caller],
         is_gone: Callable[[Caller], bool],
         now: float,
-        out: list[Reply],
+        replies: list[Reply],
     ) -> None:
         # A slot granted to a gateway that is not live would stay unused. If the gateway comes
         # back, it repeats the ask with the same deadline and regains its place in the queue.
-        for waiting in self._queue:
-            if waiting.caller not in alive:
-                self._queue.remove(waiting.key)
-        for grant in self._grants.orphans(alive, is_gone, now):
-            self._grants.note_orphan(grant, now)
-            self._reclaim(grant, "its gateway ended", out)
-        self._reserve.sweep(now)
+        for queued in self._queue:
+            if queued.caller not in alive:
+                self._queue.remove(queued.key)
+        for grant in self._grants.find_orphans(alive, is_gone, now):
+            self._grants.record_orphan(grant, now)
+            self._reclaim(grant, "its gateway ended", replies)
+        self._reserve.update(now)
         self._check()
 
-    def resign(self) -> list[Reply]:
+    def close(self) -> list[Reply]:
         """Empty the queue; the refusals make the gateways ask the pool's next scheduler."""
-        out = [self._admission.refuse(waiting, Refusal.NOT_SCHEDULER) for waiting in self._queue]
-        for reply in out:
+        replies = [self._admission.refuse(queued, Refusal.NOT_SCHEDULER) for queued in self._queue]
+        for reply in replies:
             assert isinstance(reply.message, Refused)
             self._queue.remove(AskKey(reply.address, reply.message.request))
-        return out
+        return replies
 
     # Choice of the next ask and its host
 
-    def _grant_free(self, out: list[Reply]) -> list[Reply]:
-        if self.awaited or not self._queue:
-            return out
+    def _grant_free(self, replies: list[Reply]) -> list[Reply]:
+        if self.awaited_gateways or not self._queue:
+            return replies
         now = self._clock()
-        aside: list[Waiting] = []
-        while len(aside) < MOST_ASIDE and self.hosts.pick((), now) is not None:
-            waiting = self._queue.take(self._may_run)
-            if waiting is None:
+        skipped: list[QueuedAsk] = []
+        while len(skipped) < MAX_SKIPPED and self.hosts.pick((), now) is not None:
+            queued = self._queue.pop_next(self._may_run)
+            if queued is None:
                 break
-            if waiting.deadline <= now:
-                out.append(self._admission.refuse(waiting, Refusal.TOO_LATE))
+            if queued.deadline <= now:
+                replies.append(self._admission.refuse(queued, Refusal.TOO_LATE))
                 continue
-            host = self._host_for(waiting, now)
+            host = self._host_for(queued, now)
             if host is None:
-                aside.append(waiting)
+                skipped.append(queued)
             else:
-                out.append(self._grant(waiting, host, now))
-        for waiting in aside:
-            self._queue.add(waiting)
-        return out
-
-    def _host_for(self, waiting: Waiting, now: float) -> HostId | None:
-        host = self.hosts.pick(waiting.avoid, now)
-        if host is None and self.hosts.all_avoided(waiting.avoid):
+                replies.append(self._grant(queued, host, now))
+        for queued in skipped:
+            self._queue.add(queued)
+        return replies
+
+    def _host_for(self, queued: QueuedAsk, now: float) -> HostId | None:
+        host = self.hosts.pick(queued.avoid, now)
+        if host is None and self.hosts.all_avoided(queued.avoid):
             return self.hosts.pick((), now)
         return host
 
@@ -274,63 +274,65 @@
             return False
         return self._reserve.permits(plan)
 
-    def _grant(self, waiting: Waiting, host: HostId, now: float) -> Reply:
-        self._granted += 1
+    def _grant(self, queued: QueuedAsk, host: HostId, now: float) -> Reply:
+        self._grant_count += 1
         grant = Grant(
-            GrantId(f"{self.epoch:x}.{self._granted:x}"),
+            GrantId(f"{self.epoch:x}.{self._grant_count:x}"),
             host,
-            waiting.plan,
-            waiting.caller,
-            waiting.key,
+            queued.plan,
+            queued.caller,
+            queued.key,
             now,
-            self._run_times.expected_s(waiting.plan),
-            waiting.answer_by,
+            self._run_times.expected_s(queued.plan),
+            queued.answer_by,
         )
-        self._enter(grant)
-        return self._granted_reply(grant, waiting.key.request)
+        self._add_grant(grant)
+        return self._granted_reply(grant, queued.key.request)
 
     def _granted_reply(self, grant: Grant, request: RequestId) -> Reply:
         granted = Granted(request, self.pool, grant.id, grant.host, self.epoch, START_WITHIN_S)
         return Reply(grant.caller.address, granted)
 
-    def _enter(self, grant: Grant) -> None:
+    def _add_grant(self, grant: Grant) -> None:
         self._grants.add(grant)
-        self.hosts.take(grant.host)
+        self.hosts.add_grant(grant.host)
         self._shares.charge(grant.plan, grant.expected_s, self._weight(grant.plan))
 
-    def _end(self, grant: GrantId, verdict: Verdict, run_s: float) -> list[Reply]:
+    def _end_grant(self, grant: GrantId, verdict: Verdict, run_s: float) -> list[Reply]:
         ended = self._grants.end(grant)
         if ended is None:
             return []
-        if not self.hosts.release(ended.host):
-            self._violated(f"grant on {ended.host} ended, but the host has no slot in use")
+        if not self.hosts.remove_grant(ended.host):
+            self._report_violation(f"grant on {ended.host} ended, but the host has no slot in use")
         self._shares.charge(ended.plan, run_s - ended.expected_s, self._weight(ended.plan))
         if verdict is Verdict.OK:
-            self._run_times.learn(ended.plan, run_s)
+            self._run_times.add(ended.plan, run_s)
         if self.hosts.note(ended.host, ended.plan, verdict, self._clock()):
             log_health(self.pool, ended.host, self.hosts.health.health(ended.host))
         return self._grant_free([])
 
-    def _reclaim(self, grant: Grant, reason: str, out: list[Reply]) -> None:
+    def _reclaim(self, grant: Grant, reason: str, replies: list[Reply]) -> None:
         gateway = grant.caller.process
         log(Event.GRANT_RECLAIMED, pool=self.pool, grant=grant.id, gateway=gateway, reason=reason)
-        out.extend(self._end(grant.id, Verdict.UNUSED, 0.0))
+        replies.extend(self._end_grant(grant.id, Verdict.UNUSED, 0.0))
 
     def _weight(self, plan: PlanId) -> float:
         return self._terms.plans_by_id.get(plan, DEFAULT_TERMS).weight
 
     # Limits and consistency checks
 
-    def _allowance(self) -> int:
-        return max(0, self._terms.budget - self._terms.away - self._others.ejected())
+    def _max_ejected(self) -> int:
+        return max(0, self._terms.budget - self._terms.away - self._other_zones.ejected())
 
     def _check(self) -> None:
-        for contradiction in (self._queue.contradiction(), self.hosts.contradiction()):
-            if contradiction:
-                self._violated(contradiction)
+        for inconsistency in (self._queue.find_inconsistency(), self.hosts.find_inconsistency()):
+            if inconsistency:
+                self._report_violation(inconsistency)
         if self.hosts.used != len(self._grants):
-            self._violated(f"{self.hosts.used} slots in use, but {len(self._grants)} grants")
+            self._report_violation(
+                f"{self.hosts.used} slots in use, but {len(self._grants)} grants"
+            )
 
-    def _violated(self, reason: str) -> None:
+    def _report_violation(self, reason: str) -> None:
         self.violations += 1
         log(Event.ROUTING_INVARIANT, pool=self.pool, zone=self.zone, reason=reason)
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -24,26 +24,26 @@
 )
 from lentilrill.routing._copies import GrantCopies
 from lentilrill.routing._health import Health
-from lentilrill.routing._peer_news import PeerNews, Scheduled
+from lentilrill.routing._peer_updates import PeerUpdates, RunningScheduler
 from lentilrill.routing._placement import Placement, caller_of_batch
 from lentilrill.routing._queue import Caller
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import pool_terms
 from lentilrill.telemetry import Event, Metrics, NoMetrics, log
 
-__all__ = ["SchedulerHost"]
+__all__ = ["LocalSchedulers"]
 
-INSISTED_S = 10.0
+INSIST_PERIOD_S = 10.0
 EPOCH_BITS = 62
-FORGET_S = 60.0
+FORGET_INTERVAL_S = 60.0
 
-Answer = Callable[[str, Granted | Refused], None]
+AnswerHandler = Callable[[str, Granted | Refused], None]
 
 
-class SchedulerHost:
+class LocalSchedulers:
     """Runs the schedulers of the pools that are assigned to this process in its zone.
 
-    :ivar answer: receives the grants and refusals for this process itself.
+    :ivar on_answer: receives the grants and refusals for this process itself.
     :ivar woken: set when an ask is queued, so that ticks become frequent.
     """
 
@@ -57,68 +57,70 @@
         metrics: Metrics | None = None,
     ) -> None:
         self.woken = threading.Event()
-        self.answer: Answer = lambda sender, message: None
+        self.on_answer: AnswerHandler = lambda sender, message: None
         self._node = node
         self._view = view
         self._placement = placement
         self._clock = clock
         self._rng = rng or random.SystemRandom()
-        self._peers = PeerNews(node, placement, metrics or NoMetrics())
+        self._peers = PeerUpdates(node, placement, metrics or NoMetrics())
         self._copies = GrantCopies(clock)
         self._lock = threading.Lock()
-        self._delivering = threading.local()
+        self._local_delivery = threading.local()
         self._refreshing = threading.Lock()
-        self._scheduled_by_pool: dict[PoolId, Scheduled] = {}
-        self._forgot = clock()
-        node.on(Ask, lambda batch, ask: self.ask(ask, caller_of_batch(batch)))
-        node.on(Cancel, lambda batch, cancel: self.cancel(cancel, caller_of_batch(batch)))
-        node.on(Done, lambda batch, done: self.done(done))
-        node.on(HeldGrants, lambda batch, held: self.held(held, caller_of_batch(batch)))
-        node.on(PoolLoad, self._hear)
-        node.on(GrantCopy, lambda batch, copy: self._copies.hear(copy, caller_of_batch(batch)))
+        self._running_by_pool: dict[PoolId, RunningScheduler] = {}
+        self._forgot_at = clock()
+        node.on(Ask, lambda batch, ask: self.on_ask(ask, caller_of_batch(batch)))
+        node.on(Cancel, lambda batch, cancel: self.on_cancel(cancel, caller_of_batch(batch)))
+        node.on(Done, lambda batch, done: self.on_done(done))
+        node.on(
+            HeldGrants, lambda batch, report: self.on_held_grants(report, caller_of_batch(batch))
+        )
+        node.on(PoolLoad, self._on_pool_load)
+        node.on(GrantCopy, lambda batch, copy: self._copies.update(copy, caller_of_batch(batch)))
 
     @property
     def schedulers_by_pool(self) -> dict[PoolId, PoolScheduler]:
         """The schedulers that run in this process."""
         with self._lock:
-            return {pool: held.scheduler for pool, held in self._scheduled_by_pool.items()}
+            return {pool: entry.scheduler for pool, entry in self._running_by_pool.items()}
 
     @property
     def busy(self) -> bool:
         """Whether an ask is queued, or a scheduler lacks reports of held grants."""
-        schedulers = [held.scheduler for _, held in self._all()]
-        return any(scheduler.waiting or scheduler.awaited for scheduler in schedulers)
+        schedulers = [entry.scheduler for _, entry in self._list_running()]
+        return any(scheduler.waiting or scheduler.awaited_gateways for scheduler in schedulers)
 
-    def ask(self, ask: Ask, caller: Caller) -> None:
+    def on_ask(self, ask: Ask, caller: Caller) -> None:
         """Handle an ask from a gateway of this zone."""
         wanted = ask.insist or self._placement.is_mine(ask.pool)
-        if not self._runs(ask.pool) and not (wanted and ask.pool in self._view.pools_by_id):
+        if not self._is_running(ask.pool) and not (wanted and ask.pool in self._view.pools_by_id):
             refused = Refused(ask.request, ask.pool, Refusal.NOT_SCHEDULER)
             self._deliver([Reply(caller.address, refused)])
             return
-        held = self._scheduled(ask.pool)
+        entry = self._get_or_start(ask.pool)
         if ask.insist:
-            held.insisted = self._clock()
-        self._decide(ask.pool, lambda scheduler: scheduler.ask(ask, caller))
+            entry.insisted_at = self._clock()
+        self._call(ask.pool, lambda scheduler: scheduler.ask(ask, caller))
 
-    def cancel(self, cancel: Cancel, caller: Caller) -> None:
+    def on_cancel(self, cancel: Cancel, caller: Caller) -> None:
         """Handle the cancellation of an ask."""
         request: RequestId = cancel.request
-        self._decide(cancel.pool, lambda scheduler: scheduler.cancel(request, caller))
+        self._call(cancel.pool, lambda scheduler: scheduler.cancel(request, caller))
 
-    def done(self, done: Done) -> None:
+    def on_done(self, done: Done) -> None:
         """Handle the report that a grant is over."""
-        self._decide(done.pool, lambda scheduler: scheduler.done(done))
+        self._call(done.pool, lambda scheduler: scheduler.done(done))
 
-    def held(self, report: HeldGrants, caller: Caller) -> None:
+    def on_held_grants(self, report: HeldGrants, caller: Caller) -> None:
         """Handle a gateway's report of the grants that it holds."""
-        self._decide(report.pool, lambda scheduler: scheduler.held(report, caller))
+        self._call(report.pool, lambda scheduler: scheduler.held(report, caller))
 
     def occupies(self, host: HostId) -> bool:
         """Return whether a job may run on ``host`` under a grant that is known here."""
-        for _, held in self._all():
-            with held.lock:
-                if held.scheduler.occupies(host):
+        for _, entry in self._list_running():
+            with entry.lock:
+                if entry.scheduler.occupies(host):
                     return True
         return self._copies.occupies(host)
 
@@ -128,38 +130,38 @@
             zone = self._placement.me.zone
             for pool in self._pools_here():
                 if self._placement.is_mine(pool):
-                    self._scheduled(pool)
-            for pool, held in self._all():
-                if self._is_over(pool, held):
-                    self._resign(pool, held)
+                    self._get_or_start(pool)
+            for pool, entry in self._list_running():
+                if self._should_stop(pool, entry):
+                    self._stop(pool, entry)
                 else:
                     terms = pool_terms(self._view, pool, zone)
-                    self._decide(pool, lambda s, terms=terms: s.configure(terms))  # type: ignore[misc]
+                    self._call(pool, lambda s, terms=terms: s.configure(terms))  # type: ignore[misc]
 
     def tick(self) -> None:
         """Do the periodic work: refusals, reports to peers, freeing of grants."""
         alive = self._placement.callers()
         now = self._clock()
         self._copies.tick(alive)
-        for pool, held in self._all():
-            self._decide(pool, lambda s: s.tick(alive, self._placement.is_gone))
-            self._peers.ask_held(held, now)
-            self._peers.tell_load(held, now)
-            if self._is_over(pool, held):
-                self._resign(pool, held)
-        if self._peers.trouble_due(now):
-            self._peers.tell_trouble(
-                self._of_health(Health.EJECTED), self._of_health(Health.LEAVING)
+        for pool, entry in self._list_running():
+            self._call(pool, lambda s: s.tick(alive, self._placement.is_gone))
+            self._peers.request_held_grants(entry, now)
+            self._peers.send_load(entry, now)
+            if self._should_stop(pool, entry):
+                self._stop(pool, entry)
+        if self._peers.is_trouble_due(now):
+            self._peers.send_trouble(
+                self._hosts_with(Health.EJECTED), self._hosts_with(Health.LEAVING)
             )
-        if now - self._forgot >= FORGET_S:
-            self._forgot = now
+        if now - self._forgot_at >= FORGET_INTERVAL_S:
+            self._forgot_at = now
             self._forget_ended()
 
     def _forget_ended(self) -> None:
         holders: set[Caller] = set()
-        for _, held in self._all():
-            with held.lock:
-                holders |= held.scheduler.holders
+        for _, entry in self._list_running():
+            with entry.lock:
+                holders |= entry.scheduler.holders
         self._placement.forget(holders)
 
     def _pools_here(self) -> list[PoolId]:
@@ -167,53 +169,53 @@
         pools = {pool for pool, entry in self._view.hosts_by_id.values() if entry.zone == zone}
         return sorted(pools)
 
-    def _all(self) -> list[tuple[PoolId, Scheduled]]:
+    def _list_running(self) -> list[tuple[PoolId, RunningScheduler]]:
         with self._lock:
-            return list(self._scheduled_by_pool.items())
+            return list(self._running_by_pool.items())
 
-    def _runs(self, pool: PoolId) -> bool:
-        return pool in self._scheduled_by_pool
+    def _is_running(self, pool: PoolId) -> bool:
+        return pool in self._running_by_pool
 
-    def _scheduled(self, pool: PoolId) -> Scheduled:
-        held = self._scheduled_by_pool.get(pool)
-        if held is not None:
-            return held
+    def _get_or_start(self, pool: PoolId) -> RunningScheduler:
+        entry = self._running_by_pool.get(pool)
+        if entry is not None:
+            return entry
         with self._lock:
-            held = self._scheduled_by_pool.get(pool)
-            if held is None:
-                held = self._scheduled_by_pool[pool] = self._started(pool)
-        return held
+            entry = self._running_by_pool.get(pool)
+            if entry is None:
+                entry = self._running_by_pool[pool] = self._start_scheduler(pool)
+        return entry
 
-    def _started(self, pool: PoolId) -> Scheduled:
+    def _start_scheduler(self, pool: PoolId) -> RunningScheduler:
         zone = self._placement.me.zone
-        awaited = {member.inner for member in self._placement.gateways(zone)}
+        awaited_gateways = {member.inner for member in self._placement.gateways(zone)}
         scheduler = PoolScheduler(
             pool,
             zone,
             self._rng.getrandbits(EPOCH_BITS),
-            awaited,
+            awaited_gateways,
             self._clock,
             random.Random(self._rng.random()),
         )
         scheduler.configure(pool_terms(self._view, pool, zone))
         log(Event.SCHEDULER_STARTED, pool=pool, zone=zone, epoch=scheduler.epoch)
-        return Scheduled(scheduler, self._clock() - INSISTED_S)
+        return RunningScheduler(scheduler, self._clock() - INSIST_PERIOD_S)
 
-    def _decide(
-        self, pool: PoolId, decide: Callable[[PoolScheduler], list[Reply]]
+    def _call(
+        self, pool: PoolId, call: Callable[[PoolScheduler], list[Reply]]
     ) -> PoolScheduler | None:
-        held = self._scheduled_by_pool.get(pool)
-        if held is None:
+        entry = self._running_by_pool.get(pool)
+        if entry is None:
             return None
-        with held.lock:
-            if held.ended:
+        with entry.lock:
+            if entry.ended:
                 return None
-            replies = decide(held.scheduler)
-            if held.scheduler.waiting and not self.woken.is_set():
+            replies = call(entry.scheduler)
+            if entry.scheduler.waiting and not self.woken.is_set():
                 self.woken.set()
         # Delivered without the lock, as an answer to this process may call back at once.
         self._deliver(replies)
-        return held.scheduler
+        return entry.scheduler
 
     def _deliver(self, replies: list[Reply]) -> None:
         for reply in replies:
@@ -221,52 +223,52 @@
                 self._node.send(reply.address, reply.message)
         local = [reply.message for reply in replies if reply.address == self._node.address]
         if local:
-            self._answer_here(local)
+            self._deliver_locally(local)
 
-    def _answer_here(self, messages: list[Message]) -> None:
+    def _deliver_locally(self, messages: list[Message]) -> None:
         # A grant that is returned unused may grant its slot to the next ask of this process, and
         # so on. A loop handles them, since recursion over a long queue would exhaust the stack.
-        pending: deque[Message] | None = getattr(self._delivering, "pending", None)
+        pending: deque[Message] | None = getattr(self._local_delivery, "pending", None)
         if pending is not None:
             pending.extend(messages)
             return
-        pending = self._delivering.pending = deque(messages)
+        pending = self._local_delivery.pending = deque(messages)
         try:
             while pending:
                 message = pending.popleft()
                 assert isinstance(message, Granted | Refused)
-                self.answer(self._node.address, message)
+                self.on_answer(self._node.address, message)
         finally:
-            self._delivering.pending = None
+            self._local_delivery.pending = None
 
-    def _is_over(self, pool: PoolId, held: Scheduled) -> bool:
+    def _should_stop(self, pool: PoolId, entry: RunningScheduler) -> bool:
         if pool not in self._view.pools_by_id:
             return True
-        insisted = self._clock() - held.insisted < INSISTED_S
-        return not insisted and not self._placement.is_mine(pool)
+        is_insisted = self._clock() - entry.insisted_at < INSIST_PERIOD_S
+        return not is_insisted and not self._placement.is_mine(pool)
 
-    def _resign(self, pool: PoolId, held: Scheduled) -> None:
+    def _stop(self, pool: PoolId, entry: RunningScheduler) -> None:
         with self._lock:
-            self._scheduled_by_pool.pop(pool, None)
-        with held.lock:
-            held.ended = True
-            replies = held.scheduler.resign()
+            self._running_by_pool.pop(pool, None)
+        with entry.lock:
+            entry.ended = True
+            replies = entry.scheduler.close()
         log(Event.SCHEDULER_ENDED, pool=pool, waiting=len(replies))
         self._deliver(replies)
 
-    def _hear(self, batch: Batch, load: PoolLoad) -> None:
+    def _on_pool_load(self, batch: Batch, load: PoolLoad) -> None:
         del batch
 
-        def hear(scheduler: PoolScheduler) -> list[Reply]:
+        def update(scheduler: PoolScheduler) -> list[Reply]:
             scheduler.hear(load)
             return []
 
         if load.zone != self._placement.me.zone:
-            self._decide(load.pool, hear)
+            self._call(load.pool, update)
 
-    def _of_health(self, health: Health) -> tuple[HostId, ...]:
+    def _hosts_with(self, health: Health) -> tuple[HostId, ...]:
         hosts: list[HostId] = []
-        for _, held in self._all():
-            with held.lock:
-                hosts.extend(held.scheduler.hosts.health.hosts(health))
+        for _, entry in self._list_running():
+            with entry.lock:
+                hosts.extend(entry.scheduler.hosts.health.hosts_with(health))
         return tuple(sorted(hosts))
--- a/src/lentilrill/routing/_spill.py
+++ b/src/lentilrill/routing/_spill.py
@@ -9,13 +9,13 @@
 
 __all__ = ["OtherZones"]
 
-FRESH_S = 2.5
+MAX_LOAD_AGE_S = 2.5
 
 
 class _Load(msgspec.Struct):
     load: PoolLoad
-    heard: float
-    sent: int = 0
+    received_at: float
+    claimed: int = 0
 
 
 class OtherZones:
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._loads_by_zone: dict[ZoneId, _Load] = {}
 
-    def hear(self, load: PoolLoad, now: float) -> None:
+    def update(self, load: PoolLoad, now: float) -> None:
         """Record a zone's load."""
         self._loads_by_zone[load.zone] = _Load(load, now)
 
@@ -38,16 +38,16 @@
         """
         allowed = set(zones)
         free_by_zone = {
-            zone: held.load.free - held.sent
-            for zone, held in self._loads_by_zone.items()
-            if now - held.heard <= FRESH_S and (not allowed or zone in allowed)
+            zone: entry.load.free - entry.claimed
+            for zone, entry in self._loads_by_zone.items()
+            if now - entry.received_at <= MAX_LOAD_AGE_S and (not allowed or zone in allowed)
         }
         best = max(free_by_zone, key=lambda zone: (free_by_zone[zone], zone), default=None)
         if best is None or free_by_zone[best] < 1:
             return None
-        self._loads_by_zone[best].sent += 1
+        self._loads_by_zone[best].claimed += 1
         return best
 
     def ejected(self) -> int:
         """Return the number of hosts ejected in other zones, by their latest reports."""
-        return sum(held.load.ejected for held in self._loads_by_zone.values())
+        return sum(entry.load.ejected for entry in self._loads_by_zone.values())
--- a/src/lentilrill/routing/_waiting.py
+++ b/src/lentilrill/routing/_waiters.py
@@ -34,16 +34,16 @@
     """One thread that waits in :meth:`SlotClient.acquire`.
 
     :ivar ask: identifies this attempt to schedulers; a later attempt of the job has another.
-    :ivar asked: address of the scheduler that was asked last.
-    :ivar redirected: when the asked process first answered that it is not the scheduler.
+    :ivar scheduler_address: address of the scheduler that was asked last.
+    :ivar redirected_at: when the asked process first answered that it is not the scheduler.
     """
 
     def __init__(self, job: Job, pool: PoolId, ask: RequestId) -> None:
         self.job = job
         self.pool = pool
         self.ask = ask
-        self.asked = ""
-        self.redirected: float | None = None
+        self.scheduler_address = ""
+        self.redirected_at: float | None = None
         self.woken = threading.Event()
         self.answer: Result[Slot, Decline] | None = None
 
@@ -53,17 +53,17 @@
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
-        self._hosts_seen: dict[HostId, tuple[PoolId, HostEntry]] = {}
+        self._hosts_read: dict[HostId, tuple[PoolId, HostEntry]] = {}
         self._zones_by_pool: dict[PoolId, set[ZoneId]] = {}
 
     def serving(self) -> dict[PoolId, set[ZoneId]]:
         """Return the zones with serving hosts by pool."""
         hosts_by_id = self._view.hosts_by_id
-        if hosts_by_id is not self._hosts_seen:
+        if hosts_by_id is not self._hosts_read:
             zones_by_pool: dict[PoolId, set[ZoneId]] = {}
             for pool, entry in hosts_by_id.values():
                 if entry.phase is HostPhase.SERVING:
                     zones_by_pool.setdefault(pool, set()).add(entry.zone)
             self._zones_by_pool = zones_by_pool
-            self._hosts_seen = hosts_by_id
+            self._hosts_read = hosts_by_id
         return self._zones_by_pool
--- a/src/lentilrill/routing/_waits.py
+++ b/src/lentilrill/routing/_waits.py
@@ -2,7 +2,7 @@
 
 from lentilrill.ids import PlanId
 from lentilrill.inner import Ask
-from lentilrill.routing._grants import GrantBook
+from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
 from lentilrill.routing._queue import AskQueue
 from lentilrill.routing._run_times import RunTimes
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, queue: AskQueue, grants: GrantBook, hosts: HostSlots, run_times: RunTimes
+        self, queue: AskQueue, grants: GrantTable, hosts: HostSlots, run_times: RunTimes
     ) -> None:
         self._queue = queue
         self._grants = grants
@@ -40,8 +40,8 @@
             wait_s += self._run_times.mean_s / slots
         limit = terms.plans_by_id.get(ask.plan, DEFAULT_TERMS).concurrency
         if limit and self._grants.running(ask.plan) >= limit:
-            own = self._queue.ahead(ask.plan, ask.urgency, now + ask.wait_s)
-            wait_s = max(wait_s, own * self._run_times.expected_s(ask.plan) / limit)
+            own_ahead = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
+            wait_s = max(wait_s, own_ahead * self._run_times.expected_s(ask.plan) / limit)
         return wait_s
 
     def drain_s(self, urgency: int = LEAST_URGENT) -> float:
@@ -55,12 +55,12 @@
         return work_s / max(1, self._hosts.capacity)
 
     def _class_work_s(self, rank: int) -> float:
-        counts = self._queue.counts(rank).items()
+        counts = self._queue.counts_by_plan(rank).items()
         return sum(count * self._run_times.expected_s(plan) for plan, count in counts)
 
     def _own_class_work_s(self, ask: Ask, now: float, terms: PoolTerms) -> float:
-        counts = self._queue.counts(ask.urgency)
-        counts[ask.plan] = self._queue.ahead(ask.plan, ask.urgency, now + ask.wait_s)
+        counts = self._queue.counts_by_plan(ask.urgency)
+        counts[ask.plan] = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
         weights = {plan: terms.plans_by_id.get(plan, DEFAULT_TERMS).weight for plan in counts}
         own_s = counts[ask.plan] * self._run_times.expected_s(ask.plan)
         by_share_s = own_s * sum(weights.values()) / weights[ask.plan]
--- a/src/lentilrill/routing/_withdrawals.py
+++ b/src/lentilrill/routing/_withdrawals.py
@@ -9,7 +9,7 @@
 from lentilrill.routing._placement import Placement
 from lentilrill.telemetry import Event, log
 
-__all__ = ["WithdrawalAcker"]
+__all__ = ["WithdrawalAcknowledger"]
 
 REPEAT_S = 1.0
 
@@ -18,13 +18,13 @@
     return True
 
 
-class WithdrawalAcker:
+class WithdrawalAcknowledger:
     """Reports to the zone's controllers which withdrawing hosts this process no longer uses.
 
     Messages may be lost and controllers replaced, so the report is repeated about once a second
     until the host's record changes.
 
-    :param occupied: returns whether a job may still run on a host under a grant known here.
+    :param is_occupied: returns whether a job may still run on a host under a grant known here.
     :param may_acknowledge: returns whether this process may acknowledge now. It may not while a
         peer that received its state is unregistered and has not acknowledged the withdrawal.
     """
@@ -34,35 +34,37 @@
         node: Node,
         placement: Placement,
         ledger: SendLedger,
-        occupied: Callable[[HostId], bool],
+        is_occupied: Callable[[HostId], bool],
         clock: Callable[[], float] = time.monotonic,
         may_acknowledge: Callable[[], bool] = _always,
     ) -> None:
         self._node = node
         self._placement = placement
         self._ledger = ledger
-        self._occupied = occupied
+        self._is_occupied = is_occupied
         self._clock = clock
         self._may_acknowledge = may_acknowledge
-        self._told = clock() - REPEAT_S
-        self._told_barred: tuple[Barred, ...] = ()
+        self._sent_at = clock() - REPEAT_S
+        self._sent_hosts: tuple[Barred, ...] = ()
 
     def tick(self) -> None:
         """Send the acknowledgements if they changed, or if the last report is a second old."""
         now = self._clock()
-        barred = self._barred()
-        if barred == self._told_barred and now - self._told < REPEAT_S:
+        blocked = self._blocked_hosts()
+        if blocked == self._sent_hosts and now - self._sent_at < REPEAT_S:
             return
-        self._told = now
-        for item in barred:
-            if item not in self._told_barred:
+        self._sent_at = now
+        for item in blocked:
+            if item not in self._sent_hosts:
                 log(Event.WITHDRAWAL_ACKNOWLEDGED, host=item.host, revision=item.revision)
-        self._told_barred = barred
-        if barred:
+        self._sent_hosts = blocked
+        if blocked:
             for controller in self._placement.controllers():
-                self._node.send(controller.inner, WithdrawalAck(self._placement.me, barred))
+                self._node.send(controller.inner, WithdrawalAck(self._placement.me, blocked))
 
-    def _barred(self) -> tuple[Barred, ...]:
+    def _blocked_hosts(self) -> tuple[Barred, ...]:
         if not self._may_acknowledge():
             return ()
-        return tuple(item for item in self._ledger.barred() if not self._occupied(item.host))
+        return tuple(
+            item for item in self._ledger.blocked_hosts() if not self._is_occupied(item.host)
+        )
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -25,8 +25,8 @@
         self.scheduler = self.a_scheduler()
         self.configure()
 
-    def a_scheduler(self, *awaited: str, epoch: int = 1) -> PoolScheduler:
-        return PoolScheduler(POOL, ZONE, epoch, set(awaited), self.clock, random.Random(1))
+    def a_scheduler(self, *awaited_gateways: str, epoch: int = 1) -> PoolScheduler:
+        return PoolScheduler(POOL, ZONE, epoch, set(awaited_gateways), self.clock, random.Random(1))
 
     def configure(
         self, slots: int = 1, hosts: int = 1, budget: int = 0, **plans: PlanTerms
@@ -41,7 +41,7 @@
     def granted(self, plan: str = "schools", caller: Caller = GW, **changes: object) -> Granted:
         return grants(self.ask(plan, caller, **changes))[0]
 
-    def teach(self, run_s: float, plan: str = "schools") -> None:
+    def measure(self, run_s: float, plan: str = "schools") -> None:
         """Run jobs of the plan with that run time, so that the scheduler measures it."""
         for _ in range(20):
             self.scheduler.done(done(self.granted(plan), run_s=run_s))
--- a/tests/routing/site.py
+++ b/tests/routing/site.py
@@ -64,12 +64,12 @@
             self.gone.add(member)
         self.change()
 
-    def roster(self, me: Member) -> "FixedRoster":
+    def membership(self, me: Member) -> "FixedMembership":
         """Return the membership list of one process."""
-        return FixedRoster(self, me)
+        return FixedMembership(self, me)
 
 
-class FixedRoster:
+class FixedMembership:
     """A membership list that the test sets."""
 
     def __init__(self, members: Members, me: Member) -> None:
@@ -136,7 +136,7 @@
         members.living.append(self.member)
         self.node = Node(self.member.process, self.member.incarnation, self.member.inner, keys)
         self.node.start()
-        self.routing = Routing(self.node, fleet.view, members.roster(self.member))
+        self.routing = Routing(self.node, fleet.view, members.membership(self.member))
         self.slots = self.routing.slots
 
     def start(self) -> None:
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -75,7 +75,7 @@
         slot = self.a_slot()
         self.ledger.start(slot)
         revision = self.withdraw()
-        self.assertEqual((), self.ledger.barred())
+        self.assertEqual((), self.ledger.blocked_hosts())
         self.ledger.release(slot)
         self.assertTrue(self.ledger.drained(H1, revision))
         self.assertFalse(self.ledger.drained(H1, revision + 1))
@@ -84,32 +84,32 @@
         # A thread checks that a host serves and is suspended there. The withdrawal arrives, nothing
         # is in flight, and the gateway acknowledges; the host changes its pool, then the thread
         # sends. So the check for sends in flight must wait until the send is registered.
-        checked, go_on = threading.Event(), threading.Event()
+        checked, resume = threading.Event(), threading.Event()
         hosts = self.fleet.view.hosts_by_id
 
-        def held_up(view: FleetView) -> object:
+        def suspended(view: FleetView) -> object:
             if threading.current_thread().name == "sender":
                 checked.set()
-                go_on.wait(20.0)
+                resume.wait(20.0)
                 return hosts
             return view._hosts_by_id
 
         drained: list[bool] = []
-        with mock.patch.object(FleetView, "hosts_by_id", property(held_up)):
+        with mock.patch.object(FleetView, "hosts_by_id", property(suspended)):
             sender = threading.Thread(
                 target=self.ledger.start, args=(self.a_slot(),), name="sender"
             )
             sender.start()
             self.assertTrue(checked.wait(20.0))
             revision = self.withdraw()
-            looker = threading.Thread(
+            checker = threading.Thread(
                 target=lambda: drained.append(self.ledger.drained(H1, revision))
             )
-            looker.start()
-            looker.join(0.3)
-            go_on.set()
+            checker.start()
+            checker.join(0.3)
+            resume.set()
             sender.join(20.0)
-            looker.join(20.0)
+            checker.join(20.0)
         self.assertEqual([False], drained)
 
     def test_an_unregistered_process_sends_nothing(self) -> None:
@@ -117,7 +117,7 @@
         ledger = SendLedger(self.fleet.view, other, self.clock)
         self.assertIsInstance(ledger.start(self.a_slot()), Failure)
 
-    def test_a_newcomer_with_an_old_pool_record_sends_nothing(self) -> None:
+    def test_a_new_gateway_with_an_old_pool_record_sends_nothing(self) -> None:
         # A gateway registers just after the withdrawal of a host was closed without waiting for
         # it. It sees its registration before it sees that change, and would send to a host that
         # another pool uses by now.
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -23,11 +23,11 @@
     def test_failures_alone_are_not_retried_for_long(self) -> None:
         # Every attempt fails. With three attempts for each job, the pool would get three times the
         # load while it is already overloaded.
-        budget = RetryBudget(share=0.1, burst=5.0)
+        budget = RetryBudget(ratio=0.1, burst=5.0)
         self.assertEqual(5, sum(budget.take() for _ in range(1000)))
 
     def test_successes_earn_retries(self) -> None:
-        budget = RetryBudget(share=0.1, burst=5.0)
+        budget = RetryBudget(ratio=0.1, burst=5.0)
         while budget.take():
             pass
         for _ in range(21):
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -3,14 +3,14 @@
 from lentilrill.ids import HostId, PlanId
 from lentilrill.inner import Granted, Held, HeldGrants, Refusal, Verdict
 from lentilrill.routing._grants import SILENT_GATEWAY_S
-from lentilrill.routing._scheduler import REBUILD_S
+from lentilrill.routing._scheduler import REBUILD_TIMEOUT_S
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.cases import GW, GW2, POOL, SchedulerCase
 from tests.routing.site import an_ask, done, grants, refusals
 
 
 class OrderTest(SchedulerCase):
-    def test_urgent_work_does_not_wait_behind_ledgers(self) -> None:
+    def test_urgent_jobs_do_not_wait_behind_patient_ones(self) -> None:
         # Urgent jobs arrive while patient ones fill the queue. In order of arrival, they would wait
         # for all of those and miss their deadlines.
         running = self.granted()
@@ -40,19 +40,19 @@
         # A plan's jobs run ten times as long as another's. If shares counted jobs, it would get
         # ten times the other's slot seconds.
         terms = PlanTerms()
-        self.configure(liar=terms, honest=terms)
-        self.teach(0.1, "honest")
-        for plan in ("liar", "honest"):
+        self.configure(long=terms, short=terms)
+        self.measure(0.1, "short")
+        for plan in ("long", "short"):
             for _ in range(100):
                 self.ask(plan, wait_s=600.0)
-        seconds = {"liar": 0.0, "honest": 0.0}
+        seconds = {"long": 0.0, "short": 0.0}
         running = self._running()
         while sum(seconds.values()) < 16.0:
             plan = self._plan_of(running)
-            run_s = 1.0 if plan == "liar" else 0.1
+            run_s = 1.0 if plan == "long" else 0.1
             seconds[plan] += run_s
             running = grants(self.scheduler.done(done(running, run_s=run_s)))[0]
-        self.assertLess(abs(seconds["liar"] - seconds["honest"]), 3.0)
+        self.assertLess(abs(seconds["long"] - seconds["short"]), 3.0)
 
     def _running(self) -> Granted:
         (grant,) = list(self.scheduler._grants)
@@ -61,11 +61,11 @@
     def _plan_of(self, granted: Granted) -> str:
         return next(g.plan for g in self.scheduler._grants if g.id == granted.grant)
 
-    def test_an_idle_plan_saves_up_no_claim(self) -> None:
+    def test_an_idle_plan_earns_no_credit(self) -> None:
         # One plan was busy for hours while the other was idle. If idle time earned credit, the idle
         # plan would then get every slot for hours, and the busy one none.
         self.configure(busy=PlanTerms(), idle=PlanTerms())
-        self.teach(10.0, "busy")
+        self.measure(10.0, "busy")
         running = self.granted("busy")
         asks = {f"busy{n}": an_ask("busy", GW, wait_s=600.0) for n in range(10)}
         asks |= {f"idle{n}": an_ask("idle", GW, wait_s=600.0) for n in range(10)}
@@ -96,7 +96,7 @@
         self.assertEqual([], self.ask())
         self.assertEqual(second.host, "h1")
 
-    def test_a_lost_report_is_made_up_for(self) -> None:
+    def test_a_lost_report_is_repaired(self) -> None:
         # The report that a job ended is lost, and its slot would stay occupied for good. Two of the
         # gateway's reports must omit the grant, since one may have been sent before it arrived.
         self.granted()
@@ -107,18 +107,18 @@
         self.scheduler.held(report, GW)
         self.assertEqual(0, self.scheduler.running)
 
-    def test_a_contradiction_in_the_accounts_is_reported(self) -> None:
+    def test_inconsistent_counts_are_reported(self) -> None:
         # A slot is freed without its grant, so the host could run one job too many for good. The
         # next consistency check must report it.
         self.granted()
-        self.scheduler.hosts.release(HostId("h1"))
+        self.scheduler.hosts.remove_grant(HostId("h1"))
         self.clock.now += 1.0
         self.tick()
         self.assertEqual(1, self.scheduler.violations)
         self.scheduler.violations = 0
-        self.scheduler.hosts.take(HostId("h1"))
+        self.scheduler.hosts.add_grant(HostId("h1"))
 
-    def test_a_report_that_crosses_an_end_brings_nothing_back(self) -> None:
+    def test_a_report_sent_before_an_end_restores_no_grant(self) -> None:
         # A gateway lists a grant in its report, the job ends, and the end arrives first. Entered as
         # a new grant, it would occupy its slot for seconds.
         first = self.granted()
@@ -127,7 +127,7 @@
         self.scheduler.held(HeldGrants(POOL, (held,)), GW)
         self.assertEqual(0, self.scheduler.running)
 
-    def test_a_grant_on_its_way_is_not_taken_for_lost(self) -> None:
+    def test_a_grant_in_transit_is_not_freed(self) -> None:
         # A gateway sends a report while a grant is in transit to it. If the omitted grant were
         # freed, the slot would be granted twice.
         self.granted()
@@ -173,7 +173,7 @@
         (granted,) = self.scheduler.done(done(running))
         self.assertEqual(GW2.address, granted.address)
 
-    def test_a_new_scheduler_first_learns_what_is_held(self) -> None:
+    def test_a_new_scheduler_waits_for_reports_of_held_grants(self) -> None:
         # A scheduler is replaced while jobs run. The next one has no record of their grants, and
         # would grant their slots again. So it first waits for all gateways' reports, or a timeout.
         self.scheduler = self.a_scheduler(GW.address, GW2.address, epoch=2)
@@ -186,10 +186,10 @@
         self.scheduler = self.a_scheduler(GW.address)
         self.configure()
         self.ask()
-        self.clock.now += REBUILD_S
+        self.clock.now += REBUILD_TIMEOUT_S
         self.assertEqual(1, len(grants(self.tick())))
 
-    def test_a_withdrawn_host_gets_nothing_and_keeps_its_account(self) -> None:
+    def test_a_withdrawn_host_gets_no_jobs_and_keeps_its_grants(self) -> None:
         first = self.granted()
         self.scheduler.configure(PoolTerms({HostId("h2"): 1}, {}))
         self.assertEqual("h2", self.granted().host)
@@ -207,13 +207,13 @@
 
 
 class StaleTest(SchedulerCase):
-    def test_a_resigning_scheduler_sends_everybody_on(self) -> None:
+    def test_a_closing_scheduler_refuses_queued_asks(self) -> None:
         # Another process takes over the pool. Asks left in the old queue would wait until their
         # deadlines for a scheduler that makes no more grants.
         self.granted()
         ask = an_ask()
         self.scheduler.ask(ask, GW)
-        (refused,) = refusals(self.scheduler.resign())
+        (refused,) = refusals(self.scheduler.close())
         self.assertEqual(Refusal.NOT_SCHEDULER, refused.refusal)
         self.assertEqual(0, self.scheduler.waiting)
 
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -14,15 +14,15 @@
     def test_spills_no_more_than_the_other_zone_has_free(self) -> None:
         # In a surge, all zones see the one with free slots. Without counting what was spilled, all
         # jobs between two load reports would be sent there and overload it.
-        self.teach(1.0)
+        self.measure(1.0)
         self.granted()
         self.ask()
         self.load(2)
         spills = [self.ask() for _ in range(4)]
         self.assertEqual(["z2", "z2"], [r.spill for out in spills for r in refusals(out)])
 
-    def test_an_old_report_counts_for_nothing(self) -> None:
-        self.teach(1.0)
+    def test_an_old_load_report_is_ignored(self) -> None:
+        self.measure(1.0)
         self.granted()
         self.load(5)
         self.clock.now += 10.0
@@ -31,15 +31,15 @@
 
     def test_a_plan_spills_only_to_its_zones(self) -> None:
         self.configure(schools=PlanTerms(zones=(ZONE, ZoneId("z3"))))
-        self.teach(1.0)
+        self.measure(1.0)
         self.granted()
         self.load(9)
         self.load(1, "z3")
         self.assertEqual("z3", refusals(self.ask(wait_s=0.1))[0].spill)
         self.assertIsNone(refusals(self.ask(wait_s=0.1))[0].spill)
 
-    def test_a_job_that_spilled_stays(self) -> None:
-        self.teach(1.0)
+    def test_a_spilled_job_is_not_spilled_again(self) -> None:
+        self.measure(1.0)
         self.granted()
         self.load(9)
         self.assertIsNone(refusals(self.ask(wait_s=0.1, spillable=False))[0].spill)
@@ -90,7 +90,7 @@
                 self.scheduler.done(done(granted))
         return held
 
-    def test_a_healed_host_is_restored(self) -> None:
+    def test_a_recovered_host_is_restored(self) -> None:
         self.configure(slots=8, hosts=3, budget=1)
         self.fail(100)
         self.clock.now += 2.0
--- a/tests/routing/test_scheduler_limits.py
+++ b/tests/routing/test_scheduler_limits.py
@@ -37,7 +37,7 @@
     def test_what_cannot_start_in_time_is_refused_at_once(self) -> None:
         # A job whose estimated wait exceeds its limit is refused at once; queued, it would be
         # refused only at its deadline.
-        self.teach(1.0)
+        self.measure(1.0)
         self.granted()
         out = [self.ask(wait_s=5.0) for _ in range(10)]
         self.assertEqual([0, 0, 0, 0, 0, 1, 1, 1, 1, 1], [len(replies) for replies in out])
@@ -45,10 +45,10 @@
         self.assertEqual(Refusal.TOO_LATE, refused.refusal)
         self.assertEqual([], self.ask(urgency=0, wait_s=5.0))
 
-    def test_who_is_refused_is_told_to_come_back_when_the_queue_is_shorter(self) -> None:
+    def test_a_refusal_asks_for_a_retry_when_the_queue_is_shorter(self) -> None:
         # A surge causes hundreds of refusals. With a retry delay of tenths of a second, until
         # there is barely room, the callers would retry together and be refused again.
-        self.teach(1.0)
+        self.measure(1.0)
         self.granted()
         waiting = [self.ask(wait_s=20.0) for _ in range(25)]
         after_s = [r.retry_after_s or 0.0 for out in waiting for r in refusals(out)]
@@ -56,27 +56,27 @@
         self.assertTrue(all(10.0 <= s <= 16.0 for s in after_s), after_s)
         self.assertEqual(5, len(set(after_s)))
 
-    def test_one_endless_job_does_not_make_everything_late(self) -> None:
+    def test_one_hanging_job_does_not_cause_refusals(self) -> None:
         # One job hangs for ten minutes. Without the cap on outliers, the estimated wait would grow
         # so much that every ask is refused as too late, although the next jobs are short.
-        self.teach(0.1)
+        self.measure(0.1)
         self.scheduler.done(done(self.granted(), run_s=600.0))
         self.granted()
         for _ in range(5):
             self.assertEqual([], self.ask(wait_s=2.0))
 
-    def test_a_new_plan_is_taken_for_an_average_one(self) -> None:
-        self.teach(0.1, "other")
+    def test_a_new_plan_is_estimated_by_the_average(self) -> None:
+        self.measure(0.1, "other")
         self.granted()
         for _ in range(10):
             self.assertEqual([], self.ask("new", wait_s=2.0))
 
-    def test_a_full_queue_sheds_the_lowest_class_first(self) -> None:
+    def test_a_full_queue_evicts_the_lowest_class_first(self) -> None:
         # An urgent ask evicts the newest ask of the lowest class from a full queue. The evicted
         # ask must be refused at once, not at its deadline.
-        self.patch(_admission, "MOST_QUEUE", 256)
+        self.patch(_admission, "MAX_QUEUE", 256)
         self.configure(ledgers=PlanTerms(queue=10_000))
-        self.teach(0.001, "ledgers")
+        self.measure(0.001, "ledgers")
         self.granted("ledgers")
         newest = an_ask("ledgers", GW, urgency=2)
         while not refusals(self.ask("ledgers", urgency=2)):
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -58,9 +58,9 @@
 
     def replace(self) -> None:
         self.epoch += 1
-        awaited = {caller.address for caller in self.alive}
+        awaited_gateways = {caller.address for caller in self.alive}
         rng = random.Random(self.epoch)
-        self.scheduler = PoolScheduler(POOL, ZONE, self.epoch, awaited, self.clock, rng)
+        self.scheduler = PoolScheduler(POOL, ZONE, self.epoch, awaited_gateways, self.clock, rng)
         self.configure()
         for caller in sorted(self.alive, key=lambda c: c.address):
             self.report(caller)
@@ -172,7 +172,7 @@
         self.replace()
 
     @invariant()
-    def accounts_agree(self) -> None:
+    def counts_agree(self) -> None:
         if self.epoch:
             self.scheduler._check()
             assert self.scheduler.violations == 0
@@ -201,7 +201,7 @@
 
 
 class RandomRunsTest(TestCase):
-    def test_accounts_hold_through_random_runs(self) -> None:
+    def test_counts_agree_in_random_runs(self) -> None:
         run_state_machine_as_test(
             SchedulerMachine,
             settings=settings(
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -12,7 +12,7 @@
 from lentilrill.ids import PoolId, RequestId
 from lentilrill.inner import Refusal, Verdict, WithdrawalAck
 from lentilrill.membership import Role
-from lentilrill.routing import Decline, Slot, _client, _waiting
+from lentilrill.routing import Decline, Slot, _client, _waiters
 from tests import builders
 from tests.routing.site import Fleet, Gateway, Members, a_job, eventually
 
@@ -87,10 +87,10 @@
         one.slots.release(held[0], Verdict.OK, 0.01)
         self.assertIsInstance(self.acquire(one).result(WAIT_S), Success)
 
-    def test_an_answer_between_two_looks_is_not_slept_over(self) -> None:
+    def test_an_answer_between_two_waits_is_not_missed(self) -> None:
         # A membership change wakes a waiting thread, and its answer arrives just before it waits
         # again. If that wake-up were cleared, the caller would wait until the ask is repeated.
-        self.patch(_client, "REASK_S", 600.0)
+        self.patch(_client, "ASK_INTERVAL_S", 600.0)
         slots = self.others()[0].slots
         for _ in range(2):
             self.acquire(self.others()[0]).result(WAIT_S).unwrap()
@@ -101,7 +101,7 @@
                 slots.abandon(job.request)
                 super().clear()
 
-        self.patch(_waiting.threading, "Event", AnsweredAtClear)
+        self.patch(_waiters.threading, "Event", AnsweredAtClear)
         waiting = self.threads.submit(slots.acquire, job)
         eventually(lambda: slots.waiting > 0)
         slots._waiters_by_request[job.request].woken.set()
@@ -120,7 +120,7 @@
         # receive the two outstanding grants before it makes any, or four jobs would run on two
         # slots. The waiting job must be granted a slot without a retry by its caller, as soon as
         # the change is known.
-        self.patch(_client, "REASK_S", 600.0)
+        self.patch(_client, "ASK_INTERVAL_S", 600.0)
         one, two = self.others()
         held = [self.acquire(one).result(WAIT_S).unwrap() for _ in range(2)]
         waiting = self.acquire(two)
@@ -130,7 +130,7 @@
         self.gateways.remove(lost)
         scheduler = self.scheduling().routing.schedulers
         eventually(lambda: POOL in scheduler.schedulers_by_pool)
-        eventually(lambda: not scheduler.schedulers_by_pool[POOL].awaited)
+        eventually(lambda: not scheduler.schedulers_by_pool[POOL].awaited_gateways)
         self.assertEqual(2, scheduler.schedulers_by_pool[POOL].running)
         self.assertFalse(waiting.done())
         one.slots.release(held[0], Verdict.OK, 0.01)
@@ -158,14 +158,14 @@
         third = self.others()[1].member.process
         eventually(lambda: len(acks) == 1)
         self.assertEqual([third], list(acks))
-        self.assertEqual((), self.scheduling().routing.acker._barred())
+        self.assertEqual((), self.scheduling().routing.acknowledger._blocked_hosts())
         self.assertFalse(one.routing.ledger.drained(slot.host, revision))
         one.slots.release(slot, Verdict.OK, 0.01)
         eventually(lambda: len(acks) == 3)
         self.assertEqual({revision}, set(acks.values()))
         self.assertEqual("h2", self.acquire(one).result(WAIT_S).unwrap().host)
 
-    def test_a_killed_gateway_leaves_its_job_to_the_scheduler(self) -> None:
+    def test_a_scheduler_tracks_the_job_of_a_killed_gateway(self) -> None:
         # A gateway is killed while its job runs on a host, so no process reports the job's end. If
         # the other gateways' acknowledgements sufficed, the host would be stopped, or change its
         # pool, under the running job.
@@ -179,33 +179,35 @@
         scheduler = scheduling.schedulers.schedulers_by_pool[POOL]
         eventually(lambda: scheduler.running == 0)
         self.fleet.hosts(builders.an_entry("h1", phase=HostPhase.WITHDRAWING))
-        self.assertEqual((), scheduling.acker._barred())
-        self.assertEqual("h1", self.others()[0].routing.acker._barred()[0].host)
+        self.assertEqual((), scheduling.acknowledger._blocked_hosts())
+        self.assertEqual("h1", self.others()[0].routing.acknowledger._blocked_hosts()[0].host)
 
-    def test_a_killed_scheduler_leaves_its_own_job_to_the_next(self) -> None:
+    def test_the_next_scheduler_tracks_the_job_of_a_killed_one(self) -> None:
         """A host was stopped under the job of a killed gateway that was also the scheduler."""
         one = self.scheduling()
         slot = self.acquire(one).result(WAIT_S).unwrap()
         self.assertIsInstance(one.slots.start(slot), Success)
-        [heir] = [g for g in self.others() if g.member == one.routing.placement.deputy(POOL)]
-        eventually(lambda: heir.routing.schedulers.occupies(slot.host))
+        [successor] = [
+            g for g in self.others() if g.member == one.routing.placement.next_scheduler(POOL)
+        ]
+        eventually(lambda: successor.routing.schedulers.occupies(slot.host))
         self.fleet.hosts(builders.an_entry("h1", phase=HostPhase.WITHDRAWING))
-        self.assertEqual((), heir.routing.acker._barred())
+        self.assertEqual((), successor.routing.acknowledger._blocked_hosts())
         one.close()
         self.gateways.remove(one)
         self.members.end(one.member, proved=True)
-        self.assertEqual(heir, self.scheduling())
-        heir.routing.schedulers.tick()
-        self.assertEqual((), heir.routing.acker._barred())
+        self.assertEqual(successor, self.scheduling())
+        successor.routing.schedulers.tick()
+        self.assertEqual((), successor.routing.acknowledger._blocked_hosts())
 
     def test_a_host_is_free_for_the_next_scheduler_when_a_job_has_ended(self) -> None:
         """A withdrawal waited for the maximum run time of a job that had already ended."""
         one = self.scheduling()
         slot = self.acquire(one).result(WAIT_S).unwrap()
-        heirs = [g.routing.schedulers for g in self.others()]
-        eventually(lambda: any(heir.occupies(slot.host) for heir in heirs))
+        successors = [g.routing.schedulers for g in self.others()]
+        eventually(lambda: any(successor.occupies(slot.host) for successor in successors))
         one.slots.release(slot, Verdict.OK, 0.01)
-        eventually(lambda: not any(heir.occupies(slot.host) for heir in heirs))
+        eventually(lambda: not any(successor.occupies(slot.host) for successor in successors))
 
     def test_a_spilled_job_goes_to_the_other_zone(self) -> None:
         self.fleet.hosts(msgspec.structs.replace(builders.an_entry("h9"), zone="z2"))
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -42,17 +42,17 @@
         job = a_job(time.monotonic() + wait_s)
         return self.threads.submit(gateway.slots.acquire, job).result(WAIT_S).unwrap()
 
-    def test_a_gateway_that_is_told_off_insists(self) -> None:
+    def test_a_gateway_refused_by_another_scheduler_insists(self) -> None:
         # One gateway is partitioned from the scheduler, the others are not. It selects the next
         # gateway as the scheduler, which refuses. Without `insist` its callers would be refused
         # for as long as the membership lists differ.
         self.patch(_client, "INSIST_AFTER_S", 0.0)
         self.fleet.hosts(builders.an_entry("h1"))
         lowest, middle, highest = self.by_rank("gw-1", "gw-2", "gw-3")
-        heard_by_cut_off = Members()
+        known_to_cut_off = Members()
         scheduler, other = self.a_gateway(highest), self.a_gateway(middle)
-        cut_off = self.a_gateway(lowest, members=heard_by_cut_off)
-        heard_by_cut_off.living.append(other.member)
+        cut_off = self.a_gateway(lowest, members=known_to_cut_off)
+        known_to_cut_off.living.append(other.member)
         self.start(scheduler, other, cut_off)
         self.assertEqual(scheduler.member, other.routing.placement.scheduler(POOL))
         self.assertEqual(other.member, cut_off.routing.placement.scheduler(POOL))
@@ -85,26 +85,26 @@
         held = [self.acquire(near) for _ in range(2)]
         self.assertEqual([Where.ENDPOINT] * 2, [slot.where for slot in held])
         scheduler = near.routing.schedulers.schedulers_by_pool[POOL]
-        loads = scheduler._others._loads_by_zone
+        loads = scheduler._other_zones._loads_by_zone
         eventually(lambda: "z2" in loads and loads["z2"].load.free > 0)
         spilled = self.acquire(near)
         self.assertEqual((Where.ZONE, "z2"), (spilled.where, spilled.zone))
 
-    def test_controllers_hear_of_leaving_hosts(self) -> None:
+    def test_leaving_hosts_are_reported_to_controllers(self) -> None:
         # An endpoint reports that it is leaving while the platform's host list still shows it as
         # live. The controllers can't replace it unless the scheduler reports it.
-        heard: queue.Queue[HostTrouble] = queue.Queue()
+        received: queue.Queue[HostTrouble] = queue.Queue()
         self.fleet.hosts(builders.an_entry("h1"), builders.an_entry("h2"))
         gateway = self.a_gateway("gw-1")
         controller = builders.a_member("ctl", role=Role.CONTROLLER, inner=gateway.member.inner)
-        gateway.node.on(HostTrouble, lambda batch, trouble: heard.put(trouble))
+        gateway.node.on(HostTrouble, lambda batch, trouble: received.put(trouble))
         self.members.living.append(controller)
         self.start(gateway)
         slot = self.acquire(gateway)
         gateway.slots.release(slot, Verdict.LEAVING, 0.01)
-        self.assertEqual((slot.host,), heard.get(timeout=WAIT_S).leaving)
+        self.assertEqual((slot.host,), received.get(timeout=WAIT_S).leaving)
 
-    def test_a_withdrawn_grant_is_asked_for_anew(self) -> None:
+    def test_a_slot_on_a_withdrawn_host_is_replaced(self) -> None:
         # A host is withdrawn while grants for it are in transit. The job was not sent, so the
         # gateway acquires another slot and the caller is not affected.
         self.fleet.hosts(builders.an_entry("h1"), builders.an_entry("h2"))
