--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -10,7 +10,7 @@
 from bench.surge_load import HOSTS, SLOTS, Events
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
-from lentilrill.routing._health import HealthBook
+from lentilrill.routing._health import HealthTable
 from lentilrill.routing._queue import Caller
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
@@ -116,7 +116,7 @@
     for verdict in FAIL_S_BY_VERDICT:
         show_run("budget of 1 host", verdict, 1)
         show_run("budget of 0 hosts", verdict, 0)
-        with mock.patch.object(HealthBook, "note", lambda *args: False):
+        with mock.patch.object(HealthTable, "note", lambda *args: False):
             show_run("no ejection", verdict, 1)
 
 
--- a/src/lentilrill/routing/_health.py
+++ b/src/lentilrill/routing/_health.py
@@ -8,7 +8,7 @@
 from lentilrill.inner import Verdict
 from lentilrill.telemetry import Event, log
 
-__all__ = ["Health", "HealthBook", "log_health"]
+__all__ = ["Health", "HealthTable", "log_health"]
 
 SCORE_SMOOTHING = 0.2
 EJECT_SCORE = 0.8
@@ -54,7 +54,7 @@
     next_probe_at: float = 0.0
 
 
-class HealthBook:
+class HealthTable:
     """Health of hosts, from the verdicts on their jobs.
 
     A host that fails every job at once always has free slots, so it would attract and fail most
--- a/src/lentilrill/routing/_hosts.py
+++ b/src/lentilrill/routing/_hosts.py
@@ -6,7 +6,7 @@
 
 from lentilrill.ids import HostId, PlanId
 from lentilrill.inner import Verdict
-from lentilrill.routing._health import Health, HealthBook
+from lentilrill.routing._health import Health, HealthTable
 
 __all__ = ["HostSlots"]
 
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self.health = HealthBook()
+        self.health = HealthTable()
         self._hosts_by_id: dict[HostId, _Host] = {}
         self._hosts_by_free_slots: dict[int, dict[HostId, None]] = {}
         self._max_slots = 0
