--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -116,7 +116,7 @@
     for verdict in FAIL_S_BY_VERDICT:
         show_run("budget of 1 host", verdict, 1)
         show_run("budget of 0 hosts", verdict, 0)
-        with mock.patch.object(HealthTable, "note", lambda *args: False):
+        with mock.patch.object(HealthTable, "record_verdict", lambda *args: False):
             show_run("no ejection", verdict, 1)
 
 
--- a/src/lentilrill/routing/_health.py
+++ b/src/lentilrill/routing/_health.py
@@ -85,7 +85,7 @@
         record = self._records_by_host[host]
         return now >= record.next_probe_at
 
-    def note(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
+    def record_verdict(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
         """Record the verdict on one job; return whether the host's health changed."""
         record = self._records_by_host.setdefault(host, _HostHealth())
         before = record.health
--- a/src/lentilrill/routing/_hosts.py
+++ b/src/lentilrill/routing/_hosts.py
@@ -119,12 +119,12 @@
         self._drop_if_unused(record)
         return True
 
-    def note(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
+    def record_verdict(self, host: HostId, plan: PlanId, verdict: Verdict, now: float) -> bool:
         """Record the verdict on a serving host's job; return whether its health changed."""
         record = self._hosts_by_id.get(host)
         if record is None or record.slots < 1:
             return False
-        changed = self.health.note(host, plan, verdict, now)
+        changed = self.health.record_verdict(host, plan, verdict, now)
         if changed:
             self._capacity_cache = None
             self._reindex(record)
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -307,7 +307,7 @@
         self._shares.charge(ended.plan, run_s - ended.expected_s, self._weight(ended.plan))
         if verdict is Verdict.OK:
             self._run_times.add(ended.plan, run_s)
-        if self.hosts.note(ended.host, ended.plan, verdict, self._clock()):
+        if self.hosts.record_verdict(ended.host, ended.plan, verdict, self._clock()):
             log_health(self.pool, ended.host, self.hosts.health.health(ended.host))
         return self._grant_free([])
 
