--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -141,7 +141,7 @@
             for other in self._zones:
                 if other != zone:
                     peer = self._schedulers[pool, other]
-                    self._events.after(ZONE_HOP_S, lambda p=peer, m=load: p.hear(m))
+                    self._events.after(ZONE_HOP_S, lambda p=peer, m=load: p.on_pool_load(m))
         self._events.after(LOAD_S, self._loads)
 
 
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -191,7 +191,7 @@
         self._awaited_gateways.discard(caller.address)
         return self._grant_free(replies)
 
-    def hear(self, load: PoolLoad) -> None:
+    def on_pool_load(self, load: PoolLoad) -> None:
         """Record the load of the pool in another zone."""
         self._other_zones.update(load, self._clock())
         self.hosts.set_max_ejected(self._max_ejected())
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -260,7 +260,7 @@
         del batch
 
         def update(scheduler: PoolScheduler) -> list[Reply]:
-            scheduler.hear(load)
+            scheduler.on_pool_load(load)
             return []
 
         if load.zone != self._placement.me.zone:
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -9,7 +9,7 @@
 
 class SpillTest(SchedulerCase):
     def load(self, free: int, zone: str = "z2") -> None:
-        self.scheduler.hear(PoolLoad(POOL, ZoneId(zone), free, 0.0, 0))
+        self.scheduler.on_pool_load(PoolLoad(POOL, ZoneId(zone), free, 0.0, 0))
 
     def test_spills_no_more_than_the_other_zone_has_free(self) -> None:
         # In a surge, all zones see the one with free slots. Without counting what was spilled, all
@@ -132,7 +132,7 @@
     def test_hosts_away_elsewhere_use_up_the_budget(self) -> None:
         self.configure(slots=8, hosts=3, budget=1)
         self.fail(100)
-        self.scheduler.hear(PoolLoad(POOL, ZoneId("z2"), 0, 0.0, 1))
+        self.scheduler.on_pool_load(PoolLoad(POOL, ZoneId("z2"), 0, 0.0, 1))
         self.assertEqual(0, self.scheduler.load().ejected)
 
     def test_jobs_that_fail_everywhere_eject_no_host(self) -> None:
--- a/tests/routing/test_slots.py
+++ b/tests/routing/test_slots.py
@@ -145,10 +145,10 @@
         )
         acks: dict[str, int] = {}
 
-        def hear(batch: object, ack: WithdrawalAck) -> None:
+        def record_ack(batch: object, ack: WithdrawalAck) -> None:
             acks[ack.member.process] = ack.barred[0].revision
 
-        self.gateways[0].node.on(WithdrawalAck, hear)
+        self.gateways[0].node.on(WithdrawalAck, record_ack)
         self.members.living.append(controller)
         one = self.others()[0]
         slot = self.acquire(one).result(WAIT_S).unwrap()
