--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -79,7 +79,7 @@
         if bad:
             self.failed.append(now)
         done = Done(POOL, granted.grant, granted.host, PLAN, verdict, run_s)
-        self.events.after(run_s, lambda: self._take(self._scheduler.done(done)))
+        self.events.after(run_s, lambda: self._take(self._scheduler.on_done(done)))
 
     def _tick(self) -> None:
         self._take(self._scheduler.tick({GW}, lambda caller: False))
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -70,7 +70,7 @@
     scheduler = a_scheduler(hosts, plans)
     held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
     for granted in held:
-        scheduler.done(done(granted))
+        scheduler.on_done(done(granted))
     held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
     for _ in range(queue):
         scheduler.ask(an_ask(plans), GW)
@@ -85,9 +85,9 @@
     for n, ask in enumerate(asks):
         if queue:
             held.extend(grants(scheduler.ask(ask, GW)))
-            held.extend(grants(scheduler.done(done(held[n]))))
+            held.extend(grants(scheduler.on_done(done(held[n]))))
         else:
-            scheduler.done(done(held[n]))
+            scheduler.on_done(done(held[n]))
             held.extend(grants(scheduler.ask(ask, GW)))
     cost = (time.process_time() - start) / GRANTS
     show("ask, grant and report", cost * 1e6, "us", hosts=hosts, queue=queue, plans=plans)
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -127,7 +127,7 @@
             Verdict.OK,
             self._events.now - job.started,
         )
-        self._decide(job.pool, zone, 2 * HOP_S, lambda s: s.done(done))
+        self._decide(job.pool, zone, 2 * HOP_S, lambda s: s.on_done(done))
 
     def _tick(self) -> None:
         for (pool, zone), _ in self._schedulers.items():
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -163,11 +163,11 @@
         grant = self._grants.find_by_ask(key)
         return self._end_grant(grant.id, Verdict.UNUSED, 0.0) if grant is not None else []
 
-    def done(self, done: Done) -> list[Reply]:
+    def on_done(self, done: Done) -> list[Reply]:
         """Free the slot of a grant that is over, and grant it to the next ask."""
         return self._end_grant(done.grant, done.verdict, done.run_s)
 
-    def held(self, report: HeldGrants, caller: Caller) -> list[Reply]:
+    def on_held_grants(self, report: HeldGrants, caller: Caller) -> list[Reply]:
         """Apply a gateway's report of the grants that it holds."""
         now = self._clock()
         for item in report.grants:
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -110,11 +110,11 @@
 
     def on_done(self, done: Done) -> None:
         """Handle the report that a grant is over."""
-        self._call(done.pool, lambda scheduler: scheduler.done(done))
+        self._call(done.pool, lambda scheduler: scheduler.on_done(done))
 
     def on_held_grants(self, report: HeldGrants, caller: Caller) -> None:
         """Handle a gateway's report of the grants that it holds."""
-        self._call(report.pool, lambda scheduler: scheduler.held(report, caller))
+        self._call(report.pool, lambda scheduler: scheduler.on_held_grants(report, caller))
 
     def occupies(self, host: HostId) -> bool:
         """Return whether a job may run on ``host`` under a grant that is known here."""
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -44,7 +44,7 @@
     def measure(self, run_s: float, plan: str = "schools") -> None:
         """Run jobs of the plan with that run time, so that the scheduler measures it."""
         for _ in range(20):
-            self.scheduler.done(done(self.granted(plan), run_s=run_s))
+            self.scheduler.on_done(done(self.granted(plan), run_s=run_s))
 
     def tick(self, *alive: Caller, gone: tuple[Caller, ...] = ()) -> list[Reply]:
         return self.scheduler.tick(set(alive or (GW, GW2)), lambda caller: caller in gone)
@@ -54,7 +54,7 @@
         names = {ask.request: name for name, ask in asks.items()}
         found: list[str] = []
         while len(found) < len(asks):
-            running = grants(self.scheduler.done(done(running, run_s=run_s)))[0]
+            running = grants(self.scheduler.on_done(done(running, run_s=run_s)))[0]
             found.append(names[running.request])
         return found
 
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -51,7 +51,7 @@
             plan = self._plan_of(running)
             run_s = 1.0 if plan == "long" else 0.1
             seconds[plan] += run_s
-            running = grants(self.scheduler.done(done(running, run_s=run_s)))[0]
+            running = grants(self.scheduler.on_done(done(running, run_s=run_s)))[0]
         self.assertLess(abs(seconds["long"] - seconds["short"]), 3.0)
 
     def _running(self) -> Granted:
@@ -90,9 +90,9 @@
         # The report that a job ended arrives twice. If the slot were released twice, the host would
         # get more jobs than it has slots.
         first = self.granted()
-        self.scheduler.done(done(first))
+        self.scheduler.on_done(done(first))
         second = self.granted()
-        self.assertEqual([], self.scheduler.done(done(first)))
+        self.assertEqual([], self.scheduler.on_done(done(first)))
         self.assertEqual([], self.ask())
         self.assertEqual(second.host, "h1")
 
@@ -102,9 +102,9 @@
         self.granted()
         report = HeldGrants(POOL, ())
         self.clock.now += 10.0
-        self.scheduler.held(report, GW)
+        self.scheduler.on_held_grants(report, GW)
         self.assertEqual(1, self.scheduler.running)
-        self.scheduler.held(report, GW)
+        self.scheduler.on_held_grants(report, GW)
         self.assertEqual(0, self.scheduler.running)
 
     def test_inconsistent_counts_are_reported(self) -> None:
@@ -122,9 +122,9 @@
         # A gateway lists a grant in its report, the job ends, and the end arrives first. Entered as
         # a new grant, it would occupy its slot for seconds.
         first = self.granted()
-        self.scheduler.done(done(first))
+        self.scheduler.on_done(done(first))
         held = Held(first.grant, first.host, PlanId("schools"))
-        self.scheduler.held(HeldGrants(POOL, (held,)), GW)
+        self.scheduler.on_held_grants(HeldGrants(POOL, (held,)), GW)
         self.assertEqual(0, self.scheduler.running)
 
     def test_a_grant_in_transit_is_not_freed(self) -> None:
@@ -132,8 +132,8 @@
         # freed, the slot would be granted twice.
         self.granted()
         for _ in range(5):
-            self.scheduler.held(HeldGrants(POOL, ()), GW)
-        self.scheduler.held(HeldGrants(POOL, ()), GW2)
+            self.scheduler.on_held_grants(HeldGrants(POOL, ()), GW)
+        self.scheduler.on_held_grants(HeldGrants(POOL, ()), GW2)
         self.assertEqual(1, self.scheduler.running)
 
     def test_a_silent_gateway_keeps_its_slots(self) -> None:
@@ -170,7 +170,7 @@
         self.ask(caller=GW)
         self.ask(caller=GW2)
         self.tick(GW2)
-        (granted,) = self.scheduler.done(done(running))
+        (granted,) = self.scheduler.on_done(done(running))
         self.assertEqual(GW2.address, granted.address)
 
     def test_a_new_scheduler_waits_for_reports_of_held_grants(self) -> None:
@@ -180,8 +180,8 @@
         self.configure(slots=2)
         self.assertEqual([], self.ask())
         old = Held("old", HostId("h1"), PlanId("schools"))  # type: ignore[arg-type]
-        self.assertEqual([], self.scheduler.held(HeldGrants(POOL, (old,)), GW))
-        self.assertEqual(1, len(grants(self.scheduler.held(HeldGrants(POOL, ()), GW2))))
+        self.assertEqual([], self.scheduler.on_held_grants(HeldGrants(POOL, (old,)), GW))
+        self.assertEqual(1, len(grants(self.scheduler.on_held_grants(HeldGrants(POOL, ()), GW2))))
         self.assertEqual([], self.ask())
         self.scheduler = self.a_scheduler(GW.address)
         self.configure()
@@ -194,7 +194,7 @@
         self.scheduler.configure(PoolTerms({HostId("h2"): 1}, {}))
         self.assertEqual("h2", self.granted().host)
         self.ask()
-        self.assertEqual([], self.scheduler.done(done(first)))
+        self.assertEqual([], self.scheduler.on_done(done(first)))
 
     def test_a_failed_host_is_avoided_while_others_serve(self) -> None:
         self.configure(slots=1, hosts=2)
@@ -221,7 +221,7 @@
         # Both hosts report that they are leaving. Asks would wait for slots that never become free.
         for _ in range(2):
             self.configure(hosts=2)
-            self.scheduler.done(done(self.granted(), Verdict.LEAVING))
+            self.scheduler.on_done(done(self.granted(), Verdict.LEAVING))
         (refused,) = refusals(self.ask())
         self.assertEqual(Refusal.NO_HOSTS, refused.refusal)
 
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -53,7 +53,7 @@
             granted = self.granted()
             hosts.append(granted.host)
             bad = granted.host == "h1"
-            self.scheduler.done(done(granted, verdict if bad else Verdict.OK))
+            self.scheduler.on_done(done(granted, verdict if bad else Verdict.OK))
         return hosts
 
     def test_a_host_that_fails_everything_is_ejected(self) -> None:
@@ -79,7 +79,7 @@
                 self.clock.now += 0.5
             self.assertEqual(1, len(probes))
             pauses.append(self.clock.now - start)
-            self.scheduler.done(done(probes[0], Verdict.ERROR))
+            self.scheduler.on_done(done(probes[0], Verdict.ERROR))
         self.assertEqual(sorted(pauses), pauses)
         self.assertLess(pauses[0], pauses[-1])
 
@@ -87,7 +87,7 @@
         held = [self.granted() for _ in range(6)]
         for granted in held:
             if granted.host != "h1":
-                self.scheduler.done(done(granted))
+                self.scheduler.on_done(done(granted))
         return held
 
     def test_a_recovered_host_is_restored(self) -> None:
@@ -95,7 +95,7 @@
         self.fail(100)
         self.clock.now += 2.0
         for _ in range(20):
-            self.scheduler.done(done(self.granted()))
+            self.scheduler.on_done(done(self.granted()))
         self.assertEqual(0, self.scheduler.load().ejected)
         self.assertEqual(8 * 3, self.scheduler.hosts.capacity)
 
@@ -106,7 +106,7 @@
         for _ in range(100):
             granted = self.granted()
             ok = granted.host == "h3"
-            self.scheduler.done(done(granted, Verdict.OK if ok else Verdict.ERROR))
+            self.scheduler.on_done(done(granted, Verdict.OK if ok else Verdict.ERROR))
         self.assertEqual(1, self.scheduler.load().ejected)
         self.assertEqual(9, self.scheduler.hosts.capacity)
         self.clock.now += 1.0
@@ -114,7 +114,7 @@
         hosts = [granted.host for granted in held]
         self.assertEqual((1, 1, 8), tuple(hosts.count(HostId(h)) for h in ("h1", "h2", "h3")))
         last = held[hosts.index(HostId("h2"))]
-        self.scheduler.done(done(last, Verdict.ERROR))
+        self.scheduler.on_done(done(last, Verdict.ERROR))
         self.assertEqual([], self.ask())
 
     def test_jobs_in_flight_do_not_make_the_pause_grow(self) -> None:
@@ -124,7 +124,7 @@
         held = [self.granted() for _ in range(24)]
         for granted in held:
             bad = granted.host == "h1"
-            self.scheduler.done(done(granted, Verdict.UNREACHABLE if bad else Verdict.OK))
+            self.scheduler.on_done(done(granted, Verdict.UNREACHABLE if bad else Verdict.OK))
         self.assertEqual(1, self.scheduler.load().ejected)
         self.clock.now += 1.0
         self.assertIn("h1", [granted.host for granted in self._burst()])
@@ -140,7 +140,7 @@
         # would be ejected, although other plans' jobs succeed.
         self.configure(slots=8, hosts=3, budget=3)
         for _ in range(100):
-            self.scheduler.done(done(self.granted("broken"), Verdict.ERROR, plan="broken"))
+            self.scheduler.on_done(done(self.granted("broken"), Verdict.ERROR, plan="broken"))
         self.assertEqual(0, self.scheduler.load().ejected)
 
     def test_a_leaving_host_gets_no_more_work(self) -> None:
@@ -148,14 +148,14 @@
         self.configure(slots=8, hosts=2)
         while (granted := self.granted()).host != "h1":
             pass
-        self.scheduler.done(done(granted, Verdict.LEAVING))
+        self.scheduler.on_done(done(granted, Verdict.LEAVING))
         self.clock.now += 300.0
         asked = [grants(self.ask()) for _ in range(16)]
         self.assertEqual({"h2"}, {granted.host for out in asked for granted in out})
 
     def test_a_host_that_left_and_came_back_is_new(self) -> None:
         self.configure(slots=8, hosts=1)
-        self.scheduler.done(done(self.granted(), Verdict.LEAVING))
+        self.scheduler.on_done(done(self.granted(), Verdict.LEAVING))
         self.scheduler.configure(PoolTerms({}, {}))
         self.configure(slots=8, hosts=1)
         self.assertEqual("h1", self.granted().host)
--- a/tests/routing/test_scheduler_limits.py
+++ b/tests/routing/test_scheduler_limits.py
@@ -32,7 +32,7 @@
         first = self.granted()
         self.assertEqual([], self.ask(urgency=0))
         self.granted("library", urgency=2)
-        self.assertEqual(1, len(grants(self.scheduler.done(done(first)))))
+        self.assertEqual(1, len(grants(self.scheduler.on_done(done(first)))))
 
     def test_what_cannot_start_in_time_is_refused_at_once(self) -> None:
         # A job whose estimated wait exceeds its limit is refused at once; queued, it would be
@@ -60,7 +60,7 @@
         # One job hangs for ten minutes. Without the cap on outliers, the estimated wait would grow
         # so much that every ask is refused as too late, although the next jobs are short.
         self.measure(0.1)
-        self.scheduler.done(done(self.granted(), run_s=600.0))
+        self.scheduler.on_done(done(self.granted(), run_s=600.0))
         self.granted()
         for _ in range(5):
             self.assertEqual([], self.ask(wait_s=2.0))
@@ -105,7 +105,7 @@
         ask = an_ask(wait_s=9.0)
         self.scheduler.ask(ask, GW)
         self.clock.now += 4.999
-        (granted,) = grants(self.scheduler.done(done(running)))
+        (granted,) = grants(self.scheduler.on_done(done(running)))
         self.assertEqual(ask.request, granted.request)
 
     def test_thousands_of_cancellations(self) -> None:
@@ -120,7 +120,7 @@
         for ask in asks[1:]:
             self.scheduler.cancel(ask.request, GW)
         self.assertEqual(1, self.scheduler.waiting)
-        (granted,) = grants(self.scheduler.done(done(running[0])))
+        (granted,) = grants(self.scheduler.on_done(done(running[0])))
         self.assertEqual(asks[0].request, granted.request)
 
 
@@ -141,13 +141,13 @@
         self.assertEqual(2, len([self.granted("ballots", urgency=0) for _ in range(2)]))
 
     def test_short_jobs_use_every_slot(self) -> None:
-        self.scheduler.done(done(self.granted("volumes", urgency=2), run_s=0.2))
+        self.scheduler.on_done(done(self.granted("volumes", urgency=2), run_s=0.2))
         self.assertEqual(16, self.volumes())
 
     def test_a_plan_whose_jobs_grow_long_is_noticed_while_they_run(self) -> None:
         # A plan's jobs were short and now run for an hour. If only completed jobs counted, the
         # scheduler would fill the reserved slots with long jobs for that hour.
-        self.scheduler.done(done(self.granted("volumes", urgency=2), run_s=0.2))
+        self.scheduler.on_done(done(self.granted("volumes", urgency=2), run_s=0.2))
         self.volumes(14)
         self.clock.now += 5.0
         self.tick()
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -73,7 +73,7 @@
         mine = [
             Held(g.grant, g.host, PlanId(plan)) for g, c, plan in self.held.values() if c == caller
         ]
-        self.take(self.scheduler.held(HeldGrants(POOL, tuple(mine)), caller))
+        self.take(self.scheduler.on_held_grants(HeldGrants(POOL, tuple(mine)), caller))
 
     def take(self, replies: list[Reply], lose: bool = False) -> None:
         for reply in replies:
@@ -81,7 +81,7 @@
             if isinstance(reply.message, Granted) and reply.message.host not in self.serving:
                 # Only a repeat of an earlier grant; the gateway returns it unused.
                 assert reply.message.grant in self.granted
-                self.take(self.scheduler.done(done(reply.message, Verdict.UNUSED, 0.0)))
+                self.take(self.scheduler.on_done(done(reply.message, Verdict.UNUSED, 0.0)))
                 continue
             if isinstance(reply.message, Granted):
                 self.granted.add(reply.message.grant)
@@ -142,7 +142,7 @@
             self.exact = False
             return
         for _ in range(1 + twice):
-            self.take(self.scheduler.done(done(granted, verdict, run_s, plan)))
+            self.take(self.scheduler.on_done(done(granted, verdict, run_s, plan)))
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 3.5, 100.0]))
     def tick(self, seconds: float) -> None:
@@ -195,7 +195,7 @@
             self.take(self.scheduler.tick(self.alive, lambda caller: caller in self.gone))
             for granted, _, plan in list(self.held.values()):
                 del self.held[granted.grant]
-                self.take(self.scheduler.done(done(granted, Verdict.OK, 0.1, plan)))
+                self.take(self.scheduler.on_done(done(granted, Verdict.OK, 0.1, plan)))
         assert self.scheduler.waiting == 0
         assert self.scheduler.running == 0
 
