--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -11,12 +11,12 @@
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
 from lentilrill.routing._health import HealthTable
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 
 POOL, PLAN = PoolId("schools"), PlanId("schools")
-GW = Caller(ProcessId("gw"), Incarnation(1), "gw")
+GW = GatewayInstance(ProcessId("gw"), Incarnation(1), "gw")
 BAD = HostId("h0")
 RUN_S = 0.2
 LOAD_OF_CAPACITY = 0.7
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -13,14 +13,14 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests import builders
 from tests.routing.site import Fleet, Gateway, Members, a_job
 
 POOL, ZONE = PoolId("schools"), ZoneId("z1")
-GW = Caller(ProcessId("gw-1"), Incarnation(1), "gw-1")
+GW = GatewayInstance(ProcessId("gw-1"), Incarnation(1), "gw-1")
 SLOTS = 8
 GRANTS = 20_000
 HOSTS = (8, 80, 400)
@@ -133,7 +133,7 @@
     scheduler, _ = filled(hosts, queue, 4)
     start = time.process_time()
     for n in range(20):
-        alive = {GW, Caller(ProcessId("other"), Incarnation(n), "other")}
+        alive = {GW, GatewayInstance(ProcessId("other"), Incarnation(n), "other")}
         scheduler.tick(alive, lambda caller: False)
     cost = (time.process_time() - start) / 20
     show("sweep", cost * 1e3, "ms", hosts=hosts, queue=queue)
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -8,7 +8,7 @@
 from bench.surge_load import HOSTS, PLANS, POOLS, SLOTS, Endpoint, Events, Job
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Refused, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 
@@ -37,7 +37,7 @@
         self._endpoints: dict[HostId, Endpoint] = {}
         self._callers = {
             zone: [
-                Caller(ProcessId(f"{zone}-{n}"), Incarnation(1), f"{zone}-{n}")
+                GatewayInstance(ProcessId(f"{zone}-{n}"), Incarnation(1), f"{zone}-{n}")
                 for n in range(GATEWAYS)
             ]
             for zone in self._zones
--- a/src/lentilrill/routing/_client.py
+++ b/src/lentilrill/routing/_client.py
@@ -26,7 +26,7 @@
 from lentilrill.routing._contract import Decline, Job, Slot, Where
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._local_grants import LocalGrant, LocalGrants
-from lentilrill.routing._placement import Placement, caller_of
+from lentilrill.routing._placement import Placement, instance_of
 from lentilrill.routing._schedulers import LocalSchedulers
 from lentilrill.routing._waiters import PoolZones, Waiter, answer_s, decline
 
@@ -289,7 +289,7 @@
             if address:
                 self._node.send(address, message)
             return
-        me = caller_of(self._placement.me)
+        me = instance_of(self._placement.me)
         match message:
             case Ask():
                 self._schedulers.on_ask(message, me)
--- a/src/lentilrill/routing/_copies.py
+++ b/src/lentilrill/routing/_copies.py
@@ -6,7 +6,7 @@
 
 from lentilrill.ids import GrantId, HostId, PoolId
 from lentilrill.inner import GrantCopy
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 
 __all__ = ["GrantCopies"]
 
@@ -26,13 +26,13 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._copies_by_holder: dict[tuple[PoolId, Caller], _CopiesByGrant] = {}
-        self._received_at_by_holder: dict[tuple[PoolId, Caller], float] = {}
+        self._copies_by_holder: dict[tuple[PoolId, GatewayInstance], _CopiesByGrant] = {}
+        self._received_at_by_holder: dict[tuple[PoolId, GatewayInstance], float] = {}
 
-    def update(self, copy: GrantCopy, caller: Caller) -> None:
+    def update(self, copy: GrantCopy, gateway: GatewayInstance) -> None:
         """Apply a full copy, or a change, from a scheduler's process."""
         now = self._clock()
-        holder = (copy.pool, caller)
+        holder = (copy.pool, gateway)
         with self._lock:
             copies = {} if copy.whole else self._copies_by_holder.get(holder, {})
             for grant in copy.ended:
@@ -52,14 +52,14 @@
                 for on, until in copies.values()
             )
 
-    def tick(self, alive: set[Caller]) -> None:
+    def tick(self, alive: set[GatewayInstance]) -> None:
         """Remove expired copies, and those that a live holder no longer sends to this process."""
         now = self._clock()
         with self._lock:
             for holder, copies in list(self._copies_by_holder.items()):
-                _, caller = holder
+                _, gateway = holder
                 is_stale = (
-                    caller in alive and now - self._received_at_by_holder[holder] > STALE_AFTER_S
+                    gateway in alive and now - self._received_at_by_holder[holder] > STALE_AFTER_S
                 )
                 if is_stale or all(until <= now for _, until in copies.values()):
                     del self._copies_by_holder[holder]
--- a/src/lentilrill/routing/_grants.py
+++ b/src/lentilrill/routing/_grants.py
@@ -7,7 +7,7 @@
 
 from lentilrill.ids import GrantId, HostId, PlanId
 from lentilrill.inner import Held
-from lentilrill.routing._queue import AskKey, Caller
+from lentilrill.routing._queue import AskKey, GatewayInstance
 
 __all__ = ["Grant", "GrantTable"]
 
@@ -30,7 +30,7 @@
     id: GrantId
     host: HostId
     plan: PlanId
-    caller: Caller
+    gateway: GatewayInstance
     key: AskKey | None
     granted_at: float
     expected_s: float
@@ -110,8 +110,10 @@
             del self._running_by_plan[ended.plan]
         return ended
 
-    def find_unreported(self, caller: Caller, held: tuple[Held, ...], now: float) -> list[Grant]:
-        """Return the grants of ``caller`` that were missing from two reports in a row.
+    def find_unreported(
+        self, gateway: GatewayInstance, held: tuple[Held, ...], now: float
+    ) -> list[Grant]:
+        """Return the grants of ``gateway`` that were missing from two reports in a row.
 
         If the message that a grant is over, or the grant itself, is lost, its slot would stay
         occupied for good. A grant may be in transit while the gateway makes its report, so
@@ -120,7 +122,7 @@
         listed = {item.grant for item in held}
         lost: list[Grant] = []
         for grant in self:
-            if grant.caller != caller:
+            if grant.gateway != gateway:
                 continue
             if grant.id in listed:
                 grant.missed_reports = 0
@@ -141,7 +143,7 @@
         return self._orphan_until_by_host.get(host, 0.0) > now
 
     def find_orphans(
-        self, alive: set[Caller], is_gone: Callable[[Caller], bool], now: float
+        self, alive: set[GatewayInstance], is_gone: Callable[[GatewayInstance], bool], now: float
     ) -> list[Grant]:
         """Return the grants of gateways that ended, or were not live for a very long time.
 
@@ -150,16 +152,16 @@
         never confirmed; a slot granted twice then only costs a place in the endpoint's queue.
         """
         ended: list[Grant] = []
-        gone_by_caller: dict[Caller, bool] = {}
+        gone_by_gateway: dict[GatewayInstance, bool] = {}
         for grant in self:
-            if grant.caller in alive:
+            if grant.gateway in alive:
                 grant.silent_since = None
                 continue
             if grant.silent_since is None:
                 grant.silent_since = now
-            if grant.caller not in gone_by_caller:
-                gone_by_caller[grant.caller] = is_gone(grant.caller)
+            if grant.gateway not in gone_by_gateway:
+                gone_by_gateway[grant.gateway] = is_gone(grant.gateway)
             silent_s = now - grant.silent_since
-            if gone_by_caller[grant.caller] or silent_s > SILENT_GATEWAY_S:
+            if gone_by_gateway[grant.gateway] or silent_s > SILENT_GATEWAY_S:
                 ended.append(grant)
         return ended
--- a/src/lentilrill/routing/_local_grants.py
+++ b/src/lentilrill/routing/_local_grants.py
@@ -8,7 +8,7 @@
 from lentilrill.ids import GrantId, HostId, PoolId
 from lentilrill.inner import Batch, Done, GrantCopy, Held, HeldAsk, HeldGrants, Node, Verdict
 from lentilrill.routing._contract import Job, Slot
-from lentilrill.routing._placement import Placement, caller_of
+from lentilrill.routing._placement import Placement, instance_of
 from lentilrill.routing._schedulers import LocalSchedulers
 from lentilrill.routing._waiters import answer_s
 from lentilrill.telemetry import Event, log
@@ -126,7 +126,7 @@
             if address != self._node.address:
                 self._node.send(address, report)
                 return
-        self._schedulers.on_held_grants(report, caller_of(self._placement.me))
+        self._schedulers.on_held_grants(report, instance_of(self._placement.me))
 
     def _on_held_ask(self, batch: Batch, ask: HeldAsk) -> None:
         del batch
--- a/src/lentilrill/routing/_placement.py
+++ b/src/lentilrill/routing/_placement.py
@@ -5,19 +5,19 @@
 from lentilrill.ids import PoolId, ZoneId
 from lentilrill.inner import Batch
 from lentilrill.membership import Liveness, Member, Role, Roster, ranked
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 
-__all__ = ["Placement", "caller_of", "caller_of_batch"]
+__all__ = ["Placement", "instance_of", "sender_of"]
 
 
-def caller_of(member: Member) -> Caller:
+def instance_of(member: Member) -> GatewayInstance:
     """Return the gateway instance of a member."""
-    return Caller(member.process, member.incarnation, member.inner)
+    return GatewayInstance(member.process, member.incarnation, member.inner)
 
 
-def caller_of_batch(batch: Batch) -> Caller:
+def sender_of(batch: Batch) -> GatewayInstance:
     """Return the gateway instance that sent ``batch``."""
-    return Caller(batch.sender, batch.incarnation, batch.reply_to)
+    return GatewayInstance(batch.sender, batch.incarnation, batch.reply_to)
 
 
 class Placement:
@@ -28,8 +28,8 @@
         self._lock = threading.Lock()
         self._gateways_by_zone: dict[ZoneId, tuple[Member, ...]] = {}
         self._schedulers: dict[tuple[PoolId, ZoneId], list[Member]] = {}
-        self._members_by_caller: dict[Caller, Member] = {}
-        self._callers: set[Caller] = set()
+        self._members_by_instance: dict[GatewayInstance, Member] = {}
+        self._instances: set[GatewayInstance] = set()
         self.refresh()
 
     @property
@@ -50,9 +50,9 @@
         """Return the live controllers of this zone."""
         return self._membership.alive(Role.CONTROLLER, self.me.zone)
 
-    def callers(self) -> set[Caller]:
+    def instances(self) -> set[GatewayInstance]:
         """Return the instances of the live gateways of this zone."""
-        return self._callers
+        return self._instances
 
     def scheduler(self, pool: PoolId, zone: ZoneId | None = None) -> Member | None:
         """Return the process that schedules ``pool`` in ``zone``, by default in this zone."""
@@ -80,14 +80,14 @@
         scheduler = self.scheduler(pool)
         return scheduler is not None and scheduler.process == self.me.process
 
-    def is_gone(self, caller: Caller) -> bool:
+    def is_gone(self, instance: GatewayInstance) -> bool:
         """Return whether a gateway has certainly ended: it is gone, or a newer one replaced it."""
         if any(
-            member.process == caller.process and member.incarnation > caller.incarnation
+            member.process == instance.process and member.incarnation > instance.incarnation
             for member in self.gateways(self.me.zone)
         ):
             return True
-        member = self._members_by_caller.get(caller)
+        member = self._members_by_instance.get(instance)
         return member is not None and self._membership.liveness(member) is Liveness.GONE
 
     def refresh(self) -> bool:
@@ -102,7 +102,7 @@
             self._gateways_by_zone = gateways_by_zone
             self._schedulers = {}
             members = gateways_by_zone.get(self.me.zone, ())
-            self._callers = {caller_of(member) for member in members}
+            self._instances = {instance_of(member) for member in members}
             self._add_members(members)
         return True
 
@@ -110,11 +110,11 @@
         # A gateway's grants stay valid after it stops being alive, so its member record is kept
         # until it has certainly ended and its grants are freed.
         for member in members:
-            self._members_by_caller[caller_of(member)] = member
+            self._members_by_instance[instance_of(member)] = member
 
-    def forget(self, keep: set[Caller]) -> None:
+    def forget(self, keep: set[GatewayInstance]) -> None:
         """Remove the records of ended gateways except those in ``keep``, which hold grants."""
-        alive = self.callers()
+        alive = self.instances()
         with self._lock:
-            for caller in self._members_by_caller.keys() - keep - alive:
-                del self._members_by_caller[caller]
+            for instance in self._members_by_instance.keys() - keep - alive:
+                del self._members_by_instance[instance]
--- a/src/lentilrill/routing/_queue.py
+++ b/src/lentilrill/routing/_queue.py
@@ -8,12 +8,12 @@
 from lentilrill.ids import HostId, Incarnation, PlanId, ProcessId, RequestId
 from lentilrill.settings import Urgency
 
-__all__ = ["AskKey", "AskQueue", "Caller", "FairShares", "QueuedAsk"]
+__all__ = ["AskKey", "AskQueue", "FairShares", "GatewayInstance", "QueuedAsk"]
 
 URGENCY_CLASSES = len(Urgency)
 
 
-class Caller(msgspec.Struct, frozen=True):
+class GatewayInstance(msgspec.Struct, frozen=True):
     """One incarnation of a gateway that requests slots.
 
     :param address: inner address of the gateway.
@@ -41,7 +41,7 @@
     """
 
     key: AskKey
-    caller: Caller
+    gateway: GatewayInstance
     plan: PlanId
     urgency: int
     deadline: float
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -18,7 +18,7 @@
 from lentilrill.routing._grants import Grant, GrantTable
 from lentilrill.routing._health import Health, log_health
 from lentilrill.routing._hosts import HostSlots
-from lentilrill.routing._queue import AskKey, AskQueue, Caller, FairShares, QueuedAsk
+from lentilrill.routing._queue import AskKey, AskQueue, FairShares, GatewayInstance, QueuedAsk
 from lentilrill.routing._reserve import Reserve
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.routing._spill import OtherZones
@@ -76,7 +76,7 @@
         self._ask_count = 0
         self._grant_count = 0
         self._swept_at = clock()
-        self._alive_gateways: set[Caller] = set()
+        self._alive_gateways: set[GatewayInstance] = set()
 
     @property
     def waiting(self) -> int:
@@ -99,9 +99,9 @@
         return self.hosts.is_tracked(host) or self._grants.has_orphan(host, self._clock())
 
     @property
-    def holders(self) -> set[Caller]:
+    def holders(self) -> set[GatewayInstance]:
         """Gateways that hold grants."""
-        return {grant.caller for grant in self._grants}
+        return {grant.gateway for grant in self._grants}
 
     @property
     def awaited_gateways(self) -> frozenset[str]:
@@ -122,9 +122,9 @@
         self.hosts.health.retain_plans(plans)
         return self._grant_free([])
 
-    def ask(self, ask: Ask, caller: Caller) -> list[Reply]:
+    def ask(self, ask: Ask, gateway: GatewayInstance) -> list[Reply]:
         """Grant a slot, queue the ask, or refuse it."""
-        key = AskKey(caller.address, ask.request)
+        key = AskKey(gateway.address, ask.request)
         existing = self._grants.find_by_ask(key)
         if existing is not None:
             return [self._granted_reply(existing, ask.request)]
@@ -133,7 +133,7 @@
         replies: list[Reply] = []
         refused = self._admission.refusal_for(ask, replies)
         if refused is not None:
-            replies.append(Reply(caller.address, refused))
+            replies.append(Reply(gateway.address, refused))
             return replies
         self._ask_count += 1
         now = self._clock()
@@ -143,7 +143,7 @@
         self._queue.add(
             QueuedAsk(
                 key,
-                caller,
+                gateway,
                 ask.plan,
                 ask.urgency,
                 deadline,
@@ -155,9 +155,9 @@
         )
         return self._grant_free(replies)
 
-    def cancel(self, request: RequestId, caller: Caller) -> list[Reply]:
+    def cancel(self, request: RequestId, gateway: GatewayInstance) -> list[Reply]:
         """Remove an ask from the queue, or free the grant that answered it."""
-        key = AskKey(caller.address, request)
+        key = AskKey(gateway.address, request)
         if self._queue.remove(key) is not None:
             return []
         grant = self._grants.find_by_ask(key)
@@ -167,7 +167,7 @@
         """Free the slot of a grant that is over, and grant it to the next ask."""
         return self._end_grant(done.grant, done.verdict, done.run_s)
 
-    def on_held_grants(self, report: HeldGrants, caller: Caller) -> list[Reply]:
+    def on_held_grants(self, report: HeldGrants, gateway: GatewayInstance) -> list[Reply]:
         """Apply a gateway's report of the grants that it holds."""
         now = self._clock()
         for item in report.grants:
@@ -178,7 +178,7 @@
                         item.grant,
                         item.host,
                         item.plan,
-                        caller,
+                        gateway,
                         None,
                         now,
                         expected_s,
@@ -186,9 +186,9 @@
                     )
                 )
         replies: list[Reply] = []
-        for grant in self._grants.find_unreported(caller, report.grants, now):
+        for grant in self._grants.find_unreported(gateway, report.grants, now):
             self._reclaim(grant, "missing from its gateway's reports", replies)
-        self._awaited_gateways.discard(caller.address)
+        self._awaited_gateways.discard(gateway.address)
         return self._grant_free(replies)
 
     def on_pool_load(self, load: PoolLoad) -> None:
@@ -202,7 +202,9 @@
         free = 0 if self._queue or self.awaited_gateways else self.hosts.free
         return PoolLoad(self.pool, self.zone, free, self._wait_estimate.drain_s(), ejected)
 
-    def tick(self, alive: set[Caller], is_gone: Callable[[Caller], bool]) -> list[Reply]:
+    def tick(
+        self, alive: set[GatewayInstance], is_gone: Callable[[GatewayInstance], bool]
+    ) -> list[Reply]:
         """Refuse asks past their deadline, and free the grants of ended gateways."""
         now = self._clock()
         replies: list[Reply] = []
@@ -215,15 +217,15 @@
 
     def _sweep(
         self,
-        alive: set[Caller],
-        is_gone: Callable[[Caller], bool],
+        alive: set[GatewayInstance],
+        is_gone: Callable[[GatewayInstance], bool],
         now: float,
         replies: list[Reply],
     ) -> None:
         # A slot granted to a gateway that is not live would stay unused. If the gateway comes
         # back, it repeats the ask with the same deadline and regains its place in the queue.
         for queued in self._queue:
-            if queued.caller not in alive:
+            if queued.gateway not in alive:
                 self._queue.remove(queued.key)
         for grant in self._grants.find_orphans(alive, is_gone, now):
             self._grants.record_orphan(grant, now)
@@ -280,7 +282,7 @@
             GrantId(f"{self.epoch:x}.{self._grant_count:x}"),
             host,
             queued.plan,
-            queued.caller,
+            queued.gateway,
             queued.key,
             now,
             self._run_times.expected_s(queued.plan),
@@ -291,7 +293,7 @@
 
     def _granted_reply(self, grant: Grant, request: RequestId) -> Reply:
         granted = Granted(request, self.pool, grant.id, grant.host, self.epoch, START_WITHIN_S)
-        return Reply(grant.caller.address, granted)
+        return Reply(grant.gateway.address, granted)
 
     def _add_grant(self, grant: Grant) -> None:
         self._grants.add(grant)
@@ -312,8 +314,10 @@
         return self._grant_free([])
 
     def _reclaim(self, grant: Grant, reason: str, replies: list[Reply]) -> None:
-        gateway = grant.caller.process
-        log(Event.GRANT_RECLAIMED, pool=self.pool, grant=grant.id, gateway=gateway, reason=reason)
+        process_id = grant.gateway.process
+        log(
+            Event.GRANT_RECLAIMED, pool=self.pool, grant=grant.id, gateway=process_id, reason=reason
+        )
         replies.extend(self._end_grant(grant.id, Verdict.UNUSED, 0.0))
 
     def _weight(self, plan: PlanId) -> float:
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -25,8 +25,8 @@
 from lentilrill.routing._copies import GrantCopies
 from lentilrill.routing._health import Health
 from lentilrill.routing._peer_updates import PeerUpdates, RunningScheduler
-from lentilrill.routing._placement import Placement, caller_of_batch
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._placement import Placement, sender_of
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import pool_terms
 from lentilrill.telemetry import Event, Metrics, NoMetrics, log
@@ -70,14 +70,12 @@
         self._refreshing = threading.Lock()
         self._running_by_pool: dict[PoolId, RunningScheduler] = {}
         self._forgot_at = clock()
-        node.on(Ask, lambda batch, ask: self.on_ask(ask, caller_of_batch(batch)))
-        node.on(Cancel, lambda batch, cancel: self.on_cancel(cancel, caller_of_batch(batch)))
+        node.on(Ask, lambda batch, ask: self.on_ask(ask, sender_of(batch)))
+        node.on(Cancel, lambda batch, cancel: self.on_cancel(cancel, sender_of(batch)))
         node.on(Done, lambda batch, done: self.on_done(done))
-        node.on(
-            HeldGrants, lambda batch, report: self.on_held_grants(report, caller_of_batch(batch))
-        )
+        node.on(HeldGrants, lambda batch, report: self.on_held_grants(report, sender_of(batch)))
         node.on(PoolLoad, self._on_pool_load)
-        node.on(GrantCopy, lambda batch, copy: self._copies.update(copy, caller_of_batch(batch)))
+        node.on(GrantCopy, lambda batch, copy: self._copies.update(copy, sender_of(batch)))
 
     @property
     def schedulers_by_pool(self) -> dict[PoolId, PoolScheduler]:
@@ -91,30 +89,30 @@
         schedulers = [entry.scheduler for _, entry in self._list_running()]
         return any(scheduler.waiting or scheduler.awaited_gateways for scheduler in schedulers)
 
-    def on_ask(self, ask: Ask, caller: Caller) -> None:
+    def on_ask(self, ask: Ask, gateway: GatewayInstance) -> None:
         """Handle an ask from a gateway of this zone."""
         wanted = ask.insist or self._placement.is_mine(ask.pool)
         if not self._is_running(ask.pool) and not (wanted and ask.pool in self._view.pools_by_id):
             refused = Refused(ask.request, ask.pool, Refusal.NOT_SCHEDULER)
-            self._deliver([Reply(caller.address, refused)])
+            self._deliver([Reply(gateway.address, refused)])
             return
         entry = self._get_or_start(ask.pool)
         if ask.insist:
             entry.insisted_at = self._clock()
-        self._call(ask.pool, lambda scheduler: scheduler.ask(ask, caller))
+        self._call(ask.pool, lambda scheduler: scheduler.ask(ask, gateway))
 
-    def on_cancel(self, cancel: Cancel, caller: Caller) -> None:
+    def on_cancel(self, cancel: Cancel, gateway: GatewayInstance) -> None:
         """Handle the cancellation of an ask."""
         request: RequestId = cancel.request
-        self._call(cancel.pool, lambda scheduler: scheduler.cancel(request, caller))
+        self._call(cancel.pool, lambda scheduler: scheduler.cancel(request, gateway))
 
     def on_done(self, done: Done) -> None:
         """Handle the report that a grant is over."""
         self._call(done.pool, lambda scheduler: scheduler.on_done(done))
 
-    def on_held_grants(self, report: HeldGrants, caller: Caller) -> None:
+    def on_held_grants(self, report: HeldGrants, gateway: GatewayInstance) -> None:
         """Handle a gateway's report of the grants that it holds."""
-        self._call(report.pool, lambda scheduler: scheduler.on_held_grants(report, caller))
+        self._call(report.pool, lambda scheduler: scheduler.on_held_grants(report, gateway))
 
     def occupies(self, host: HostId) -> bool:
         """Return whether a job may run on ``host`` under a grant that is known here."""
@@ -140,7 +138,7 @@
 
     def tick(self) -> None:
         """Do the periodic work: refusals, reports to peers, freeing of grants."""
-        alive = self._placement.callers()
+        alive = self._placement.instances()
         now = self._clock()
         self._copies.tick(alive)
         for pool, entry in self._list_running():
@@ -158,7 +156,7 @@
             self._forget_ended()
 
     def _forget_ended(self) -> None:
-        holders: set[Caller] = set()
+        holders: set[GatewayInstance] = set()
         for _, entry in self._list_running():
             with entry.lock:
                 holders |= entry.scheduler.holders
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -6,7 +6,7 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.site import Clock, an_ask, done, grants
@@ -14,8 +14,8 @@
 __all__ = ["GW", "GW2", "POOL", "ZONE", "SchedulerCase"]
 
 POOL, ZONE = PoolId("schools"), ZoneId("z1")
-GW = Caller(ProcessId("gw-1"), Incarnation(1), "gw-1")
-GW2 = Caller(ProcessId("gw-2"), Incarnation(1), "gw-2")
+GW = GatewayInstance(ProcessId("gw-1"), Incarnation(1), "gw-1")
+GW2 = GatewayInstance(ProcessId("gw-2"), Incarnation(1), "gw-2")
 
 
 class SchedulerCase(TestCase):
@@ -35,19 +35,23 @@
         terms = PoolTerms(slots_by_host, {PlanId(p): t for p, t in plans.items()}, budget=budget)
         return self.scheduler.configure(terms)
 
-    def ask(self, plan: str = "schools", caller: Caller = GW, **changes: object) -> list[Reply]:
-        return self.scheduler.ask(an_ask(plan, caller, **changes), caller)
+    def ask(
+        self, plan: str = "schools", gateway: GatewayInstance = GW, **changes: object
+    ) -> list[Reply]:
+        return self.scheduler.ask(an_ask(plan, gateway, **changes), gateway)
 
-    def granted(self, plan: str = "schools", caller: Caller = GW, **changes: object) -> Granted:
-        return grants(self.ask(plan, caller, **changes))[0]
+    def granted(
+        self, plan: str = "schools", gateway: GatewayInstance = GW, **changes: object
+    ) -> Granted:
+        return grants(self.ask(plan, gateway, **changes))[0]
 
     def measure(self, run_s: float, plan: str = "schools") -> None:
         """Run jobs of the plan with that run time, so that the scheduler measures it."""
         for _ in range(20):
             self.scheduler.on_done(done(self.granted(plan), run_s=run_s))
 
-    def tick(self, *alive: Caller, gone: tuple[Caller, ...] = ()) -> list[Reply]:
-        return self.scheduler.tick(set(alive or (GW, GW2)), lambda caller: caller in gone)
+    def tick(self, *alive: GatewayInstance, gone: tuple[GatewayInstance, ...] = ()) -> list[Reply]:
+        return self.scheduler.tick(set(alive or (GW, GW2)), lambda gateway: gateway in gone)
 
     def order(self, running: Granted, asks: dict[str, Ask], run_s: float = 0.1) -> list[str]:
         """Return the names of waiting asks in the order in which they are granted."""
--- a/tests/routing/site.py
+++ b/tests/routing/site.py
@@ -12,7 +12,7 @@
 from lentilrill.inner import Ask, Done, Granted, Node, Refused, Verdict
 from lentilrill.membership import Liveness, Member, Role, ZoneRecord, zone_key
 from lentilrill.routing import Job, Routing
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import Reply
 from lentilrill.settings import Document, Entitlement, InnerKeys, Plan
 from lentilrill.store import Item, Mirror
@@ -156,7 +156,7 @@
     return Job(request, plan, entitlement or builders.an_entitlement(), deadline)
 
 
-def an_ask(plan: str = "schools", caller: Caller | None = None, **changes: object) -> Ask:
+def an_ask(plan: str = "schools", gateway: GatewayInstance | None = None, **changes: object) -> Ask:
     """Return an ask with a new request id, of normal urgency by default."""
     values: dict = {
         "request": RequestId(f"r{next(_requests)}"),
@@ -164,7 +164,7 @@
         "plan": plan,
         "urgency": 1,
         "wait_s": 30.0,
-        "reply_to": caller.address if caller else "gw-1",
+        "reply_to": gateway.address if gateway else "gw-1",
     }
     return Ask(**values | changes)
 
--- a/tests/routing/test_copies.py
+++ b/tests/routing/test_copies.py
@@ -5,11 +5,11 @@
 from lentilrill.ids import GrantId, HostId, Incarnation, PlanId, PoolId, ProcessId
 from lentilrill.inner import GrantCopy, Held
 from lentilrill.routing._copies import STALE_AFTER_S, GrantCopies
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from tests.routing.site import Clock
 
 POOL, H1 = PoolId("schools"), HostId("h1")
-GW = Caller(ProcessId("gw-1"), Incarnation(1), "127.0.0.1:1")
+GW = GatewayInstance(ProcessId("gw-1"), Incarnation(1), "127.0.0.1:1")
 
 
 def held(name: str, answer_s: float = 60.0) -> Held:
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -166,9 +166,9 @@
 
     def test_a_silent_gateway_is_granted_nothing(self) -> None:
         # A gateway becomes silent with asks in the queue. Slots granted to them would be unused.
-        running = self.granted(caller=GW2)
-        self.ask(caller=GW)
-        self.ask(caller=GW2)
+        running = self.granted(gateway=GW2)
+        self.ask(gateway=GW)
+        self.ask(gateway=GW2)
         self.tick(GW2)
         (granted,) = self.scheduler.on_done(done(running))
         self.assertEqual(GW2.address, granted.address)
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -16,7 +16,7 @@
 
 from lentilrill.ids import GrantId, HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted, Held, HeldGrants, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.site import Clock, an_ask, done
@@ -29,7 +29,7 @@
     PlanId("b"): PlanTerms(weight=3.0, rate_per_s=5.0),
     PlanId("c"): PlanTerms(),
 }
-CALLERS = [Caller(ProcessId(f"gw-{n}"), Incarnation(1), f"gw-{n}") for n in range(3)]
+GATEWAYS = [GatewayInstance(ProcessId(f"gw-{n}"), Incarnation(1), f"gw-{n}") for n in range(3)]
 
 
 class SchedulerMachine(RuleBasedStateMachine):
@@ -44,10 +44,10 @@
         self.clock = Clock()
         self.epoch = 0
         self.serving = set(HOSTS)
-        self.alive = set(CALLERS)
-        self.gone: set[Caller] = set()
-        self.asks: dict[str, tuple[Ask, Caller]] = {}
-        self.held: dict[GrantId, tuple[Granted, Caller, str]] = {}
+        self.alive = set(GATEWAYS)
+        self.gone: set[GatewayInstance] = set()
+        self.asks: dict[str, tuple[Ask, GatewayInstance]] = {}
+        self.held: dict[GrantId, tuple[Granted, GatewayInstance, str]] = {}
         self.exact = True
         self.count = 0
         self.granted: set[GrantId] = set()
@@ -58,22 +58,22 @@
 
     def replace(self) -> None:
         self.epoch += 1
-        awaited_gateways = {caller.address for caller in self.alive}
+        awaited_gateways = {gateway.address for gateway in self.alive}
         rng = random.Random(self.epoch)
         self.scheduler = PoolScheduler(POOL, ZONE, self.epoch, awaited_gateways, self.clock, rng)
         self.configure()
-        for caller in sorted(self.alive, key=lambda c: c.address):
-            self.report(caller)
+        for gateway in sorted(self.alive, key=lambda c: c.address):
+            self.report(gateway)
 
     def configure(self) -> None:
         slots = {HostId(host): SLOTS for host in HOSTS if host in self.serving}
         self.take(self.scheduler.configure(PoolTerms(slots, PLANS, budget=1)))
 
-    def report(self, caller: Caller) -> None:
+    def report(self, gateway: GatewayInstance) -> None:
         mine = [
-            Held(g.grant, g.host, PlanId(plan)) for g, c, plan in self.held.values() if c == caller
+            Held(g.grant, g.host, PlanId(plan)) for g, c, plan in self.held.values() if c == gateway
         ]
-        self.take(self.scheduler.on_held_grants(HeldGrants(POOL, tuple(mine)), caller))
+        self.take(self.scheduler.on_held_grants(HeldGrants(POOL, tuple(mine)), gateway))
 
     def take(self, replies: list[Reply], lose: bool = False) -> None:
         for reply in replies:
@@ -95,7 +95,7 @@
                 self.held[reply.message.grant] = (reply.message, asked[1], asked[0].plan)
 
     @rule(
-        caller=st.sampled_from(CALLERS),
+        gateway=st.sampled_from(GATEWAYS),
         plan=st.sampled_from(sorted(PLANS)),
         urgency=st.integers(0, 2),
         wait_s=st.sampled_from([0.1, 1.0, 30.0]),
@@ -103,28 +103,34 @@
         lose=st.booleans(),
     )
     def ask(
-        self, caller: Caller, plan: str, urgency: int, wait_s: float, avoid: set[str], lose: bool
+        self,
+        gateway: GatewayInstance,
+        plan: str,
+        urgency: int,
+        wait_s: float,
+        avoid: set[str],
+        lose: bool,
     ) -> None:
-        if caller not in self.alive:
+        if gateway not in self.alive:
             return
         hosts = tuple(HostId(host) for host in sorted(avoid))
         self.count += 1
         request = f"r{self.count:05}"
-        ask = an_ask(plan, caller, request=request, urgency=urgency, wait_s=wait_s, avoid=hosts)
-        self.asks[ask.request] = (ask, caller)
-        self.take(self.scheduler.ask(ask, caller), lose)
+        ask = an_ask(plan, gateway, request=request, urgency=urgency, wait_s=wait_s, avoid=hosts)
+        self.asks[ask.request] = (ask, gateway)
+        self.take(self.scheduler.ask(ask, gateway), lose)
 
     @precondition(lambda self: self.asks)
     @rule(data=st.data())
     def ask_again(self, data: st.DataObject) -> None:
-        ask, caller = self.asks[data.draw(st.sampled_from(sorted(self.asks)))]
-        self.take(self.scheduler.ask(ask, caller))
+        ask, gateway = self.asks[data.draw(st.sampled_from(sorted(self.asks)))]
+        self.take(self.scheduler.ask(ask, gateway))
 
     @precondition(lambda self: self.asks)
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
-        ask, caller = self.asks.pop(data.draw(st.sampled_from(sorted(self.asks))))
-        self.take(self.scheduler.cancel(ask.request, caller))
+        ask, gateway = self.asks.pop(data.draw(st.sampled_from(sorted(self.asks))))
+        self.take(self.scheduler.cancel(ask.request, gateway))
 
     @precondition(lambda self: self.held)
     @rule(
@@ -147,20 +153,20 @@
     @rule(seconds=st.sampled_from([0.01, 0.5, 3.5, 100.0]))
     def tick(self, seconds: float) -> None:
         self.clock.now += seconds
-        self.take(self.scheduler.tick(self.alive, lambda caller: caller in self.gone))
+        self.take(self.scheduler.tick(self.alive, lambda gateway: gateway in self.gone))
 
-    @rule(caller=st.sampled_from(CALLERS))
-    def make_report(self, caller: Caller) -> None:
-        if caller in self.alive:
-            self.report(caller)
+    @rule(gateway=st.sampled_from(GATEWAYS))
+    def make_report(self, gateway: GatewayInstance) -> None:
+        if gateway in self.alive:
+            self.report(gateway)
 
-    @rule(caller=st.sampled_from(CALLERS))
-    def die(self, caller: Caller) -> None:
-        if len(self.alive) > 1 and caller in self.alive:
-            self.alive.discard(caller)
-            self.gone.add(caller)
-            self.held = {g: held for g, held in self.held.items() if held[1] != caller}
-            self.asks = {r: asked for r, asked in self.asks.items() if asked[1] != caller}
+    @rule(gateway=st.sampled_from(GATEWAYS))
+    def die(self, gateway: GatewayInstance) -> None:
+        if len(self.alive) > 1 and gateway in self.alive:
+            self.alive.discard(gateway)
+            self.gone.add(gateway)
+            self.held = {g: held for g, held in self.held.items() if held[1] != gateway}
+            self.asks = {r: asked for r, asked in self.asks.items() if asked[1] != gateway}
 
     @rule(host=st.sampled_from(HOSTS))
     def move_host(self, host: str) -> None:
@@ -190,9 +196,9 @@
         self.held.clear()
         for _ in range(100):
             self.clock.now += 5.0
-            for caller in sorted(self.alive, key=lambda c: c.address):
-                self.report(caller)
-            self.take(self.scheduler.tick(self.alive, lambda caller: caller in self.gone))
+            for gateway in sorted(self.alive, key=lambda c: c.address):
+                self.report(gateway)
+            self.take(self.scheduler.tick(self.alive, lambda gateway: gateway in self.gone))
             for granted, _, plan in list(self.held.values()):
                 del self.held[granted.grant]
                 self.take(self.scheduler.on_done(done(granted, Verdict.OK, 0.1, plan)))
