--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -13,9 +13,9 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests import builders
 from tests.routing.site import Fleet, Gateway, Members, a_job
 
@@ -43,7 +43,7 @@
     scheduler = PoolScheduler(POOL, ZONE, 1, set(), time.monotonic, random.Random(1))
     slots = {HostId(f"h{n}"): SLOTS for n in range(hosts)}
     terms = {PlanId(f"p{n}"): PlanTerms(queue=10**9) for n in range(plans)}
-    scheduler.configure(PoolTerms(slots, terms))
+    scheduler.configure(PoolConfig(slots, terms))
     return scheduler
 
 
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -8,9 +8,9 @@
 from bench.surge_load import HOSTS, PLANS, POOLS, SLOTS, Endpoint, Events, Job
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Refused, Verdict
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 
 __all__ = ["Granting", "Returning"]
 
@@ -68,7 +68,7 @@
         plans = {
             PlanId(kind.plan): PlanTerms(queue=PLAN_QUEUE, urgency=kind.urgency) for kind in PLANS
         }
-        scheduler.configure(PoolTerms(dict.fromkeys(hosts, SLOTS), plans, budget=1))
+        scheduler.configure(PoolConfig(dict.fromkeys(hosts, SLOTS), plans, max_unavailable=1))
         return scheduler
 
     def _ask(self, job: Job, zone: ZoneId, spillable: bool, hop_s: float) -> None:
--- a/src/lentilrill/routing/_admission.py
+++ b/src/lentilrill/routing/_admission.py
@@ -9,9 +9,9 @@
 from lentilrill.inner import Ask, Message, Refusal, Refused
 from lentilrill.routing._hosts import HostSlots
 from lentilrill.routing._limits import TokenBucket
+from lentilrill.routing._pool_config import DEFAULT_TERMS, PlanTerms, PoolConfig
 from lentilrill.routing._queue import AskQueue, QueuedAsk
 from lentilrill.routing._spill import OtherZones
-from lentilrill.routing._terms import DEFAULT_TERMS, PlanTerms, PoolTerms
 from lentilrill.routing._waits import WaitEstimate
 
 __all__ = ["Admission", "Reply"]
@@ -52,13 +52,13 @@
         self._other_zones = other_zones
         self._clock = clock
         self._rng = rng
-        self._terms = PoolTerms({}, {})
+        self._config = PoolConfig({}, {})
         self._buckets_by_plan: dict[PlanId, TokenBucket] = {}
 
-    def configure(self, terms: PoolTerms) -> None:
+    def configure(self, config: PoolConfig) -> None:
         """Apply the limits of the plans."""
-        self._terms = terms
-        for plan in self._buckets_by_plan.keys() - terms.plans_by_id.keys():
+        self._config = config
+        for plan in self._buckets_by_plan.keys() - config.limits_by_plan.keys():
             del self._buckets_by_plan[plan]
 
     def refusal_for(self, ask: Ask, replies: list[Reply]) -> Refused | None:
@@ -67,20 +67,20 @@
         :param replies: receives the refusal of a queued ask that is evicted in favor of ``ask``.
         """
         now = self._clock()
-        terms = self._terms.plans_by_id.get(ask.plan, DEFAULT_TERMS)
+        limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_TERMS)
         if not self._hosts.usable:
             return self._refused(ask, Refusal.NO_HOSTS, NO_HOSTS_RETRY_S, spill=True)
-        if self._queue.count(ask.plan) >= terms.queue:
+        if self._queue.count(ask.plan) >= limits.queue:
             after_s = self._retry_delay_s(self._wait_estimate.plan_drain_s(ask.plan))
             return self._refused(ask, Refusal.PLAN_LIMIT, after_s, spill=False)
-        wait_s = self._wait_estimate.wait_s(ask, now, self._terms)
+        wait_s = self._wait_estimate.wait_s(ask, now, self._config)
         if wait_s > ask.wait_s:
             return self._refused(ask, Refusal.TOO_LATE, self._retry_delay_s(wait_s), spill=True)
         if ask.spillable and wait_s > SPILL_WAIT_S:
-            zone = self._other_zones.claim(terms.zones, now)
+            zone = self._other_zones.claim(limits.zones, now)
             if zone is not None:
                 return Refused(ask.request, self._pool, Refusal.TOO_LATE, wait_s, zone)
-        limited_s = self._rate_limit_delay_s(ask.plan, terms, now)
+        limited_s = self._rate_limit_delay_s(ask.plan, limits, now)
         if limited_s > 0.0:
             return self._refused(ask, Refusal.PLAN_LIMIT, limited_s, spill=False)
         if len(self._queue) >= MAX_QUEUE:
@@ -98,20 +98,20 @@
         refused = Refused(queued.key.request, self._pool, refusal, after_s)
         return Reply(queued.key.address, refused)
 
-    def _rate_limit_delay_s(self, plan: PlanId, terms: PlanTerms, now: float) -> float:
-        if terms.rate_per_s <= 0.0:
+    def _rate_limit_delay_s(self, plan: PlanId, limits: PlanTerms, now: float) -> float:
+        if limits.rate_per_s <= 0.0:
             return 0.0
         bucket = self._buckets_by_plan.get(plan)
-        if bucket is None or bucket.rate_per_s != terms.rate_per_s:
-            burst = max(1.0, terms.rate_per_s * RATE_BURST_S)
-            bucket = self._buckets_by_plan[plan] = TokenBucket(terms.rate_per_s, burst, now)
+        if bucket is None or bucket.rate_per_s != limits.rate_per_s:
+            burst = max(1.0, limits.rate_per_s * RATE_BURST_S)
+            bucket = self._buckets_by_plan[plan] = TokenBucket(limits.rate_per_s, burst, now)
         return 0.0 if bucket.take(now) else bucket.wait_s(now)
 
     def _refused(self, ask: Ask, refusal: Refusal, after_s: float, spill: bool) -> Refused:
         zone = None
         if spill and ask.spillable:
-            terms = self._terms.plans_by_id.get(ask.plan, DEFAULT_TERMS)
-            zone = self._other_zones.claim(terms.zones, self._clock())
+            limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_TERMS)
+            zone = self._other_zones.claim(limits.zones, self._clock())
         return Refused(ask.request, self._pool, refusal, self._jittered_delay_s(after_s), zone)
 
     def _retry_delay_s(self, drain_s: float) -> float:
--- a/src/lentilrill/routing/_terms.py
+++ b/src/lentilrill/routing/_pool_config.py
@@ -6,7 +6,7 @@
 from lentilrill.ids import HostId, PlanId, PoolId, ZoneId
 from lentilrill.settings import Document, Entitlement, Plan, Urgency
 
-__all__ = ["DEFAULT_TERMS", "PlanTerms", "PoolTerms", "pool_terms"]
+__all__ = ["DEFAULT_TERMS", "PlanTerms", "PoolConfig", "pool_config"]
 
 
 class PlanTerms(msgspec.Struct, frozen=True):
@@ -28,21 +28,21 @@
 """Limits of a plan that is not in this process's copy of the document yet."""
 
 
-class PoolTerms(msgspec.Struct, frozen=True):
+class PoolConfig(msgspec.Struct, frozen=True):
     """Hosts and limits of one pool in one zone.
 
     :param slots_by_host: slots of each host of the zone that serves the pool.
-    :param away: hosts of the pool in all zones that are being withdrawn or stopped.
-    :param budget: hosts of the pool that may be unavailable at once under every plan's budget.
+    :param unavailable: hosts of the pool in all zones that are being withdrawn or stopped.
+    :param max_unavailable: limit of unavailable hosts, the lowest availability budget of the plans.
     """
 
     slots_by_host: dict[HostId, int]
-    plans_by_id: dict[PlanId, PlanTerms]
-    away: int = 0
-    budget: int = 0
+    limits_by_plan: dict[PlanId, PlanTerms]
+    unavailable: int = 0
+    max_unavailable: int = 0
 
 
-def pool_terms(view: FleetView, pool: PoolId, zone: ZoneId) -> PoolTerms:
+def pool_config(view: FleetView, pool: PoolId, zone: ZoneId) -> PoolConfig:
     """Return the configuration of ``pool`` in ``zone`` from the current state of ``view``."""
     document = view.document
     configured = document.pools_by_id().get(pool)
@@ -51,11 +51,11 @@
     entries = record.hosts if record is not None else ()
     serving = [entry for entry in entries if entry.phase is HostPhase.SERVING]
     plans = _plans_of(document, pool)
-    return PoolTerms(
+    return PoolConfig(
         slots_by_host={entry.id: slots for entry in serving if entry.zone == zone},
-        plans_by_id={plan.id: _plan_terms(plan, entitled) for plan, entitled in plans},
-        away=len(entries) - len(serving),
-        budget=min((plan.availability_budget for plan, _ in plans), default=0),
+        limits_by_plan={plan.id: _plan_terms(plan, entitled) for plan, entitled in plans},
+        unavailable=len(entries) - len(serving),
+        max_unavailable=min((plan.availability_budget for plan, _ in plans), default=0),
     )
 
 
--- a/src/lentilrill/routing/_reserve.py
+++ b/src/lentilrill/routing/_reserve.py
@@ -3,8 +3,8 @@
 from lentilrill.ids import PlanId
 from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
+from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
 from lentilrill.routing._run_times import RunTimes
-from lentilrill.routing._terms import DEFAULT_TERMS, PoolTerms
 from lentilrill.settings import Urgency
 
 __all__ = ["Reserve"]
@@ -28,14 +28,14 @@
         self._hosts = hosts
         self._run_times = run_times
         self._long_plans: set[PlanId] = set()
-        self._terms = PoolTerms({}, {})
+        self._config = PoolConfig({}, {})
         self._top_urgency = LEAST_URGENT
 
-    def configure(self, terms: PoolTerms) -> None:
+    def configure(self, config: PoolConfig) -> None:
         """Apply the urgency classes of the plans."""
-        self._terms = terms
+        self._config = config
         self._top_urgency = min(
-            (t.urgency for t in terms.plans_by_id.values()), default=LEAST_URGENT
+            (limits.urgency for limits in config.limits_by_plan.values()), default=LEAST_URGENT
         )
 
     def update(self, now: float) -> None:
@@ -52,7 +52,7 @@
         return long < slots - reserved
 
     def _is_long(self, plan: PlanId) -> bool:
-        if self._terms.plans_by_id.get(plan, DEFAULT_TERMS).urgency <= self._top_urgency:
+        if self._config.limits_by_plan.get(plan, DEFAULT_TERMS).urgency <= self._top_urgency:
             return False
         if plan in self._long_plans or not self._run_times.is_measured(plan):
             return True
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -18,11 +18,11 @@
 from lentilrill.routing._grants import Grant, GrantTable
 from lentilrill.routing._health import Health, log_health
 from lentilrill.routing._hosts import HostSlots
+from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
 from lentilrill.routing._queue import AskKey, AskQueue, FairShares, GatewayInstance, QueuedAsk
 from lentilrill.routing._reserve import Reserve
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.routing._spill import OtherZones
-from lentilrill.routing._terms import DEFAULT_TERMS, PoolTerms
 from lentilrill.routing._waits import WaitEstimate
 from lentilrill.telemetry import Event, log
 
@@ -62,7 +62,7 @@
         self._clock = clock
         self._awaited_gateways = set(awaited_gateways)
         self._rebuild_deadline = clock() + REBUILD_TIMEOUT_S
-        self._terms = PoolTerms({}, {})
+        self._config = PoolConfig({}, {})
         self._shares = FairShares()
         self._queue = AskQueue(self._shares)
         self._grants = GrantTable()
@@ -110,13 +110,13 @@
             self._awaited_gateways.clear()
         return frozenset(self._awaited_gateways)
 
-    def configure(self, terms: PoolTerms) -> list[Reply]:
+    def configure(self, config: PoolConfig) -> list[Reply]:
         """Apply a configuration of hosts, plans and limits."""
-        self._terms = terms
-        self._reserve.configure(terms)
-        self._admission.configure(terms)
-        self.hosts.configure(terms.slots_by_host, self._max_ejected())
-        plans = set(terms.plans_by_id)
+        self._config = config
+        self._reserve.configure(config)
+        self._admission.configure(config)
+        self.hosts.configure(config.slots_by_host, self._max_ejected())
+        plans = set(config.limits_by_plan)
         self._shares.retain_plans(plans)
         self._run_times.retain_plans(plans)
         self.hosts.health.retain_plans(plans)
@@ -271,7 +271,7 @@
         return host
 
     def _may_run(self, plan: PlanId) -> bool:
-        limit = self._terms.plans_by_id.get(plan, DEFAULT_TERMS).concurrency
+        limit = self._config.limits_by_plan.get(plan, DEFAULT_TERMS).concurrency
         if limit and self._grants.running(plan) >= limit:
             return False
         return self._reserve.permits(plan)
@@ -321,12 +321,14 @@
         replies.extend(self._end_grant(grant.id, Verdict.UNUSED, 0.0))
 
     def _weight(self, plan: PlanId) -> float:
-        return self._terms.plans_by_id.get(plan, DEFAULT_TERMS).weight
+        return self._config.limits_by_plan.get(plan, DEFAULT_TERMS).weight
 
     # Limits and consistency checks
 
     def _max_ejected(self) -> int:
-        return max(0, self._terms.budget - self._terms.away - self._other_zones.ejected())
+        return max(
+            0, self._config.max_unavailable - self._config.unavailable - self._other_zones.ejected()
+        )
 
     def _check(self) -> None:
         for inconsistency in (self._queue.find_inconsistency(), self.hosts.find_inconsistency()):
--- a/src/lentilrill/routing/_schedulers.py
+++ b/src/lentilrill/routing/_schedulers.py
@@ -26,9 +26,9 @@
 from lentilrill.routing._health import Health
 from lentilrill.routing._peer_updates import PeerUpdates, RunningScheduler
 from lentilrill.routing._placement import Placement, sender_of
+from lentilrill.routing._pool_config import pool_config
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import pool_terms
 from lentilrill.telemetry import Event, Metrics, NoMetrics, log
 
 __all__ = ["LocalSchedulers"]
@@ -133,8 +133,8 @@
                 if self._should_stop(pool, entry):
                     self._stop(pool, entry)
                 else:
-                    terms = pool_terms(self._view, pool, zone)
-                    self._call(pool, lambda s, terms=terms: s.configure(terms))  # type: ignore[misc]
+                    config = pool_config(self._view, pool, zone)
+                    self._call(pool, lambda s, config=config: s.configure(config))  # type: ignore[misc]
 
     def tick(self) -> None:
         """Do the periodic work: refusals, reports to peers, freeing of grants."""
@@ -195,7 +195,7 @@
             self._clock,
             random.Random(self._rng.random()),
         )
-        scheduler.configure(pool_terms(self._view, pool, zone))
+        scheduler.configure(pool_config(self._view, pool, zone))
         log(Event.SCHEDULER_STARTED, pool=pool, zone=zone, epoch=scheduler.epoch)
         return RunningScheduler(scheduler, self._clock() - INSIST_PERIOD_S)
 
--- a/src/lentilrill/routing/_waits.py
+++ b/src/lentilrill/routing/_waits.py
@@ -4,9 +4,9 @@
 from lentilrill.inner import Ask
 from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
+from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
 from lentilrill.routing._queue import AskQueue
 from lentilrill.routing._run_times import RunTimes
-from lentilrill.routing._terms import DEFAULT_TERMS, PoolTerms
 from lentilrill.settings import Urgency
 
 __all__ = ["WaitEstimate"]
@@ -29,16 +29,16 @@
         self._hosts = hosts
         self._run_times = run_times
 
-    def wait_s(self, ask: Ask, now: float, terms: PoolTerms) -> float:
+    def wait_s(self, ask: Ask, now: float, config: PoolConfig) -> float:
         """Return the estimated seconds until ``ask`` would start."""
         if not self._queue and self._hosts.free:
             return 0.0
         slots = max(1, self._hosts.capacity)
         ahead_s = sum(self._class_work_s(rank) for rank in range(ask.urgency))
-        wait_s = (ahead_s + self._own_class_work_s(ask, now, terms)) / slots
+        wait_s = (ahead_s + self._own_class_work_s(ask, now, config)) / slots
         if self._hosts.free < 1:
             wait_s += self._run_times.mean_s / slots
-        limit = terms.plans_by_id.get(ask.plan, DEFAULT_TERMS).concurrency
+        limit = config.limits_by_plan.get(ask.plan, DEFAULT_TERMS).concurrency
         if limit and self._grants.running(ask.plan) >= limit:
             own_ahead = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
             wait_s = max(wait_s, own_ahead * self._run_times.expected_s(ask.plan) / limit)
@@ -58,10 +58,10 @@
         counts = self._queue.counts_by_plan(rank).items()
         return sum(count * self._run_times.expected_s(plan) for plan, count in counts)
 
-    def _own_class_work_s(self, ask: Ask, now: float, terms: PoolTerms) -> float:
+    def _own_class_work_s(self, ask: Ask, now: float, config: PoolConfig) -> float:
         counts = self._queue.counts_by_plan(ask.urgency)
         counts[ask.plan] = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
-        weights = {plan: terms.plans_by_id.get(plan, DEFAULT_TERMS).weight for plan in counts}
+        weights = {plan: config.limits_by_plan.get(plan, DEFAULT_TERMS).weight for plan in counts}
         own_s = counts[ask.plan] * self._run_times.expected_s(ask.plan)
         by_share_s = own_s * sum(weights.values()) / weights[ask.plan]
         all_s = sum(n * self._run_times.expected_s(plan) for plan, n in counts.items())
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -6,9 +6,9 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.site import Clock, an_ask, done, grants
 
 __all__ = ["GW", "GW2", "POOL", "ZONE", "SchedulerCase"]
@@ -32,8 +32,10 @@
         self, slots: int = 1, hosts: int = 1, budget: int = 0, **plans: PlanTerms
     ) -> list[Reply]:
         slots_by_host = {HostId(f"h{n}"): slots for n in range(1, hosts + 1)}
-        terms = PoolTerms(slots_by_host, {PlanId(p): t for p, t in plans.items()}, budget=budget)
-        return self.scheduler.configure(terms)
+        config = PoolConfig(
+            slots_by_host, {PlanId(p): t for p, t in plans.items()}, max_unavailable=budget
+        )
+        return self.scheduler.configure(config)
 
     def ask(
         self, plan: str = "schools", gateway: GatewayInstance = GW, **changes: object
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -3,8 +3,8 @@
 from lentilrill.ids import HostId, PlanId
 from lentilrill.inner import Granted, Held, HeldGrants, Refusal, Verdict
 from lentilrill.routing._grants import SILENT_GATEWAY_S
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from lentilrill.routing._scheduler import REBUILD_TIMEOUT_S
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.cases import GW, GW2, POOL, SchedulerCase
 from tests.routing.site import an_ask, done, grants, refusals
 
@@ -159,7 +159,7 @@
         self.granted(answer_s=60.0)
         self.clock.now += 10.0
         self.tick(GW2, gone=(GW,))
-        self.scheduler.configure(PoolTerms({}, {}))
+        self.scheduler.configure(PoolConfig({}, {}))
         self.assertEqual((0, True), (self.scheduler.running, self.scheduler.occupies(HostId("h1"))))
         self.clock.now += 50.0
         self.assertFalse(self.scheduler.occupies(HostId("h1")))
@@ -191,7 +191,7 @@
 
     def test_a_withdrawn_host_gets_no_jobs_and_keeps_its_grants(self) -> None:
         first = self.granted()
-        self.scheduler.configure(PoolTerms({HostId("h2"): 1}, {}))
+        self.scheduler.configure(PoolConfig({HostId("h2"): 1}, {}))
         self.assertEqual("h2", self.granted().host)
         self.ask()
         self.assertEqual([], self.scheduler.on_done(done(first)))
@@ -226,7 +226,7 @@
         self.assertEqual(Refusal.NO_HOSTS, refused.refusal)
 
     def test_no_host_is_a_final_answer(self) -> None:
-        self.scheduler.configure(PoolTerms({}, {}))
+        self.scheduler.configure(PoolConfig({}, {}))
         (refused,) = refusals(self.ask())
         self.assertEqual(Refusal.NO_HOSTS, refused.refusal)
         self.assertIsNotNone(refused.retry_after_s)
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -2,7 +2,7 @@
 
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Granted, PoolLoad, Verdict
-from lentilrill.routing._terms import PlanTerms, PoolTerms
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from tests.routing.cases import POOL, ZONE, SchedulerCase
 from tests.routing.site import done, grants, refusals
 
@@ -156,6 +156,6 @@
     def test_a_host_that_left_and_came_back_is_new(self) -> None:
         self.configure(slots=8, hosts=1)
         self.scheduler.on_done(done(self.granted(), Verdict.LEAVING))
-        self.scheduler.configure(PoolTerms({}, {}))
+        self.scheduler.configure(PoolConfig({}, {}))
         self.configure(slots=8, hosts=1)
         self.assertEqual("h1", self.granted().host)
--- a/tests/routing/test_scheduler_limits.py
+++ b/tests/routing/test_scheduler_limits.py
@@ -4,7 +4,7 @@
 
 from lentilrill.inner import Refusal
 from lentilrill.routing import _admission
-from lentilrill.routing._terms import PlanTerms
+from lentilrill.routing._pool_config import PlanTerms
 from tests.routing.cases import GW, SchedulerCase
 from tests.routing.site import an_ask, done, grants, refusals
 
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -16,9 +16,9 @@
 
 from lentilrill.ids import GrantId, HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted, Held, HeldGrants, Verdict
+from lentilrill.routing._pool_config import PlanTerms, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.site import Clock, an_ask, done
 
 POOL, ZONE = PoolId("schools"), ZoneId("z1")
@@ -67,7 +67,7 @@
 
     def configure(self) -> None:
         slots = {HostId(host): SLOTS for host in HOSTS if host in self.serving}
-        self.take(self.scheduler.configure(PoolTerms(slots, PLANS, budget=1)))
+        self.take(self.scheduler.configure(PoolConfig(slots, PLANS, max_unavailable=1)))
 
     def report(self, gateway: GatewayInstance) -> None:
         mine = [
