--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -11,7 +11,7 @@
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
 from lentilrill.routing._health import HealthTable
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 
@@ -43,7 +43,7 @@
         self._rng = random.Random(1)
         self._scheduler = PoolScheduler(POOL, ZoneId("z1"), 1, set(), self.events, random.Random(1))
         slots = {HostId(f"h{n}"): SLOTS for n in range(HOSTS)}
-        terms = {PLAN: PlanTerms(queue=10_000)}
+        terms = {PLAN: PlanLimits(queue=10_000)}
         self._scheduler.configure(PoolConfig(slots, terms, max_unavailable=budget))
 
     def run(self) -> None:
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -13,7 +13,7 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from tests import builders
@@ -42,7 +42,7 @@
     """Return a scheduler of that many hosts and plans, without limits."""
     scheduler = PoolScheduler(POOL, ZONE, 1, set(), time.monotonic, random.Random(1))
     slots = {HostId(f"h{n}"): SLOTS for n in range(hosts)}
-    terms = {PlanId(f"p{n}"): PlanTerms(queue=10**9) for n in range(plans)}
+    terms = {PlanId(f"p{n}"): PlanLimits(queue=10**9) for n in range(plans)}
     scheduler.configure(PoolConfig(slots, terms))
     return scheduler
 
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -8,7 +8,7 @@
 from bench.surge_load import HOSTS, PLANS, POOLS, SLOTS, Endpoint, Events, Job
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Refused, Verdict
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 
@@ -66,7 +66,7 @@
         hosts = [HostId(f"{pool}-{zone}-{n}") for n in range(HOSTS // len(self._zones))]
         self._endpoints |= {host: Endpoint(self._events) for host in hosts}
         plans = {
-            PlanId(kind.plan): PlanTerms(queue=PLAN_QUEUE, urgency=kind.urgency) for kind in PLANS
+            PlanId(kind.plan): PlanLimits(queue=PLAN_QUEUE, urgency=kind.urgency) for kind in PLANS
         }
         scheduler.configure(PoolConfig(dict.fromkeys(hosts, SLOTS), plans, max_unavailable=1))
         return scheduler
--- a/src/lentilrill/routing/_admission.py
+++ b/src/lentilrill/routing/_admission.py
@@ -9,7 +9,7 @@
 from lentilrill.inner import Ask, Message, Refusal, Refused
 from lentilrill.routing._hosts import HostSlots
 from lentilrill.routing._limits import TokenBucket
-from lentilrill.routing._pool_config import DEFAULT_TERMS, PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import DEFAULT_LIMITS, PlanLimits, PoolConfig
 from lentilrill.routing._queue import AskQueue, QueuedAsk
 from lentilrill.routing._spill import OtherZones
 from lentilrill.routing._waits import WaitEstimate
@@ -67,7 +67,7 @@
         :param replies: receives the refusal of a queued ask that is evicted in favor of ``ask``.
         """
         now = self._clock()
-        limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_TERMS)
+        limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_LIMITS)
         if not self._hosts.usable:
             return self._refused(ask, Refusal.NO_HOSTS, NO_HOSTS_RETRY_S, spill=True)
         if self._queue.count(ask.plan) >= limits.queue:
@@ -98,7 +98,7 @@
         refused = Refused(queued.key.request, self._pool, refusal, after_s)
         return Reply(queued.key.address, refused)
 
-    def _rate_limit_delay_s(self, plan: PlanId, limits: PlanTerms, now: float) -> float:
+    def _rate_limit_delay_s(self, plan: PlanId, limits: PlanLimits, now: float) -> float:
         if limits.rate_per_s <= 0.0:
             return 0.0
         bucket = self._buckets_by_plan.get(plan)
@@ -110,7 +110,7 @@
     def _refused(self, ask: Ask, refusal: Refusal, after_s: float, spill: bool) -> Refused:
         zone = None
         if spill and ask.spillable:
-            limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_TERMS)
+            limits = self._config.limits_by_plan.get(ask.plan, DEFAULT_LIMITS)
             zone = self._other_zones.claim(limits.zones, self._clock())
         return Refused(ask.request, self._pool, refusal, self._jittered_delay_s(after_s), zone)
 
--- a/src/lentilrill/routing/_pool_config.py
+++ b/src/lentilrill/routing/_pool_config.py
@@ -6,10 +6,10 @@
 from lentilrill.ids import HostId, PlanId, PoolId, ZoneId
 from lentilrill.settings import Document, Entitlement, Plan, Urgency
 
-__all__ = ["DEFAULT_TERMS", "PlanTerms", "PoolConfig", "pool_config"]
+__all__ = ["DEFAULT_LIMITS", "PlanLimits", "PoolConfig", "pool_config"]
 
 
-class PlanTerms(msgspec.Struct, frozen=True):
+class PlanLimits(msgspec.Struct, frozen=True):
     """Limits of one plan in one zone; see :class:`~lentilrill.settings.Entitlement`.
 
     :param weight: relative share of the slots when several plans have queued jobs.
@@ -24,7 +24,7 @@
     urgency: int = Urgency.NORMAL.rank
 
 
-DEFAULT_TERMS = PlanTerms()
+DEFAULT_LIMITS = PlanLimits()
 """Limits of a plan that is not in this process's copy of the document yet."""
 
 
@@ -37,7 +37,7 @@
     """
 
     slots_by_host: dict[HostId, int]
-    limits_by_plan: dict[PlanId, PlanTerms]
+    limits_by_plan: dict[PlanId, PlanLimits]
     unavailable: int = 0
     max_unavailable: int = 0
 
@@ -50,16 +50,16 @@
     record, _ = view.pools_by_id.get(pool, (None, None))
     entries = record.hosts if record is not None else ()
     serving = [entry for entry in entries if entry.phase is HostPhase.SERVING]
-    plans = _plans_of(document, pool)
+    plans = _entitled_plans(document, pool)
     return PoolConfig(
         slots_by_host={entry.id: slots for entry in serving if entry.zone == zone},
-        limits_by_plan={plan.id: _plan_terms(plan, entitled) for plan, entitled in plans},
+        limits_by_plan={plan.id: _plan_limits(plan, entitled) for plan, entitled in plans},
         unavailable=len(entries) - len(serving),
         max_unavailable=min((plan.availability_budget for plan, _ in plans), default=0),
     )
 
 
-def _plans_of(document: Document, pool: PoolId) -> list[tuple[Plan, Entitlement]]:
+def _entitled_plans(document: Document, pool: PoolId) -> list[tuple[Plan, Entitlement]]:
     plans_by_id = document.plans_by_id()
     return [
         (plans_by_id[entitlement.plan], entitlement)
@@ -68,8 +68,8 @@
     ]
 
 
-def _plan_terms(plan: Plan, entitlement: Entitlement) -> PlanTerms:
-    return PlanTerms(
+def _plan_limits(plan: Plan, entitlement: Entitlement) -> PlanLimits:
+    return PlanLimits(
         weight=float(max(1, plan.hosts_owed)),
         rate_per_s=entitlement.rate_per_s,
         concurrency=entitlement.concurrency,
--- a/src/lentilrill/routing/_reserve.py
+++ b/src/lentilrill/routing/_reserve.py
@@ -3,7 +3,7 @@
 from lentilrill.ids import PlanId
 from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
-from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
+from lentilrill.routing._pool_config import DEFAULT_LIMITS, PoolConfig
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.settings import Urgency
 
@@ -52,7 +52,7 @@
         return long < slots - reserved
 
     def _is_long(self, plan: PlanId) -> bool:
-        if self._config.limits_by_plan.get(plan, DEFAULT_TERMS).urgency <= self._top_urgency:
+        if self._config.limits_by_plan.get(plan, DEFAULT_LIMITS).urgency <= self._top_urgency:
             return False
         if plan in self._long_plans or not self._run_times.is_measured(plan):
             return True
--- a/src/lentilrill/routing/_scheduler.py
+++ b/src/lentilrill/routing/_scheduler.py
@@ -18,7 +18,7 @@
 from lentilrill.routing._grants import Grant, GrantTable
 from lentilrill.routing._health import Health, log_health
 from lentilrill.routing._hosts import HostSlots
-from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
+from lentilrill.routing._pool_config import DEFAULT_LIMITS, PoolConfig
 from lentilrill.routing._queue import AskKey, AskQueue, FairShares, GatewayInstance, QueuedAsk
 from lentilrill.routing._reserve import Reserve
 from lentilrill.routing._run_times import RunTimes
@@ -271,7 +271,7 @@
         return host
 
     def _may_run(self, plan: PlanId) -> bool:
-        limit = self._config.limits_by_plan.get(plan, DEFAULT_TERMS).concurrency
+        limit = self._config.limits_by_plan.get(plan, DEFAULT_LIMITS).concurrency
         if limit and self._grants.running(plan) >= limit:
             return False
         return self._reserve.permits(plan)
@@ -321,7 +321,7 @@
         replies.extend(self._end_grant(grant.id, Verdict.UNUSED, 0.0))
 
     def _weight(self, plan: PlanId) -> float:
-        return self._config.limits_by_plan.get(plan, DEFAULT_TERMS).weight
+        return self._config.limits_by_plan.get(plan, DEFAULT_LIMITS).weight
 
     # Limits and consistency checks
 
--- a/src/lentilrill/routing/_waits.py
+++ b/src/lentilrill/routing/_waits.py
@@ -4,7 +4,7 @@
 from lentilrill.inner import Ask
 from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
-from lentilrill.routing._pool_config import DEFAULT_TERMS, PoolConfig
+from lentilrill.routing._pool_config import DEFAULT_LIMITS, PoolConfig
 from lentilrill.routing._queue import AskQueue
 from lentilrill.routing._run_times import RunTimes
 from lentilrill.settings import Urgency
@@ -38,7 +38,7 @@
         wait_s = (ahead_s + self._own_class_work_s(ask, now, config)) / slots
         if self._hosts.free < 1:
             wait_s += self._run_times.mean_s / slots
-        limit = config.limits_by_plan.get(ask.plan, DEFAULT_TERMS).concurrency
+        limit = config.limits_by_plan.get(ask.plan, DEFAULT_LIMITS).concurrency
         if limit and self._grants.running(ask.plan) >= limit:
             own_ahead = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
             wait_s = max(wait_s, own_ahead * self._run_times.expected_s(ask.plan) / limit)
@@ -61,7 +61,7 @@
     def _own_class_work_s(self, ask: Ask, now: float, config: PoolConfig) -> float:
         counts = self._queue.counts_by_plan(ask.urgency)
         counts[ask.plan] = self._queue.count_ahead(ask.plan, ask.urgency, now + ask.wait_s)
-        weights = {plan: config.limits_by_plan.get(plan, DEFAULT_TERMS).weight for plan in counts}
+        weights = {plan: config.limits_by_plan.get(plan, DEFAULT_LIMITS).weight for plan in counts}
         own_s = counts[ask.plan] * self._run_times.expected_s(ask.plan)
         by_share_s = own_s * sum(weights.values()) / weights[ask.plan]
         all_s = sum(n * self._run_times.expected_s(plan) for plan, n in counts.items())
--- a/tests/routing/cases.py
+++ b/tests/routing/cases.py
@@ -6,7 +6,7 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from tests.routing.site import Clock, an_ask, done, grants
@@ -29,7 +29,7 @@
         return PoolScheduler(POOL, ZONE, epoch, set(awaited_gateways), self.clock, random.Random(1))
 
     def configure(
-        self, slots: int = 1, hosts: int = 1, budget: int = 0, **plans: PlanTerms
+        self, slots: int = 1, hosts: int = 1, budget: int = 0, **plans: PlanLimits
     ) -> list[Reply]:
         slots_by_host = {HostId(f"h{n}"): slots for n in range(1, hosts + 1)}
         config = PoolConfig(
--- a/tests/routing/test_scheduler.py
+++ b/tests/routing/test_scheduler.py
@@ -3,7 +3,7 @@
 from lentilrill.ids import HostId, PlanId
 from lentilrill.inner import Granted, Held, HeldGrants, Refusal, Verdict
 from lentilrill.routing._grants import SILENT_GATEWAY_S
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._scheduler import REBUILD_TIMEOUT_S
 from tests.routing.cases import GW, GW2, POOL, SchedulerCase
 from tests.routing.site import an_ask, done, grants, refusals
@@ -27,7 +27,7 @@
     def test_plans_share_by_weight(self) -> None:
         # One plan sends forty jobs before another sends ten. In order of arrival the second would
         # wait for all forty. It has twice the weight, so it gets two slots of three.
-        self.configure(app=PlanTerms(weight=2.0), orders=PlanTerms(weight=1.0))
+        self.configure(app=PlanLimits(weight=2.0), orders=PlanLimits(weight=1.0))
         running = self.granted("orders")
         asks = {f"orders{n}": an_ask("orders", GW) for n in range(40)}
         asks |= {f"app{n}": an_ask("app", GW) for n in range(10)}
@@ -39,8 +39,8 @@
     def test_long_jobs_are_charged_for_what_they_ran(self) -> None:
         # A plan's jobs run ten times as long as another's. If shares counted jobs, it would get
         # ten times the other's slot seconds.
-        terms = PlanTerms()
-        self.configure(long=terms, short=terms)
+        limits = PlanLimits()
+        self.configure(long=limits, short=limits)
         self.measure(0.1, "short")
         for plan in ("long", "short"):
             for _ in range(100):
@@ -64,7 +64,7 @@
     def test_an_idle_plan_earns_no_credit(self) -> None:
         # One plan was busy for hours while the other was idle. If idle time earned credit, the idle
         # plan would then get every slot for hours, and the busy one none.
-        self.configure(busy=PlanTerms(), idle=PlanTerms())
+        self.configure(busy=PlanLimits(), idle=PlanLimits())
         self.measure(10.0, "busy")
         running = self.granted("busy")
         asks = {f"busy{n}": an_ask("busy", GW, wait_s=600.0) for n in range(10)}
--- a/tests/routing/test_scheduler_hosts.py
+++ b/tests/routing/test_scheduler_hosts.py
@@ -2,7 +2,7 @@
 
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Granted, PoolLoad, Verdict
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from tests.routing.cases import POOL, ZONE, SchedulerCase
 from tests.routing.site import done, grants, refusals
 
@@ -30,7 +30,7 @@
         self.assertEqual([], self.ask())
 
     def test_a_plan_spills_only_to_its_zones(self) -> None:
-        self.configure(schools=PlanTerms(zones=(ZONE, ZoneId("z3"))))
+        self.configure(schools=PlanLimits(zones=(ZONE, ZoneId("z3"))))
         self.measure(1.0)
         self.granted()
         self.load(9)
--- a/tests/routing/test_scheduler_limits.py
+++ b/tests/routing/test_scheduler_limits.py
@@ -4,14 +4,14 @@
 
 from lentilrill.inner import Refusal
 from lentilrill.routing import _admission
-from lentilrill.routing._pool_config import PlanTerms
+from lentilrill.routing._pool_config import PlanLimits
 from tests.routing.cases import GW, SchedulerCase
 from tests.routing.site import an_ask, done, grants, refusals
 
 
 class LimitsTest(SchedulerCase):
     def test_the_queue_of_a_plan_is_bounded(self) -> None:
-        self.configure(schools=PlanTerms(queue=2))
+        self.configure(schools=PlanLimits(queue=2))
         self.granted()
         self.assertEqual([[], []], [self.ask(), self.ask()])
         (refused,) = refusals(self.ask())
@@ -19,7 +19,7 @@
         self.assertGreater(refused.retry_after_s or 0.0, 0.0)
 
     def test_the_rate_of_a_plan_is_bounded(self) -> None:
-        self.configure(slots=8, schools=PlanTerms(rate_per_s=2.0))
+        self.configure(slots=8, schools=PlanLimits(rate_per_s=2.0))
         self.assertEqual(2, len([self.granted(), self.granted()]))
         (refused,) = refusals(self.ask())
         self.assertEqual(Refusal.PLAN_LIMIT, refused.refusal)
@@ -28,7 +28,7 @@
 
     def test_the_concurrency_of_a_plan_is_bounded(self) -> None:
         # A plan at its concurrency limit must not block the jobs of other plans queued behind it.
-        self.configure(slots=8, schools=PlanTerms(concurrency=1))
+        self.configure(slots=8, schools=PlanLimits(concurrency=1))
         first = self.granted()
         self.assertEqual([], self.ask(urgency=0))
         self.granted("library", urgency=2)
@@ -75,7 +75,7 @@
         # An urgent ask evicts the newest ask of the lowest class from a full queue. The evicted
         # ask must be refused at once, not at its deadline.
         self.patch(_admission, "MAX_QUEUE", 256)
-        self.configure(ledgers=PlanTerms(queue=10_000))
+        self.configure(ledgers=PlanLimits(queue=10_000))
         self.measure(0.001, "ledgers")
         self.granted("ledgers")
         newest = an_ask("ledgers", GW, urgency=2)
@@ -111,7 +111,7 @@
     def test_thousands_of_cancellations(self) -> None:
         # When a service restarts, all its callers disconnect. Their asks must leave the queue at
         # once, and the next slot must go to a caller that is still connected.
-        self.configure(slots=128, schools=PlanTerms(queue=10_000))
+        self.configure(slots=128, schools=PlanLimits(queue=10_000))
         running = [self.granted() for _ in range(128)]
         asks = [an_ask("schools", GW, wait_s=600.0) for _ in range(5000)]
         for ask in asks:
@@ -127,7 +127,9 @@
 class ReserveTest(SchedulerCase):
     def setUp(self) -> None:
         super().setUp()
-        self.configure(slots=8, hosts=2, volumes=PlanTerms(urgency=2), ballots=PlanTerms(urgency=0))
+        self.configure(
+            slots=8, hosts=2, volumes=PlanLimits(urgency=2), ballots=PlanLimits(urgency=0)
+        )
 
     def volumes(self, count: int = 20) -> int:
         """Ask for slots for that many long jobs; return how many start."""
@@ -155,5 +157,5 @@
 
     def test_one_slot_is_not_reserved(self) -> None:
         self.scheduler = self.a_scheduler()
-        self.configure(volumes=PlanTerms(urgency=2), ballots=PlanTerms(urgency=0))
+        self.configure(volumes=PlanLimits(urgency=2), ballots=PlanLimits(urgency=0))
         self.assertEqual(1, self.volumes())
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -16,7 +16,7 @@
 
 from lentilrill.ids import GrantId, HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted, Held, HeldGrants, Verdict
-from lentilrill.routing._pool_config import PlanTerms, PoolConfig
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from tests.routing.site import Clock, an_ask, done
@@ -25,9 +25,9 @@
 HOSTS = ("h1", "h2", "h3")
 SLOTS = 2
 PLANS = {
-    PlanId("a"): PlanTerms(queue=3, concurrency=2),
-    PlanId("b"): PlanTerms(weight=3.0, rate_per_s=5.0),
-    PlanId("c"): PlanTerms(),
+    PlanId("a"): PlanLimits(queue=3, concurrency=2),
+    PlanId("b"): PlanLimits(weight=3.0, rate_per_s=5.0),
+    PlanId("c"): PlanLimits(),
 }
 GATEWAYS = [GatewayInstance(ProcessId(f"gw-{n}"), Incarnation(1), f"gw-{n}") for n in range(3)]
 
