--- a/src/lentilrill/gateway/_run.py
+++ b/src/lentilrill/gateway/_run.py
@@ -5,7 +5,7 @@
 from lentilrill.gateway._problems import Outcome, Problem
 from lentilrill.gateway._work import Work
 from lentilrill.ids import HostId
-from lentilrill.routing import Slot, Where
+from lentilrill.routing import Slot, SlotTarget
 from lentilrill.telemetry import Event, log
 
 __all__ = ["Lost", "NotSent", "Run"]
@@ -48,7 +48,7 @@
             self._lost = result.problem
         else:
             self.sent = self._lost is not None
-        if slot.where is Where.ZONE:
+        if slot.where is SlotTarget.ZONE:
             self.spillable = False
         else:
             self.avoid.append(slot.host)
--- a/src/lentilrill/routing/__init__.py
+++ b/src/lentilrill/routing/__init__.py
@@ -1,7 +1,7 @@
 """Routing of jobs to hosts: schedulers, queues, grants, retry limits and ejection of hosts."""
 
 from lentilrill.routing._client import SlotClient
-from lentilrill.routing._contract import Decline, Job, Slot, Slots, Where
+from lentilrill.routing._contract import Decline, Job, Slot, Slots, SlotTarget
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._limits import RetryBudget, TokenBucket
 from lentilrill.routing._routing import Routing
@@ -19,8 +19,8 @@
     "SendLedger",
     "Slot",
     "SlotClient",
+    "SlotTarget",
     "Slots",
     "TokenBucket",
-    "Where",
     "WithdrawalAcknowledger",
 ]
--- a/src/lentilrill/routing/_client.py
+++ b/src/lentilrill/routing/_client.py
@@ -23,7 +23,7 @@
     Verdict,
 )
 from lentilrill.membership import Member
-from lentilrill.routing._contract import Decline, Job, Slot, Where
+from lentilrill.routing._contract import Decline, Job, Slot, SlotTarget
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._local_grants import LocalGrant, LocalGrants
 from lentilrill.routing._placement import Placement, instance_of
@@ -112,7 +112,7 @@
     def release(self, slot: Slot, verdict: Verdict, run_s: float) -> None:
         """Release the slot. No bytes of the job may be in transit to the host any more."""
         self._ledger.release(slot)
-        if slot.where is Where.ZONE:
+        if slot.where is SlotTarget.ZONE:
             return
         self._local_grants.release(slot, verdict, run_s)
 
@@ -247,7 +247,7 @@
             slot = Slot(
                 waiter.job.request,
                 granted.pool,
-                Where.ENDPOINT,
+                SlotTarget.ENDPOINT,
                 entry.address,
                 granted.grant,
                 granted.host,
@@ -281,7 +281,7 @@
         gateway = self._rng.choice(gateways)
         none = GrantId("")
         return Slot(
-            job.request, pool, Where.ZONE, gateway.http, none, HostId(""), zone, job.deadline
+            job.request, pool, SlotTarget.ZONE, gateway.http, none, HostId(""), zone, job.deadline
         )
 
     def _send(self, address: str, message: Message) -> None:
--- a/src/lentilrill/routing/_contract.py
+++ b/src/lentilrill/routing/_contract.py
@@ -11,7 +11,7 @@
 from lentilrill.inner import Refusal, Verdict
 from lentilrill.settings import Entitlement, Plan
 
-__all__ = ["Decline", "Job", "Slot", "Slots", "Where"]
+__all__ = ["Decline", "Job", "Slot", "SlotTarget", "Slots"]
 
 
 class Job(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
     spillable: bool = True
 
 
-class Where(Enum):
+class SlotTarget(Enum):
     """Kind of process that a slot's job is sent to."""
 
     ENDPOINT = "endpoint"
@@ -51,7 +51,7 @@
 
     request: RequestId
     pool: PoolId
-    where: Where
+    where: SlotTarget
     address: str
     grant: GrantId
     host: HostId
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -22,7 +22,7 @@
 from lentilrill.ids import GrantId, HostId, PoolId, RequestId, Revision, ZoneId
 from lentilrill.inner import ClaimState, Refusal, Verdict
 from lentilrill.jobs import Claim, ClaimResult, Recorded
-from lentilrill.routing import Decline, Job, Slot, Where
+from lentilrill.routing import Decline, Job, Slot, SlotTarget
 from lentilrill.settings import Document, GatewaySettings
 from lentilrill.store import Item, Mirror
 from lentilrill.telemetry import NoMetrics
@@ -126,7 +126,7 @@
 
     def __init__(self, *addresses: str) -> None:
         self.addresses = list(addresses)
-        self.where = Where.ENDPOINT
+        self.where = SlotTarget.ENDPOINT
         self.jobs: list[Job] = []
         self.started: list[Slot] = []
         self.released: list[tuple[Slot, Verdict]] = []
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -12,7 +12,7 @@
 from lentilrill.ids import RequestId, ServiceId
 from lentilrill.inner import ClaimState, Verdict
 from lentilrill.jobs import ClaimResult, Recorded
-from lentilrill.routing import Where
+from lentilrill.routing import SlotTarget
 from tests import builders
 from tests.gateway.fakes import WAIT_S, Answer, GatewayTestCase, ok
 
@@ -230,7 +230,7 @@
         self.there_slots = self.slots
         there = self.address
         self.slots = type(self.slots)(there)
-        self.slots.where = Where.ZONE
+        self.slots.where = SlotTarget.ZONE
         self.a_gateway(keys=self.keys)
 
     def an_endpoint_there(self, script: Any = None) -> Any:
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -9,7 +9,7 @@
 from lentilrill.faults import FaultKind
 from lentilrill.fleet import FleetView, HostPhase
 from lentilrill.ids import GrantId, HostId, PoolId, RequestId, ZoneId
-from lentilrill.routing import SendLedger, Slot, Where
+from lentilrill.routing import SendLedger, Slot, SlotTarget
 from tests import builders
 from tests.routing.site import Clock, Fleet
 
@@ -30,7 +30,7 @@
         return Slot(
             RequestId(grant),
             PoolId(pool),
-            Where.ENDPOINT,
+            SlotTarget.ENDPOINT,
             "127.0.0.1:1",
             GrantId(grant),
             H1,
