--- a/src/lentilrill/gateway/_dispatch.py
+++ b/src/lentilrill/gateway/_dispatch.py
@@ -149,7 +149,7 @@
         left_s = min(slot.send_by, work.answer_by) - time.monotonic()
         try:
             return self._connections.take(
-                slot.address, work.idempotent, left_s, to_gateway=slot.where is SlotTarget.ZONE
+                slot.address, work.idempotent, left_s, to_gateway=slot.target is SlotTarget.ZONE
             )
         except (OSError, HTTPError) as error:
             log(Event.ENDPOINT_UNREACHABLE, host=slot.host, at=slot.address, error=repr(error))
@@ -208,7 +208,7 @@
         length = heading.length if work.body is None else len(work.body)
         if length or "content-length" in heading.headers:
             headers["content-length"] = str(length)
-        if slot.where is SlotTarget.ZONE:
+        if slot.target is SlotTarget.ZONE:
             now = time.monotonic()
             mark = Mark(work.request, work.start_by - now, work.answer_by - now)
             headers["authorization"] = heading.headers["authorization"]
@@ -221,21 +221,21 @@
     def _is_silent(self, run: Run, slot: Slot, exchange: Exchange) -> bool:
         """Return whether a repeatable job is to be tried elsewhere, and take the retry for it."""
         patience_s = self._run_times.patience_s(slot.pool)
-        if patience_s is None or run.attempts > 1 or slot.where is SlotTarget.ZONE:
+        if patience_s is None or run.attempts > 1 or slot.target is SlotTarget.ZONE:
             return False
         if not run.work.repeatable or patience_s >= self._patience_s(run, slot):
             return False
         return not exchange.answers_within(patience_s) and self._budget.take()
 
     def _patience_s(self, run: Run, slot: Slot) -> float:
-        margin_s = FORWARD_MARGIN_S if slot.where is SlotTarget.ZONE else 0.0
+        margin_s = FORWARD_MARGIN_S if slot.target is SlotTarget.ZONE else 0.0
         return run.work.answer_by + margin_s - time.monotonic()
 
     def _take(
         self, run: Run, slot: Slot, exchange: Exchange, head: Head, caller: Caller
     ) -> tuple[Ending | NotSent | Lost, Verdict]:
         body, complete = exchange.read_small(head, run.work.answer_by + FORWARD_MARGIN_S)
-        if head.gateway_problem and slot.where is SlotTarget.ZONE:
+        if head.gateway_problem and slot.target is SlotTarget.ZONE:
             return zone_refused(head, body), Verdict.UNUSED
         if head.leaving and head.status == 503:
             # The endpoint says that it did not begin the job, so that even one that must not
--- a/src/lentilrill/gateway/_run.py
+++ b/src/lentilrill/gateway/_run.py
@@ -48,7 +48,7 @@
             self._lost = result.problem
         else:
             self.sent = self._lost is not None
-        if slot.where is SlotTarget.ZONE:
+        if slot.target is SlotTarget.ZONE:
             self.spillable = False
         else:
             self.avoid.append(slot.host)
--- a/src/lentilrill/routing/_client.py
+++ b/src/lentilrill/routing/_client.py
@@ -112,7 +112,7 @@
     def release(self, slot: Slot, verdict: Verdict, run_s: float) -> None:
         """Release the slot. No bytes of the job may be in transit to the host any more."""
         self._ledger.release(slot)
-        if slot.where is SlotTarget.ZONE:
+        if slot.target is SlotTarget.ZONE:
             return
         self._local_grants.release(slot, verdict, run_s)
 
--- a/src/lentilrill/routing/_contract.py
+++ b/src/lentilrill/routing/_contract.py
@@ -51,7 +51,7 @@
 
     request: RequestId
     pool: PoolId
-    where: SlotTarget
+    target: SlotTarget
     address: str
     grant: GrantId
     host: HostId
--- a/src/lentilrill/routing/_ledger.py
+++ b/src/lentilrill/routing/_ledger.py
@@ -59,13 +59,13 @@
             fault = self._find_fault(slot)
             if fault is not None:
                 return Failure(fault)
-            if slot.where is SlotTarget.ENDPOINT:
+            if slot.target is SlotTarget.ENDPOINT:
                 self._sends_by_host.setdefault(slot.host, {})[slot.grant] = slot
         return Success(None)
 
     def release(self, slot: Slot) -> None:
         """Remove the send of ``slot``, if it was registered."""
-        if slot.where is not SlotTarget.ENDPOINT:
+        if slot.target is not SlotTarget.ENDPOINT:
             return
         with self._lock:
             sends = self._sends_by_host.get(slot.host, {})
@@ -128,7 +128,7 @@
     def _find_fault(self, slot: Slot) -> Fault | None:
         if self._clock() >= slot.send_by:
             return _start_fault(slot, FaultKind.EXHAUSTED, "the grant is past its send-by time")
-        if slot.where is SlotTarget.ZONE:
+        if slot.target is SlotTarget.ZONE:
             return None
         if not self.may_send:
             return _start_fault(slot, FaultKind.REFUSED, "this process is not registered yet")
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -154,7 +154,7 @@
             Slot(
                 request=job.request,
                 pool=PoolId("schools"),
-                where=self.where,
+                target=self.where,
                 address=left[0],
                 grant=GrantId(str(next(self._grants))),
                 host=HostId(left[0]),
--- a/tests/routing/test_zones.py
+++ b/tests/routing/test_zones.py
@@ -83,12 +83,12 @@
             slot = self.acquire(near)
             near.slots.release(slot, Verdict.OK, 5.0)
         held = [self.acquire(near) for _ in range(2)]
-        self.assertEqual([SlotTarget.ENDPOINT] * 2, [slot.where for slot in held])
+        self.assertEqual([SlotTarget.ENDPOINT] * 2, [slot.target for slot in held])
         scheduler = near.routing.schedulers.schedulers_by_pool[POOL]
         loads = scheduler._other_zones._loads_by_zone
         eventually(lambda: "z2" in loads and loads["z2"].load.free > 0)
         spilled = self.acquire(near)
-        self.assertEqual((SlotTarget.ZONE, "z2"), (spilled.where, spilled.zone))
+        self.assertEqual((SlotTarget.ZONE, "z2"), (spilled.target, spilled.zone))
 
     def test_leaving_hosts_are_reported_to_controllers(self) -> None:
         # An endpoint reports that it is leaving while the platform's host list still shows it as
