--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -10,13 +10,13 @@
 from bench.surge_load import HOSTS, SLOTS, Events
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
-from lentilrill.routing._health import HealthBook
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._health import HealthTable
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 
 POOL, PLAN = PoolId("schools"), PlanId("schools")
-GW = Caller(ProcessId("gw"), Incarnation(1), "gw")
+GW = GatewayInstance(ProcessId("gw"), Incarnation(1), "gw")
 BAD = HostId("h0")
 RUN_S = 0.2
 LOAD_OF_CAPACITY = 0.7
@@ -43,8 +43,8 @@
         self._rng = random.Random(1)
         self._scheduler = PoolScheduler(POOL, ZoneId("z1"), 1, set(), self.events, random.Random(1))
         slots = {HostId(f"h{n}"): SLOTS for n in range(HOSTS)}
-        terms = {PLAN: PlanTerms(queue=10_000)}
-        self._scheduler.configure(PoolTerms(slots, terms, budget=budget))
+        terms = {PLAN: PlanLimits(queue=10_000)}
+        self._scheduler.configure(PoolConfig(slots, terms, max_unavailable=budget))
 
     def run(self) -> None:
         """Run to the end."""
@@ -79,7 +79,7 @@
         if bad:
             self.failed.append(now)
         done = Done(POOL, granted.grant, granted.host, PLAN, verdict, run_s)
-        self.events.after(run_s, lambda: self._take(self._scheduler.done(done)))
+        self.events.after(run_s, lambda: self._take(self._scheduler.on_done(done)))
 
     def _tick(self) -> None:
         self._take(self._scheduler.tick({GW}, lambda caller: False))
@@ -116,7 +116,7 @@
     for verdict in FAIL_S_BY_VERDICT:
         show_run("budget of 1 host", verdict, 1)
         show_run("budget of 0 hosts", verdict, 0)
-        with mock.patch.object(HealthBook, "note", lambda *args: False):
+        with mock.patch.object(HealthTable, "record_verdict", lambda *args: False):
             show_run("no ejection", verdict, 1)
 
 
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -13,14 +13,14 @@
 
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests import builders
 from tests.routing.site import Fleet, Gateway, Members, a_job
 
 POOL, ZONE = PoolId("schools"), ZoneId("z1")
-GW = Caller(ProcessId("gw-1"), Incarnation(1), "gw-1")
+GW = GatewayInstance(ProcessId("gw-1"), Incarnation(1), "gw-1")
 SLOTS = 8
 GRANTS = 20_000
 HOSTS = (8, 80, 400)
@@ -42,8 +42,8 @@
     """Return a scheduler of that many hosts and plans, without limits."""
     scheduler = PoolScheduler(POOL, ZONE, 1, set(), time.monotonic, random.Random(1))
     slots = {HostId(f"h{n}"): SLOTS for n in range(hosts)}
-    terms = {PlanId(f"p{n}"): PlanTerms(queue=10**9) for n in range(plans)}
-    scheduler.configure(PoolTerms(slots, terms))
+    terms = {PlanId(f"p{n}"): PlanLimits(queue=10**9) for n in range(plans)}
+    scheduler.configure(PoolConfig(slots, terms))
     return scheduler
 
 
@@ -70,7 +70,7 @@
     scheduler = a_scheduler(hosts, plans)
     held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
     for granted in held:
-        scheduler.done(done(granted))
+        scheduler.on_done(done(granted))
     held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
     for _ in range(queue):
         scheduler.ask(an_ask(plans), GW)
@@ -85,9 +85,9 @@
     for n, ask in enumerate(asks):
         if queue:
             held.extend(grants(scheduler.ask(ask, GW)))
-            held.extend(grants(scheduler.done(done(held[n]))))
+            held.extend(grants(scheduler.on_done(done(held[n]))))
         else:
-            scheduler.done(done(held[n]))
+            scheduler.on_done(done(held[n]))
             held.extend(grants(scheduler.ask(ask, GW)))
     cost = (time.process_time() - start) / GRANTS
     show("ask, grant and report", cost * 1e6, "us", hosts=hosts, queue=queue, plans=plans)
@@ -133,7 +133,7 @@
     scheduler, _ = filled(hosts, queue, 4)
     start = time.process_time()
     for n in range(20):
-        alive = {GW, Caller(ProcessId("other"), Incarnation(n), "other")}
+        alive = {GW, GatewayInstance(ProcessId("other"), Incarnation(n), "other")}
         scheduler.tick(alive, lambda caller: False)
     cost = (time.process_time() - start) / 20
     show("sweep", cost * 1e3, "ms", hosts=hosts, queue=queue)
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -8,9 +8,9 @@
 from bench.surge_load import HOSTS, PLANS, POOLS, SLOTS, Endpoint, Events, Job
 from lentilrill.ids import HostId, Incarnation, PlanId, PoolId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import Ask, Done, Granted, Refused, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 
 __all__ = ["Granting", "Returning"]
 
@@ -37,7 +37,7 @@
         self._endpoints: dict[HostId, Endpoint] = {}
         self._callers = {
             zone: [
-                Caller(ProcessId(f"{zone}-{n}"), Incarnation(1), f"{zone}-{n}")
+                GatewayInstance(ProcessId(f"{zone}-{n}"), Incarnation(1), f"{zone}-{n}")
                 for n in range(GATEWAYS)
             ]
             for zone in self._zones
@@ -66,9 +66,9 @@
         hosts = [HostId(f"{pool}-{zone}-{n}") for n in range(HOSTS // len(self._zones))]
         self._endpoints |= {host: Endpoint(self._events) for host in hosts}
         plans = {
-            PlanId(kind.plan): PlanTerms(queue=PLAN_QUEUE, urgency=kind.urgency) for kind in PLANS
+            PlanId(kind.plan): PlanLimits(queue=PLAN_QUEUE, urgency=kind.urgency) for kind in PLANS
         }
-        scheduler.configure(PoolTerms(dict.fromkeys(hosts, SLOTS), plans, budget=1))
+        scheduler.configure(PoolConfig(dict.fromkeys(hosts, SLOTS), plans, max_unavailable=1))
         return scheduler
 
     def _ask(self, job: Job, zone: ZoneId, spillable: bool, hop_s: float) -> None:
@@ -127,7 +127,7 @@
             Verdict.OK,
             self._events.now - job.started,
         )
-        self._decide(job.pool, zone, 2 * HOP_S, lambda s: s.done(done))
+        self._decide(job.pool, zone, 2 * HOP_S, lambda s: s.on_done(done))
 
     def _tick(self) -> None:
         for (pool, zone), _ in self._schedulers.items():
@@ -141,7 +141,7 @@
             for other in self._zones:
                 if other != zone:
                     peer = self._schedulers[pool, other]
-                    self._events.after(ZONE_HOP_S, lambda p=peer, m=load: p.hear(m))
+                    self._events.after(ZONE_HOP_S, lambda p=peer, m=load: p.on_pool_load(m))
         self._events.after(LOAD_S, self._loads)
 
 
--- a/src/lentilrill/routing/__init__.py
+++ b/src/lentilrill/routing/__init__.py
@@ -1,26 +1,26 @@
-"""Schedulers, queues, grants, retries and ejection: where and when a job runs."""
+"""Routing of jobs to hosts: schedulers, queues, grants, retry limits and ejection of hosts."""
 
 from lentilrill.routing._client import SlotClient
-from lentilrill.routing._contract import Decline, Job, Slot, Slots, Where
+from lentilrill.routing._contract import Decline, Job, Slot, Slots, SlotTarget
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._limits import RetryBudget, TokenBucket
 from lentilrill.routing._routing import Routing
 from lentilrill.routing._scheduler import PoolScheduler
-from lentilrill.routing._schedulers import SchedulerHost
-from lentilrill.routing._withdrawals import WithdrawalAcker
+from lentilrill.routing._schedulers import LocalSchedulers
+from lentilrill.routing._withdrawals import WithdrawalAcknowledger
 
 __all__ = [
     "Decline",
     "Job",
+    "LocalSchedulers",
     "PoolScheduler",
     "RetryBudget",
     "Routing",
-    "SchedulerHost",
     "SendLedger",
     "Slot",
     "SlotClient",
+    "SlotTarget",
     "Slots",
     "TokenBucket",
-    "Where",
-    "WithdrawalAcker",
+    "WithdrawalAcknowledger",
 ]
--- a/src/lentilrill/routing/_reserve.py
+++ b/src/lentilrill/routing/_reserve.py
@@ -1,59 +1,59 @@
-"""Slots kept free of long jobs, so that urgent ones can start."""
+"""Slots reserved for urgent and short jobs."""
 
 from lentilrill.ids import PlanId
-from lentilrill.routing._grants import GrantBook
+from lentilrill.routing._grants import GrantTable
 from lentilrill.routing._hosts import HostSlots
+from lentilrill.routing._pool_config import DEFAULT_LIMITS, PoolConfig
 from lentilrill.routing._run_times import RunTimes
-from lentilrill.routing._terms import DEFAULT_TERMS, PoolTerms
 from lentilrill.settings import Urgency
 
 __all__ = ["Reserve"]
 
-LONG_S = 2.0
-RESERVED_SHARE = 8
+LONG_RUN_S = 2.0
+RESERVED_DIVISOR = 8
 LEAST_URGENT = Urgency.PATIENT.rank
 
 
 class Reserve:
-    """Keeps an eighth of the slots free of long jobs that are less urgent than other plans'.
+    """Keeps an eighth of the slots free of long jobs that are not of the most urgent class.
 
-    Guard against head-of-line blocking by running jobs: once textbook volumes of an hour hold
-    every slot, no order of the queue helps a ballot, since a running job is never cut off.
-    Short jobs use the reserved slots as all others, so the reserve costs no throughput. A plan
-    counts as long until a job of it has ended, whatever its callers declare.
+    This prevents head-of-line blocking by running jobs: running jobs are never preempted, so once
+    jobs of an hour occupy every slot, the order of the queue no longer helps an urgent job. Short
+    jobs may use the reserved slots, so the reserve costs no throughput. A plan counts as long
+    until a job of it has ended, whatever run time its callers declare.
     """
 
-    def __init__(self, grants: GrantBook, hosts: HostSlots, run_times: RunTimes) -> None:
+    def __init__(self, grants: GrantTable, hosts: HostSlots, run_times: RunTimes) -> None:
         self._grants = grants
         self._hosts = hosts
         self._run_times = run_times
-        self._held_long: set[PlanId] = set()
-        self._terms = PoolTerms({}, {})
-        self._most_urgent = LEAST_URGENT
-
-    def configure(self, terms: PoolTerms) -> None:
-        """Take over the plans' urgencies."""
-        self._terms = terms
-        self._most_urgent = min(
-            (t.urgency for t in terms.plans_by_id.values()), default=LEAST_URGENT
+        self._long_plans: set[PlanId] = set()
+        self._config = PoolConfig({}, {})
+        self._top_urgency = LEAST_URGENT
+
+    def configure(self, config: PoolConfig) -> None:
+        """Apply the urgency classes of the plans."""
+        self._config = config
+        self._top_urgency = min(
+            (limits.urgency for limits in config.limits_by_plan.values()), default=LEAST_URGENT
         )
 
-    def sweep(self, now: float) -> None:
-        """Look which plans hold their slots for long."""
-        self._held_long = self._grants.held_long(now - LONG_S)
+    def update(self, now: float) -> None:
+        """Update which plans have occupied their slots for a long time."""
+        self._long_plans = self._grants.plans_with_old_grants(now - LONG_RUN_S)
 
     def permits(self, plan: PlanId) -> bool:
-        """Return whether one more job of ``plan`` leaves the reserve untouched."""
+        """Return whether one more job of ``plan`` may start without using a reserved slot."""
         if not self._is_long(plan):
             return True
         slots = self._hosts.capacity
-        reserved = max(1, slots // RESERVED_SHARE) if slots > 1 else 0
+        reserved = max(1, slots // RESERVED_DIVISOR) if slots > 1 else 0
         long = sum(self._grants.running(p) for p in self._grants.plans() if self._is_long(p))
         return long < slots - reserved
 
     def _is_long(self, plan: PlanId) -> bool:
-        if self._terms.plans_by_id.get(plan, DEFAULT_TERMS).urgency <= self._most_urgent:
+        if self._config.limits_by_plan.get(plan, DEFAULT_LIMITS).urgency <= self._top_urgency:
             return False
-        if plan in self._held_long or not self._run_times.known(plan):
+        if plan in self._long_plans or not self._run_times.is_measured(plan):
             return True
-        return self._run_times.expected_s(plan) > LONG_S
+        return self._run_times.expected_s(plan) > LONG_RUN_S
--- a/src/lentilrill/routing/_waiting.py
+++ b/src/lentilrill/routing/_waiters.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps of its asks: waiters, and where pools have hosts."""
+"""Threads that wait for a slot, and the zones in which pools have hosts."""
 
 import threading
 
@@ -21,49 +21,49 @@
 
 
 def decline(refusal: Refusal, retry_after_s: float | None) -> Decline:
-    """Return the final answer to a job that gets no slot."""
+    """Return the decline for a refusal."""
     return Decline(refusal, REASONS[refusal], retry_after_s)
 
 
 def answer_s(job: Job, now: float) -> float:
-    """Return the seconds until which a job may run."""
+    """Return the seconds from now until which a job may run."""
     return max(0.0, job.answer_by - now) if job.answer_by else LONGEST_RUN_S
 
 
 class Waiter:
     """One thread that waits in :meth:`SlotClient.acquire`.
 
-    :ivar ask: names this attempt to schedulers; a later attempt of the job has another.
-    :ivar asked: address of the scheduler that was asked last.
-    :ivar redirected: when the asked process first said that it is not the scheduler.
+    :ivar ask: identifies this attempt to schedulers; a later attempt of the job has another.
+    :ivar scheduler_address: address of the scheduler that was asked last.
+    :ivar redirected_at: when the asked process first answered that it is not the scheduler.
     """
 
     def __init__(self, job: Job, pool: PoolId, ask: RequestId) -> None:
         self.job = job
         self.pool = pool
         self.ask = ask
-        self.asked = ""
-        self.redirected: float | None = None
+        self.scheduler_address = ""
+        self.redirected_at: float | None = None
         self.woken = threading.Event()
         self.answer: Result[Slot, Decline] | None = None
 
 
 class PoolZones:
-    """In which zones each pool has serving hosts, worked out once for each state of the view."""
+    """Zones in which each pool has serving hosts, computed once for each state of the view."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
-        self._hosts_seen: dict[HostId, tuple[PoolId, HostEntry]] = {}
+        self._hosts_read: dict[HostId, tuple[PoolId, HostEntry]] = {}
         self._zones_by_pool: dict[PoolId, set[ZoneId]] = {}
 
     def serving(self) -> dict[PoolId, set[ZoneId]]:
         """Return the zones with serving hosts by pool."""
         hosts_by_id = self._view.hosts_by_id
-        if hosts_by_id is not self._hosts_seen:
+        if hosts_by_id is not self._hosts_read:
             zones_by_pool: dict[PoolId, set[ZoneId]] = {}
             for pool, entry in hosts_by_id.values():
                 if entry.phase is HostPhase.SERVING:
                     zones_by_pool.setdefault(pool, set()).add(entry.zone)
             self._zones_by_pool = zones_by_pool
-            self._hosts_seen = hosts_by_id
+            self._hosts_read = hosts_by_id
         return self._zones_by_pool
--- a/tests/routing/test_scheduler_random.py
+++ b/tests/routing/test_scheduler_random.py
@@ -1,4 +1,4 @@
-"""Long random runs of one pool's scheduler, its gateways, and messages lost between them."""
+"""Random runs of one pool's scheduler and its gateways, with lost messages."""
 
 import random
 
@@ -16,27 +16,27 @@
 
 from lentilrill.ids import GrantId, HostId, Incarnation, PlanId, PoolId, ProcessId, ZoneId
 from lentilrill.inner import Ask, Granted, Held, HeldGrants, Verdict
-from lentilrill.routing._queue import Caller
+from lentilrill.routing._pool_config import PlanLimits, PoolConfig
+from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
-from lentilrill.routing._terms import PlanTerms, PoolTerms
 from tests.routing.site import Clock, an_ask, done
 
 POOL, ZONE = PoolId("schools"), ZoneId("z1")
 HOSTS = ("h1", "h2", "h3")
 SLOTS = 2
 PLANS = {
-    PlanId("a"): PlanTerms(queue=3, concurrency=2),
-    PlanId("b"): PlanTerms(weight=3.0, rate_per_s=5.0),
-    PlanId("c"): PlanTerms(),
+    PlanId("a"): PlanLimits(queue=3, concurrency=2),
+    PlanId("b"): PlanLimits(weight=3.0, rate_per_s=5.0),
+    PlanId("c"): PlanLimits(),
 }
-CALLERS = [Caller(ProcessId(f"gw-{n}"), Incarnation(1), f"gw-{n}") for n in range(3)]
+GATEWAYS = [GatewayInstance(ProcessId(f"gw-{n}"), Incarnation(1), f"gw-{n}") for n in range(3)]
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Gateways that ask, hold, report, lose messages and die, against one scheduler.
+    """One scheduler with gateways that ask, hold grants, report, lose messages and end.
 
-    The model holds what each gateway holds. While no scheduler was replaced and no message
-    lost, no host may have more grants than slots; and no ask may get two final answers.
+    The model tracks the grants that each gateway holds. While no grant or end report was lost,
+    no host may have more grants than slots, and no ask may get two final answers.
     """
 
     def __init__(self) -> None:
@@ -44,10 +44,10 @@
         self.clock = Clock()
         self.epoch = 0
         self.serving = set(HOSTS)
-        self.alive = set(CALLERS)
-        self.gone: set[Caller] = set()
-        self.asks: dict[str, tuple[Ask, Caller]] = {}
-        self.held: dict[GrantId, tuple[Granted, Caller, str]] = {}
+        self.alive = set(GATEWAYS)
+        self.gone: set[GatewayInstance] = set()
+        self.asks: dict[str, tuple[Ask, GatewayInstance]] = {}
+        self.held: dict[GrantId, tuple[Granted, GatewayInstance, str]] = {}
         self.exact = True
         self.count = 0
         self.granted: set[GrantId] = set()
@@ -58,30 +58,30 @@
 
     def replace(self) -> None:
         self.epoch += 1
-        awaited = {caller.address for caller in self.alive}
+        awaited_gateways = {gateway.address for gateway in self.alive}
         rng = random.Random(self.epoch)
-        self.scheduler = PoolScheduler(POOL, ZONE, self.epoch, awaited, self.clock, rng)
+        self.scheduler = PoolScheduler(POOL, ZONE, self.epoch, awaited_gateways, self.clock, rng)
         self.configure()
-        for caller in sorted(self.alive, key=lambda c: c.address):
-            self.report(caller)
+        for gateway in sorted(self.alive, key=lambda c: c.address):
+            self.report(gateway)
 
     def configure(self) -> None:
         slots = {HostId(host): SLOTS for host in HOSTS if host in self.serving}
-        self.take(self.scheduler.configure(PoolTerms(slots, PLANS, budget=1)))
+        self.take(self.scheduler.configure(PoolConfig(slots, PLANS, max_unavailable=1)))
 
-    def report(self, caller: Caller) -> None:
+    def report(self, gateway: GatewayInstance) -> None:
         mine = [
-            Held(g.grant, g.host, PlanId(plan)) for g, c, plan in self.held.values() if c == caller
+            Held(g.grant, g.host, PlanId(plan)) for g, c, plan in self.held.values() if c == gateway
         ]
-        self.take(self.scheduler.held(HeldGrants(POOL, tuple(mine)), caller))
+        self.take(self.scheduler.on_held_grants(HeldGrants(POOL, tuple(mine)), gateway))
 
     def take(self, replies: list[Reply], lose: bool = False) -> None:
         for reply in replies:
             request = reply.message.request  # type: ignore[union-attr]
             if isinstance(reply.message, Granted) and reply.message.host not in self.serving:
-                # Only a grant from before, repeated; the gateway sees that and gives it back.
+                # Only a repeat of an earlier grant; the gateway returns it unused.
                 assert reply.message.grant in self.granted
-                self.take(self.scheduler.done(done(reply.message, Verdict.UNUSED, 0.0)))
+                self.take(self.scheduler.on_done(done(reply.message, Verdict.UNUSED, 0.0)))
                 continue
             if isinstance(reply.message, Granted):
                 self.granted.add(reply.message.grant)
@@ -95,7 +95,7 @@
                 self.held[reply.message.grant] = (reply.message, asked[1], asked[0].plan)
 
     @rule(
-        caller=st.sampled_from(CALLERS),
+        gateway=st.sampled_from(GATEWAYS),
         plan=st.sampled_from(sorted(PLANS)),
         urgency=st.integers(0, 2),
         wait_s=st.sampled_from([0.1, 1.0, 30.0]),
@@ -103,28 +103,34 @@
         lose=st.booleans(),
     )
     def ask(
-        self, caller: Caller, plan: str, urgency: int, wait_s: float, avoid: set[str], lose: bool
+        self,
+        gateway: GatewayInstance,
+        plan: str,
+        urgency: int,
+        wait_s: float,
+        avoid: set[str],
+        lose: bool,
     ) -> None:
-        if caller not in self.alive:
+        if gateway not in self.alive:
             return
         hosts = tuple(HostId(host) for host in sorted(avoid))
         self.count += 1
         request = f"r{self.count:05}"
-        ask = an_ask(plan, caller, request=request, urgency=urgency, wait_s=wait_s, avoid=hosts)
-        self.asks[ask.request] = (ask, caller)
-        self.take(self.scheduler.ask(ask, caller), lose)
+        ask = an_ask(plan, gateway, request=request, urgency=urgency, wait_s=wait_s, avoid=hosts)
+        self.asks[ask.request] = (ask, gateway)
+        self.take(self.scheduler.ask(ask, gateway), lose)
 
     @precondition(lambda self: self.asks)
     @rule(data=st.data())
     def ask_again(self, data: st.DataObject) -> None:
-        ask, caller = self.asks[data.draw(st.sampled_from(sorted(self.asks)))]
-        self.take(self.scheduler.ask(ask, caller))
+        ask, gateway = self.asks[data.draw(st.sampled_from(sorted(self.asks)))]
+        self.take(self.scheduler.ask(ask, gateway))
 
     @precondition(lambda self: self.asks)
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
-        ask, caller = self.asks.pop(data.draw(st.sampled_from(sorted(self.asks))))
-        self.take(self.scheduler.cancel(ask.request, caller))
+        ask, gateway = self.asks.pop(data.draw(st.sampled_from(sorted(self.asks))))
+        self.take(self.scheduler.cancel(ask.request, gateway))
 
     @precondition(lambda self: self.held)
     @rule(
@@ -142,25 +148,25 @@
             self.exact = False
             return
         for _ in range(1 + twice):
-            self.take(self.scheduler.done(done(granted, verdict, run_s, plan)))
+            self.take(self.scheduler.on_done(done(granted, verdict, run_s, plan)))
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 3.5, 100.0]))
     def tick(self, seconds: float) -> None:
         self.clock.now += seconds
-        self.take(self.scheduler.tick(self.alive, lambda caller: caller in self.gone))
+        self.take(self.scheduler.tick(self.alive, lambda gateway: gateway in self.gone))
 
-    @rule(caller=st.sampled_from(CALLERS))
-    def make_report(self, caller: Caller) -> None:
-        if caller in self.alive:
-            self.report(caller)
+    @rule(gateway=st.sampled_from(GATEWAYS))
+    def make_report(self, gateway: GatewayInstance) -> None:
+        if gateway in self.alive:
+            self.report(gateway)
 
-    @rule(caller=st.sampled_from(CALLERS))
-    def die(self, caller: Caller) -> None:
-        if len(self.alive) > 1 and caller in self.alive:
-            self.alive.discard(caller)
-            self.gone.add(caller)
-            self.held = {g: held for g, held in self.held.items() if held[1] != caller}
-            self.asks = {r: asked for r, asked in self.asks.items() if asked[1] != caller}
+    @rule(gateway=st.sampled_from(GATEWAYS))
+    def die(self, gateway: GatewayInstance) -> None:
+        if len(self.alive) > 1 and gateway in self.alive:
+            self.alive.discard(gateway)
+            self.gone.add(gateway)
+            self.held = {g: held for g, held in self.held.items() if held[1] != gateway}
+            self.asks = {r: asked for r, asked in self.asks.items() if asked[1] != gateway}
 
     @rule(host=st.sampled_from(HOSTS))
     def move_host(self, host: str) -> None:
@@ -172,7 +178,7 @@
         self.replace()
 
     @invariant()
-    def accounts_agree(self) -> None:
+    def counts_agree(self) -> None:
         if self.epoch:
             self.scheduler._check()
             assert self.scheduler.violations == 0
@@ -184,24 +190,24 @@
             assert all(held.count(HostId(host)) <= SLOTS for host in HOSTS)
 
     def teardown(self) -> None:
-        # In the end every message arrives: all is granted or refused, and no slot is lost.
+        # Once every message arrives, every ask is granted or refused, and every slot is free.
         self.serving = set(HOSTS)
         self.configure()
         self.held.clear()
         for _ in range(100):
             self.clock.now += 5.0
-            for caller in sorted(self.alive, key=lambda c: c.address):
-                self.report(caller)
-            self.take(self.scheduler.tick(self.alive, lambda caller: caller in self.gone))
+            for gateway in sorted(self.alive, key=lambda c: c.address):
+                self.report(gateway)
+            self.take(self.scheduler.tick(self.alive, lambda gateway: gateway in self.gone))
             for granted, _, plan in list(self.held.values()):
                 del self.held[granted.grant]
-                self.take(self.scheduler.done(done(granted, Verdict.OK, 0.1, plan)))
+                self.take(self.scheduler.on_done(done(granted, Verdict.OK, 0.1, plan)))
         assert self.scheduler.waiting == 0
         assert self.scheduler.running == 0
 
 
 class RandomRunsTest(TestCase):
-    def test_accounts_hold_through_random_runs(self) -> None:
+    def test_counts_agree_in_random_runs(self) -> None:
         run_state_machine_as_test(
             SchedulerMachine,
             settings=settings(
