--- a/src/lentilrill/operators/__init__.py
+++ b/src/lentilrill/operators/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP for operators: configuration, planned stops, status and the audit trail."""
+"""HTTP API for operators: configuration, planned stops, status and the audit trail."""
 
 from lentilrill.operators._answers import (
     ApplyBody,
--- a/src/lentilrill/operators/_answers.py
+++ b/src/lentilrill/operators/_answers.py
@@ -1,4 +1,4 @@
-"""Bodies of the operators' HTTP: what comes in, and what goes out."""
+"""Request and response bodies of the operators' HTTP API."""
 
 import msgspec
 
@@ -23,16 +23,16 @@
 
 
 class CheckBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The two files, each as the JSON that it holds."""
+    """The two list files to check, each as raw JSON."""
 
     plans: msgspec.Raw
     entitlements: msgspec.Raw
 
 
 class ApplyBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The two files, and the revision that they were edited from.
+    """The two list files to apply, and the revision that they were edited from.
 
-    :param write_id: the caller's name for the edit, to send it again after a lost answer.
+    :param write_id: idempotency key chosen by the caller, for a retry after a lost response.
     """
 
     base: int
@@ -51,7 +51,7 @@
 
 
 class ConfigAnswer(msgspec.Struct, frozen=True):
-    """The document.
+    """The configuration document.
 
     :param fresh: whether it was read from the platform; if not, it is this controller's copy.
     """
@@ -62,7 +62,7 @@
 
 
 class CheckAnswer(msgspec.Struct, frozen=True):
-    """Findings of two lists, and what they would change if applied now."""
+    """Findings in the two lists, and what they would change if applied now."""
 
     valid: bool
     revision: Revision
@@ -71,7 +71,7 @@
 
 
 class EditAnswer(msgspec.Struct, frozen=True):
-    """An edit that is in the store: ``accepted`` or ``unchanged``."""
+    """The result of an edit that is ``accepted`` or ``unchanged``."""
 
     verdict: EditVerdict
     revision: Revision
@@ -108,9 +108,9 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An error as RFC 9457 has it, with what operators need to go on.
+    """An RFC 9457 problem document, with extension members that describe an edit.
 
-    :param verdict: what became of an edit; ``None`` where none was asked for.
+    :param verdict: verdict on the edit; ``None`` if the request was not an edit.
     """
 
     type: str
--- a/src/lentilrill/operators/_api.py
+++ b/src/lentilrill/operators/_api.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a controller, each as one handler from request to reply."""
+"""Request handlers of the operators' HTTP API."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -48,9 +48,10 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request of a known operator.
+    """A request of an authenticated operator.
 
-    :param tail: last part of the path where a route leaves it open.
+    :param who: the operator's name.
+    :param tail: rest of the path after the prefix, for routes that match a prefix.
     """
 
     who: str
@@ -60,7 +61,7 @@
 
 
 class Api:
-    """Handlers of the operators' HTTP."""
+    """Handlers of the operators' HTTP API."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
         self._host_list = host_list
 
     def config(self, _request: Request) -> Reply:
-        """Show the document, from the platform if it answers, else this controller's copy."""
+        """Return the document from the platform, or this controller's copy if that fails."""
         read = self._store.head()
         fresh = not isinstance(read, Failure)
         head = read.value_or(self._held())
@@ -106,7 +107,7 @@
         return Reply(HTTPStatus.OK, answer)
 
     def apply(self, request: Request) -> Reply:
-        """Put two lists in the place of those in force."""
+        """Replace the lists that are in force."""
         body = msgspec.json.decode(request.body, type=ApplyBody)
         decoded = decode_lists(bytes(body.plans), bytes(body.entitlements))
         if isinstance(decoded, Failure):
@@ -124,15 +125,15 @@
         return self._edited(outcome, Document(stops=(stop,)))
 
     def cancel_stop(self, request: Request) -> Reply:
-        """Take a planned stop back."""
+        """Cancel a planned stop."""
         return self._edited(self._editor.cancel(request.who, StopId(unquote(request.tail))))
 
     def status(self, _request: Request) -> Reply:
-        """Show the whole picture."""
+        """Return the status of the fleet and of the system's processes."""
         return Reply(HTTPStatus.OK, self._status())
 
     def hosts(self, _request: Request) -> Reply:
-        """List every host with its pool."""
+        """Return every host with its pool."""
         rows = [
             HostRow(
                 entry.id,
@@ -150,7 +151,7 @@
         return Reply(HTTPStatus.OK, HostsAnswer(tuple(rows)))
 
     def audit(self, request: Request) -> Reply:
-        """Show the newest edits."""
+        """Return the newest edits."""
         text = request.query.get("limit", str(DEFAULT_AUDIT_LIMIT))
         if not text.isascii() or not text.isdigit() or not 1 <= int(text) <= MAX_AUDIT_LIMIT:
             detail = f"limit must be a number from 1 to {MAX_AUDIT_LIMIT}"
--- a/src/lentilrill/operators/_audit.py
+++ b/src/lentilrill/operators/_audit.py
@@ -1,8 +1,8 @@
 """The audit trail: who changed what, when, and with which verdict.
 
-An accepted edit's record is written in the transaction that stores the document, so the trail
-holds exactly the edits that took effect, in order, under the edit's number. Refused edits are
-recorded best-effort in one bounded value of their own.
+The record of an accepted edit is written in the transaction that stores the document, so the trail
+holds exactly the edits that took effect, in order, keyed by edit number. Refused edits are
+recorded on a best-effort basis in a separate value of bounded size.
 """
 
 import msgspec
@@ -20,11 +20,11 @@
 RETAINED_EDITS = 5000
 NUMBER_DIGITS = 12
 PAGE_DIGITS = 2
-"""Digits left off a key to read it with its neighbours: a page holds up to 100 records."""
+"""Digits cut from a key to form the prefix of a page, which holds up to 100 records."""
 
 
 def accepted_writes(record: AuditRecord) -> tuple[Put | DeleteRange, ...]:
-    """Return the writes that store an accepted edit's record and trim the oldest ones."""
+    """Return the writes that store the record of an accepted edit and delete the oldest ones."""
     put = Put(_edit_key(record.number), msgspec.json.encode(record))
     oldest_kept = record.number - RETAINED_EDITS + 1
     if oldest_kept <= 1:
@@ -33,7 +33,7 @@
 
 
 class AuditTrail:
-    """The trail on the platform."""
+    """The audit trail stored on the platform."""
 
     def __init__(self, kv: KeyValue) -> None:
         self._kv = kv
@@ -41,23 +41,23 @@
 
     @property
     def dropped(self) -> int:
-        """Refused edits of which no record could be kept."""
+        """Number of refused edits whose record was lost."""
         return self._refusals.dropped
 
     def start(self) -> None:
-        """Begin to write refused edits."""
+        """Start writing records of refused edits."""
         self._refusals.start()
 
     def stop(self) -> None:
-        """Write refused edits that are pending, if the platform answers, and end."""
+        """Write pending records of refused edits if the platform answers, and stop."""
         self._refusals.stop()
 
     def note_refused(self, record: AuditRecord) -> None:
-        """Record a refused edit, best-effort."""
+        """Record a refused edit on a best-effort basis."""
         self._refusals.note(record)
 
     def entry(self, number: int) -> Result[AuditEntry | None, Fault]:
-        """Read the accepted edit ``number``; ``None`` if no record of it is there."""
+        """Return the accepted edit ``number``, or ``None`` if it has no record."""
         return self._kv.read(_edit_key(number)).bind(_first_entry)
 
     def since(
@@ -66,8 +66,8 @@
         """Return the accepted edits after ``revision``, oldest first.
 
         :param newest: number of the newest edit.
-        :param limit: most edits to return.
-        :return: ``None`` if there are more, or the trail doesn't reach back so far.
+        :param limit: maximum number of edits to return.
+        :return: ``None`` if there are more, or if the trail no longer holds all of them.
         """
         found = self._newest_edits(newest, limit + 1)
         if isinstance(found, Failure):
--- a/src/lentilrill/operators/_auth.py
+++ b/src/lentilrill/operators/_auth.py
@@ -1,4 +1,4 @@
-"""Operators' tokens, kept only as digests."""
+"""Authentication of operators by bearer token; only digests of the tokens are stored."""
 
 import hashlib
 import hmac
@@ -10,10 +10,10 @@
 
 
 def operator_of(authorization: str, tokens_sha256: Mapping[str, str]) -> str | None:
-    """Return the operator whose token an ``Authorization`` header carries.
+    """Return the operator whose token is in an ``Authorization`` header, or ``None``.
 
-    Guard against guessing a token from response times: digests are compared, in constant time,
-    and all of them, so that neither a matching beginning nor the position of the operator shows.
+    To prevent timing attacks, digests are compared in constant time, and the loop always compares
+    all of them: response times reveal neither a matching prefix nor the operator's position.
 
     :param tokens_sha256: hex SHA-256 of each token by operator name.
     """
--- a/src/lentilrill/operators/_capacity.py
+++ b/src/lentilrill/operators/_capacity.py
@@ -1,4 +1,4 @@
-"""Warnings of promises that the listed hosts can't meet, with their arithmetic."""
+"""Warnings about plans that the listed hosts can't satisfy, with the numbers compared."""
 
 from collections import defaultdict
 
@@ -10,7 +10,10 @@
 
 
 def check_capacity(document: Document, listing: HostListing) -> tuple[Finding, ...]:
-    """Return a warning for each promise that the listed hosts can't meet."""
+    """Return a warning for each requirement that the listed hosts can't satisfy.
+
+    Checks the hosts owed in total, by pool and by zone, and that hosts of planned stops are listed.
+    """
     workers = [
         host
         for host in listing.hosts
--- a/src/lentilrill/operators/_diff.py
+++ b/src/lentilrill/operators/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, by list and id."""
+"""Differences between two documents, by list and id."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class Change(Enum):
-    """What happened to an entry."""
+    """How an entry changed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -22,7 +22,7 @@
 
 
 class FieldChange(msgspec.Struct, frozen=True):
-    """One field before and after, as JSON text cut to a readable length."""
+    """One field before and after, as truncated JSON text."""
 
     field: str
     before: str
@@ -34,7 +34,7 @@
 
     :param list: ``plans``, ``pools``, ``entitlements``, ``objective`` or ``stops``.
     :param id: the entry's id; an entitlement's is its plan's. Empty for the objective.
-    :param fields: what changed in an entry that stands on both sides.
+    :param fields: changed fields of an entry that both documents have.
     """
 
     list: str
@@ -51,7 +51,7 @@
 
 
 def difference(before: Document, after: Document) -> tuple[Difference, ...]:
-    """Return how ``after`` differs from ``before``; order within a list does not count."""
+    """Return how ``after`` differs from ``before``, ignoring the order within a list."""
     return (
         _entries("plans", before.plans_by_id(), after.plans_by_id())
         + _entries("pools", before.pools_by_id(), after.pools_by_id())
--- a/src/lentilrill/operators/_editing.py
+++ b/src/lentilrill/operators/_editing.py
@@ -1,8 +1,8 @@
-"""Editing the operators' document: checked, compared and swapped, and told honestly.
+"""Edits of the operators' document: validation, compare-and-swap, and the reported verdict.
 
-Each edit is one transaction: it compares the document's revision, and stores the new document with
-the record of the edit. An edit that is told as accepted is in the store; one told as refused is
-not and never will be; anything else is told as unknown.
+Each edit is one transaction that compares the document's revision and stores the new document
+with the audit record. An edit reported as accepted is in the store. An edit reported as refused is
+not, and never will be. In any other case the verdict is unknown.
 """
 
 import hashlib
@@ -28,7 +28,7 @@
 __all__ = ["MAX_DOCUMENT_BYTES", "Editor"]
 
 MAX_DOCUMENT_BYTES = 1_000_000
-"""The platform's bound of a value."""
+"""The platform's size limit for a value."""
 MAX_EDITS_SEARCHED = 1000
 STOP_TRIES = 8
 DIGEST_CHARS = 12
@@ -42,7 +42,7 @@
     """Applies operators' edits to the stored document.
 
     :param on_accepted: called with the stored bytes and their revision, so that this process's
-        own copy need not wait for its watch.
+        copy is updated without waiting for its watch.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
         self._now = now
 
     def apply(self, who: str, lists: Document, base: Revision, write_id: str = "") -> EditOutcome:
-        """Replace the plans and what they may use; planned stops stay as they are.
+        """Replace plans, pools, entitlements and objective; planned stops stay as they are.
 
         :param base: revision that the lists were edited from.
-        :param write_id: the caller's name for this edit. Sent again with the same name after a
-            lost answer, the edit is found and not made twice.
+        :param write_id: idempotency key chosen by the caller. An edit that is retried with the
+            same key after a lost response is not applied twice.
         """
         write_id = write_id or _new_write_id()
         if not WRITE_ID_PATTERN.fullmatch(write_id):
@@ -73,12 +73,12 @@
         return self._told(who, Action.APPLY, outcome)
 
     def declare(self, who: str, stop: PlannedStop) -> EditOutcome:
-        """Add a planned stop; an equal one that is there already is left as it is."""
+        """Add a planned stop; the verdict is ``UNCHANGED`` if an equal one exists."""
         outcome = self._on_stops(who, Action.DECLARE_STOP, stop, _declared)
         return self._told(who, Action.DECLARE_STOP, outcome)
 
     def cancel(self, who: str, stop_id: StopId) -> EditOutcome:
-        """Take a planned stop back; one that is not there makes the edit invalid."""
+        """Remove a planned stop; the edit is invalid if no such stop exists."""
         outcome = self._on_stops(who, Action.CANCEL_STOP, PlannedStop(stop_id, ()), _cancelled)
         return self._told(who, Action.CANCEL_STOP, outcome)
 
@@ -108,7 +108,10 @@
     def _on_stops(
         self, who: str, action: Action, stop: PlannedStop, change: StopChange
     ) -> EditOutcome:
-        """Make an edit of one stop; a lost race is run again, as it can't undo the other edit."""
+        """Apply an edit of one stop, retrying after a conflict.
+
+        A retry is safe because an edit of one stop can't undo a concurrent edit.
+        """
         write_id = _new_write_id()
         outcome = outcomes.lost_to_others(write_id, Revision(0))
         for _ in range(STOP_TRIES):
@@ -163,7 +166,7 @@
         return msgspec.structs.replace(outcome, revision=revision)
 
     def _lost_race(self, outcome: EditOutcome, candidate: Document) -> EditOutcome:
-        """Add to a conflict what won and what differs, as far as the platform tells."""
+        """Add the winning edits and the differences to a conflict, if they can be read."""
         read = self._store.head()
         if isinstance(read, Failure):
             return outcome
@@ -173,10 +176,10 @@
         return outcomes.conflict(outcome.write_id, outcome.base, head, differences, since)
 
     def _since(self, base: Revision, head: Head) -> Result[tuple[AuditEntry, ...], Fault]:
-        """Return the accepted edits after ``base``; none if the trail doesn't hold them all.
+        """Return the accepted edits after ``base``; empty if the trail doesn't hold them all.
 
-        A trail that can't be read now is a fault, and not "none": an edit sent again after a lost
-        answer would be told as a conflict, while it is in force.
+        A trail that can't be read is a fault, not an empty result: otherwise an edit that is in
+        force and is retried after a lost response would be reported as a conflict.
         """
         if head.revision == base:
             return Success(())
@@ -184,7 +187,7 @@
         return read.map(lambda entries: entries or ())
 
     def _told(self, who: str, action: Action, outcome: EditOutcome) -> EditOutcome:
-        """Log an outcome, and leave a record of an edit that was not accepted."""
+        """Log an outcome, and record an edit that was not accepted in the audit trail."""
         log(
             _EVENTS[outcome.verdict],
             who=who,
@@ -213,7 +216,7 @@
 
 
 def _digest(lists: Document) -> str:
-    """Return a digest of the lists, so that a reused write id with other lists is another edit."""
+    """Return a digest that makes edits with the same write id but other lists distinct."""
     return hashlib.sha256(msgspec.json.encode(lists)).hexdigest()[:DIGEST_CHARS]
 
 
@@ -228,7 +231,7 @@
 
 
 def _own_earlier(head: Head, since: tuple[AuditEntry, ...], write_id: str) -> EditOutcome | None:
-    """Return the outcome of the same edit if it was made before and its answer lost."""
+    """Return the outcome of an earlier attempt at the same edit whose response was lost."""
     for entry in since:
         if entry.record.write_id == write_id:
             return outcomes.found_earlier(entry, entry.record.number)
@@ -239,13 +242,13 @@
 
 
 def _wanted(action: Action, stop: PlannedStop) -> tuple[Difference, ...]:
-    """Return what an edit of a stop is to change, where the document can't be read."""
+    """Return the intended change of a stop, for use when the document can't be read."""
     change = Change.ADDED if action is Action.DECLARE_STOP else Change.REMOVED
     return (Difference("stops", stop.id, change),)
 
 
 def _only_stops(since: tuple[AuditEntry, ...]) -> bool:
-    """Whether the edits since the base were all of stops, which lists don't touch."""
+    """Return whether all edits since the base were of stops, which are no part of the lists."""
     return bool(since) and all(entry.record.action is not Action.APPLY for entry in since)
 
 
--- a/src/lentilrill/operators/_outcomes.py
+++ b/src/lentilrill/operators/_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of an edit, in the words that operators get."""
+"""Outcomes of edits, with the messages shown to operators."""
 
 import msgspec
 
@@ -32,13 +32,13 @@
 
 
 class EditOutcome(msgspec.Struct, frozen=True):
-    """What became of an edit.
+    """The outcome of an edit.
 
-    :param revision: revision that the edit made; for a conflict, the one that won; else ``None``.
-    :param number: number of the edit, if it was accepted or may have been.
-    :param base: revision of the document that the edit was made from.
+    :param revision: revision created by the edit; for a conflict, the one in force; else ``None``.
+    :param number: number of the edit, if it was or may have been accepted.
+    :param base: revision of the document that the edit is based on.
     :param differences: what the edit changed; for a conflict, what it would change now.
-    :param since: for a conflict, the edits accepted after the base, if the trail tells.
+    :param since: for a conflict, the edits accepted after the base, if the trail holds them.
     """
 
     verdict: EditVerdict
@@ -54,7 +54,7 @@
 
 
 def unchanged(head: Head, write_id: str) -> EditOutcome:
-    """Return the outcome of an edit that says what is in force already."""
+    """Return the outcome of an edit that equals the document in force."""
     return EditOutcome(
         EditVerdict.UNCHANGED,
         write_id,
@@ -65,7 +65,7 @@
 
 
 def found_earlier(entry: AuditEntry, number: int) -> EditOutcome:
-    """Return the outcome of an edit that was accepted before, while its answer was lost."""
+    """Return the outcome of an edit that was accepted before but whose response was lost."""
     return EditOutcome(
         EditVerdict.ACCEPTED,
         entry.record.write_id,
@@ -91,7 +91,7 @@
     differences: tuple[Difference, ...],
     since: tuple[AuditEntry, ...],
 ) -> EditOutcome:
-    """Return the outcome of an edit made from a revision that is no longer in force.
+    """Return the outcome of an edit based on a revision that is no longer in force.
 
     :param differences: what the edit would change in the document that is in force.
     """
@@ -109,7 +109,7 @@
 
 
 def lost_to_others(write_id: str, base: Revision) -> EditOutcome:
-    """Return the outcome of an edit that others came before, with nothing more known."""
+    """Return the outcome of an edit that lost to a concurrent one, without details."""
     return EditOutcome(
         EditVerdict.CONFLICT,
         write_id,
@@ -119,7 +119,7 @@
 
 
 def unavailable(write_id: str, base: Revision, fault: Fault) -> EditOutcome:
-    """Return the outcome of an edit that never reached the platform."""
+    """Return the outcome of an edit that was not applied because the platform failed."""
     return EditOutcome(
         EditVerdict.UNAVAILABLE,
         write_id,
@@ -130,7 +130,7 @@
 
 
 def unknown(outcome: EditOutcome, fault: Fault) -> EditOutcome:
-    """Return ``outcome`` as one that can't be known, with how to find out."""
+    """Return ``outcome`` with the verdict ``UNKNOWN`` and advice on how to resolve it."""
     message = (
         f"the platform's answer was lost ({fault}); the edit may be in effect. Once the platform "
         f"answers, look for write id {outcome.write_id} under edit {outcome.number} in the audit "
@@ -145,7 +145,7 @@
 
 
 def record_of(outcome: EditOutcome, at: float, who: str, action: Action) -> AuditRecord:
-    """Return the record that an outcome leaves in the audit trail."""
+    """Return the audit record of an outcome."""
     kept, more = bounded(outcome.differences)
     errors = "; ".join(str(finding) for finding in errors_of(outcome.findings))
     return AuditRecord(
--- a/src/lentilrill/operators/_problems.py
+++ b/src/lentilrill/operators/_problems.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' HTTP, as RFC 9457 problem documents."""
+"""Error responses of the operators' HTTP API, as RFC 9457 problem documents."""
 
 import math
 from http import HTTPStatus
@@ -30,9 +30,9 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """What goes back over HTTP.
+    """An HTTP response.
 
-    :param body: a value that is sent as JSON.
+    :param body: value to encode as JSON.
     """
 
     status: HTTPStatus
@@ -48,7 +48,7 @@
 def problem(
     status: HTTPStatus, kind: str, detail: str, headers: tuple[tuple[str, str], ...] = ()
 ) -> Reply:
-    """Return a problem with nothing but a type and a detail.
+    """Return a problem that has only a type and a detail.
 
     :param kind: last part of the problem's type.
     """
@@ -56,7 +56,7 @@
 
 
 def edit_problem(outcome: EditOutcome) -> Reply:
-    """Return the problem of an edit that is not known to be accepted."""
+    """Return the problem for an edit that was refused or whose outcome is unknown."""
     status = _STATUS_BY_VERDICT[outcome.verdict]
     body = Problem(
         TYPE_PREFIX + outcome.verdict.value,
@@ -77,7 +77,7 @@
 
 
 def fault_problem(fault: Fault) -> Reply:
-    """Return the problem of a read that failed."""
+    """Return the problem for a failed read."""
     invalid = fault.kind is FaultKind.INVALID
     status = HTTPStatus.INTERNAL_SERVER_ERROR if invalid else HTTPStatus.SERVICE_UNAVAILABLE
     headers = _retry_after(status, fault.retry_after_s)
--- a/src/lentilrill/operators/_records.py
+++ b/src/lentilrill/operators/_records.py
@@ -1,4 +1,4 @@
-"""What the audit trail holds of one edit."""
+"""Audit records of edits."""
 
 from enum import Enum
 
@@ -11,11 +11,11 @@
 
 MAX_DIFFERENCES = 50
 MAX_DIFFERENCES_BYTES = 4096
-"""So that a hundred refused edits fit into one value of the platform, whatever they changed."""
+"""Limits a record so that 100 refused edits of any size fit into one value of the platform."""
 
 
 class Action(Enum):
-    """What an operator asked for."""
+    """The kind of edit that an operator requested."""
 
     APPLY = "apply"
     DECLARE_STOP = "declare_stop"
@@ -23,26 +23,26 @@
 
 
 class EditVerdict(Enum):
-    """What became of an edit."""
+    """The verdict on an edit."""
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
-    """The document already says so; nothing was written."""
+    """The document is already as requested; nothing was written."""
     CONFLICT = "conflict"
     INVALID = "invalid"
     UNAVAILABLE = "unavailable"
     """The platform could not be reached; nothing was written."""
     UNKNOWN = "unknown"
-    """The write may or may not have taken effect, and the platform can't be asked."""
+    """The write may or may not have taken effect, and the platform doesn't answer."""
 
 
 class AuditRecord(msgspec.Struct, frozen=True):
-    """One edit, as stored.
+    """The stored record of one edit.
 
-    :param at: seconds since the epoch at the controller that handled the edit.
-    :param base: revision of the document that the edit was made from.
-    :param message: why it was refused; empty if it was accepted.
-    :param more: differences left out to keep the record small.
+    :param at: seconds since the epoch, by the clock of the controller that handled the edit.
+    :param base: revision of the document that the edit is based on.
+    :param message: why the edit was refused; empty if it was accepted.
+    :param more: number of differences omitted to limit the size of the record.
     """
 
     at: float
@@ -58,14 +58,14 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True):
-    """A record and the revision it made; ``None`` for an edit that made none."""
+    """A record and the revision that the edit created, ``None`` if it created none."""
 
     record: AuditRecord
     revision: Revision | None
 
 
 def bounded(differences: tuple[Difference, ...]) -> tuple[tuple[Difference, ...], int]:
-    """Return the differences that a record keeps, and the count of the others."""
+    """Return the differences to store in a record, and the number of omitted ones."""
     kept, size_bytes = 0, 0
     for each in differences[:MAX_DIFFERENCES]:
         size_bytes += len(msgspec.json.encode(each))
--- a/src/lentilrill/operators/_refusals.py
+++ b/src/lentilrill/operators/_refusals.py
@@ -1,7 +1,7 @@
 """Records of refused edits, written in the background.
 
-A refusal is answered at once; its record must not make the operator wait for a platform that is
-slow or away. So records wait in a bounded queue, and one task writes what is there in one go.
+A refusal is answered immediately, without waiting for a platform that may be slow or down. The
+records are held in a bounded queue, which a background thread writes in batches.
 """
 
 import threading
@@ -27,15 +27,15 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The stored value, oldest first."""
+    """The stored value: records of refused edits, oldest first."""
 
     records: tuple[AuditRecord, ...] = ()
 
 
 class Refusals:
-    """The newest refused edits of all controllers, in one bounded value on the platform.
+    """The newest refused edits of all controllers, in one platform value of bounded size.
 
-    :ivar dropped: records that could not be kept.
+    :ivar dropped: number of records that were lost.
     """
 
     def __init__(self, kv: KeyValue) -> None:
@@ -47,11 +47,11 @@
         self.dropped = 0
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the background thread."""
         self._thread.start()
 
     def stop(self, timeout_s: float = 5.0) -> None:
-        """Try once more to write what is pending, then end the task."""
+        """Try once more to write the pending records, then stop the thread."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
@@ -59,7 +59,7 @@
             self._thread.join(timeout_s)
 
     def note(self, record: AuditRecord) -> None:
-        """Keep a record until it can be written; the oldest goes if there are too many."""
+        """Queue a record for writing; if the queue is full, the oldest record is dropped."""
         with self._changed:
             if len(self._pending) == MAX_PENDING:
                 self._pending.popleft()
@@ -68,7 +68,7 @@
             self._changed.notify_all()
 
     def read(self) -> Result[tuple[AuditRecord, ...], Fault]:
-        """Read the stored records, oldest first."""
+        """Return the stored records, oldest first."""
         return self._held().map(lambda held: held[0])
 
     def _run(self) -> None:
@@ -108,9 +108,9 @@
             log(Event.AUDIT_DROPPED, refused_edits=self.dropped)
 
     def _append(self, records: tuple[AuditRecord, ...]) -> bool:
-        """Add to the stored records by compare-and-swap, since other controllers do so too.
+        """Append to the stored records by compare-and-swap, as other controllers write them too.
 
-        A write whose answer was lost is made again; records that are there already are left out.
+        A write whose response was lost is retried; records that are already stored are skipped.
         """
         for _ in range(TRIES):
             read = self._held()
--- a/src/lentilrill/operators/_server.py
+++ b/src/lentilrill/operators/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server for operators: routes, tokens, limits, and the server's life."""
+"""HTTP server for operators: routes, authentication, limits, and the server's life cycle."""
 
 import logging
 import threading
@@ -28,13 +28,13 @@
 __all__ = ["MAX_BODY_BYTES", "OperatorServer"]
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""Above the largest document, as operators' files hold spaces and line ends."""
+"""Larger than the largest document, because operators' files contain whitespace."""
 MAX_READ_BYTES = 4 * MAX_BODY_BYTES
-"""Bodies announced as larger than that are not even read; up to it they get a clear answer."""
+"""Bodies up to this size are read and get a clear error; larger ones are not read at all."""
 MAX_HEADER_BYTES = 32 * 1024
 THREADS = 10
 AT_ONCE = 8
-"""Operators' requests worked on at once; the other threads are left for health checks."""
+"""Limit of concurrent operators' requests; the other threads are reserved for health checks."""
 IDLE_CONNECTION_S = 30
 LISTEN_BACKLOG = 64
 STOPS_PATH = "/v1/stops/"
@@ -45,30 +45,31 @@
 
 
 class Health(msgspec.Struct, frozen=True):
-    """Answer of the health checks."""
+    """Response body of the health checks."""
 
     ok: bool
     document_revision: Revision
 
 
 class QuietServer(wsgi.Server):
-    """A server whose errors are logged as events instead of printed."""
+    """A server that logs errors as events instead of printing them."""
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what went wrong with a connection, without the traceback."""
+        """Log a connection error, without the traceback."""
         del traceback
         if level >= logging.ERROR:
             log(Event.OPERATOR_REQUEST_FAILED, error=msg.strip())
 
 
 class OperatorServer:
-    """Serves operators on the controller's address.
-
-    :param status: makes the whole picture, on each request for it.
-    :param host_list: with it, promises that the fleet can't meet are warned of.
-    :param settle_s: seconds to go on asking what became of a write whose answer was lost.
-    :param publish: takes over an accepted edit and tells peers of it; just this process's mirror
-        by default.
+    """Serves the operators' HTTP API on the controller's address.
+
+    :param status: returns the current status; called for each status request.
+    :param host_list: hosts to compare edits with, to warn about plans that they can't satisfy.
+    :param settle_s: seconds to keep trying to resolve the outcome of a write whose response was
+        lost.
+    :param publish: called with the items of an accepted edit, to update this process and its
+        peers; by default only this process's mirror is updated.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self._thread = threading.Thread(target=self._serve, name="operators", daemon=True)
 
     def start(self) -> None:
-        """Bind the address and begin to serve.
+        """Bind the address and start serving.
 
         :raises OSError: if the address can't be bound.
         """
@@ -106,18 +107,18 @@
         self._thread.start()
 
     def drain(self) -> None:
-        """Answer 503 on /readyz from now on; requests are still served."""
+        """Answer 503 on /readyz from now on; other requests are still served."""
         self._draining.set()
 
     def stop(self) -> None:
-        """Finish the requests in flight and end."""
+        """Finish the requests in flight and stop."""
         self.drain()
         self._server.stop()
         self._thread.join()
         self._audit.stop()
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one request, as WSGI has it."""
+        """Answer one request; the WSGI entry point."""
         began = time.monotonic()
         reply = self._reply(environ)
         body = msgspec.json.encode(reply.body)
@@ -164,11 +165,11 @@
         return self._in_turn(handler, who, tail, environ)
 
     def _in_turn(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
-        """Run a handler if not too many run already.
+        """Run a handler unless the limit of concurrent requests is reached.
 
-        Guard against a platform that takes calls and stays silent: each request then holds its
-        thread until a deadline. With all threads held, health checks would go unanswered, and a
-        controller that is well would be restarted.
+        If the platform accepts calls but doesn't answer, each request occupies its thread until a
+        deadline. With all threads occupied, health checks would go unanswered, and a healthy
+        controller would be restarted.
         """
         if not self._turns.acquire(blocking=False):
             detail = f"{AT_ONCE} requests are being worked on; the platform may be slow"
@@ -180,7 +181,7 @@
             self._turns.release()
 
     def _handled(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
-        """Run a handler; whatever it meets becomes an answer, never a broken connection."""
+        """Run a handler, turning every exception into an error response."""
         try:
             body = _read_body(environ)
         except (ValueError, MaxSizeExceeded) as error:
@@ -202,8 +203,8 @@
     def _health(self, path: str) -> Reply:
         """Answer a health check.
 
-        A controller is ready once it knows the state, even if that holds no document: the first
-        configuration has to come in through one.
+        A controller is ready once it has read the state, even if that contains no document: the
+        first configuration is applied through a controller.
         """
         revision = self._view.document_revision
         ready = self._view.mirror.complete_to > 0 and not self._draining.is_set()
--- a/src/lentilrill/operators/_status.py
+++ b/src/lentilrill/operators/_status.py
@@ -1,4 +1,4 @@
-"""What a controller tells operators of the fleet and of the system's own processes."""
+"""Status of the fleet and of the system's own processes, as shown to operators."""
 
 from enum import Enum
 
@@ -32,7 +32,7 @@
 class MemberStatus(msgspec.Struct, frozen=True):
     """One process of the system as the answering controller sees it.
 
-    :param complete_to: store revision to which the process last said its copy is complete.
+    :param complete_to: store revision up to which the process last reported its copy complete.
     """
 
     process: ProcessId
@@ -45,11 +45,13 @@
 
 
 class PoolStatus(msgspec.Struct, frozen=True):
-    """Hosts of one pool, counted.
+    """Host counts of one pool.
 
     :param owed: hosts that plans are owed.
-    :param serving: hosts that take new jobs; the next two are on their way out or away.
-    :param missing: owed hosts that the pool doesn't hold now.
+    :param serving: hosts that accept new jobs.
+    :param withdrawing: hosts being withdrawn.
+    :param stopped: hosts that are withdrawn.
+    :param missing: owed hosts that the pool currently lacks.
     """
 
     pool: PoolId
@@ -63,24 +65,27 @@
 
 
 class StopState(Enum):
-    """How far a planned stop has come."""
+    """Progress of a planned stop."""
 
     WAITING = "waiting"
-    """Not begun; ``why`` says what it waits for."""
+    """Not started; ``why`` says what it waits for."""
     WITHDRAWING = "withdrawing"
-    """Some hosts finish their jobs or were not let go yet."""
+    """Some hosts are still finishing their jobs or have not been withdrawn yet."""
     STOPPED = "stopped"
-    """Every host that was not restarted yet is free to be stopped."""
+    """Every host that has not been restarted yet can be stopped now."""
     DONE = "done"
-    """Every host was restarted and serves again, or is retired."""
+    """Every host has been restarted and serves again, or is retired."""
 
 
 class StopStatus(msgspec.Struct, frozen=True):
     """One planned stop.
 
-    :param why: what holds it up, for people; empty if nothing does.
-    :param waiting: hosts not begun; then those on their way, free to be stopped, and back again.
-    :param expected_s: seconds until every host is free, if that can be told.
+    :param why: human-readable reason for a delay; empty if there is none.
+    :param waiting: hosts whose withdrawal has not started.
+    :param withdrawing: hosts being withdrawn.
+    :param stopped: hosts that can be stopped now.
+    :param done: hosts that have been restarted and serve again, or are retired.
+    :param expected_s: estimated seconds until every host can be stopped; ``None`` if unknown.
     """
 
     id: StopId
@@ -96,10 +101,10 @@
 
 
 class WaveStatus(msgspec.Struct, frozen=True):
-    """One batch of a planned stop.
+    """One wave of a planned stop.
 
-    :param predicted_s: seconds that the batch was expected to take; ``None`` if unknown.
-    :param actual_s: seconds that it has taken so far, or took.
+    :param predicted_s: predicted duration in seconds; ``None`` if unknown.
+    :param actual_s: elapsed seconds, or the final duration once the wave is done.
     """
 
     stop: StopId
@@ -111,9 +116,10 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The whole picture, as of one controller.
+    """The status of the fleet and of the system, as seen by one controller.
 
-    :param process: the controller that answers; the next is its zone.
+    :param process: the controller that answers.
+    :param zone: the controller's zone.
     :param document_revision: revision of the document in force at this controller.
     :param platform_reachable: whether the platform answered the controller's last call.
     """
@@ -132,8 +138,8 @@
     """Where a revision of the document is in force.
 
     :param reached: processes that are complete to the revision.
-    :param behind: living processes that are not.
-    :param unheard: suspect processes, of which nothing newer is known.
+    :param behind: live processes that are not.
+    :param unheard: suspect processes that were not complete to it when last heard from.
     """
 
     revision: Revision
@@ -143,15 +149,15 @@
 
     @property
     def everywhere(self) -> bool:
-        """Whether no process that may still run lacks the revision."""
+        """Whether every process that may still run has the revision."""
         return bool(self.reached) and not self.behind and not self.unheard
 
 
 def reach(status: Status, revision: Revision) -> Reach:
-    """Return where ``revision`` is in force; processes proved to be gone don't count.
+    """Return where ``revision`` is in force, ignoring processes that are known to be gone.
 
-    A suspect process counts as unheard unless it had reached the revision before it fell silent:
-    it may be cut off and still serve callers by its older document.
+    A suspect process counts as unheard unless it had reached the revision before contact was lost:
+    it may be partitioned and still serve callers with an older document.
     """
     reached, behind, unheard = [], [], []
     for member in status.members:
--- a/src/lentilrill/operators/_store.py
+++ b/src/lentilrill/operators/_store.py
@@ -1,4 +1,4 @@
-"""The stored document: reading it, and committing an edit of it with its record."""
+"""Reads of the stored document, and commits of edits together with their audit records."""
 
 import time
 from collections.abc import Callable
@@ -28,9 +28,10 @@
 
 
 class DocumentStore:
-    """The document's key on the platform.
+    """The document stored on the platform.
 
-    :param settle_s: seconds to go on asking what became of a write whose answer was lost.
+    :param settle_s: seconds to keep trying to resolve the outcome of a write whose response was
+        lost.
     """
 
     def __init__(
@@ -55,17 +56,17 @@
     def commit(
         self, base: Revision, value: bytes, record: AuditRecord
     ) -> Result[Revision | None, Fault]:
-        """Commit an edit and find out what became of it.
+        """Commit an edit and resolve its outcome.
 
-        Guard against a write that took effect while its answer was lost: told as failed, the
-        operator would make it again, or believe that the old configuration holds. The same
-        transaction is sent again. If it succeeds now, the first one had not taken effect, and
-        can't any more, as the document's revision has moved. If its comparison fails, the record
-        under this edit's number tells who wrote it: the number belongs to exactly one edit, and
-        its record outlives later edits of the document.
+        A write may take effect although its response was lost. If that were reported as a failure,
+        the operator would repeat the edit or assume that the old configuration is in force. So the
+        same transaction is sent again. If it succeeds now, the first attempt had not taken effect,
+        and no longer can, because the document's revision has changed. If its comparison fails,
+        the audit record with this edit's number shows whose edit it was: a number belongs to
+        exactly one edit, and its record outlives later edits of the document.
 
-        :return: the revision made, or ``None`` if another edit won; an ``AMBIGUOUS`` fault if that
-            can't be known; any other fault if nothing was written.
+        :return: the revision created, or ``None`` if another edit won; an ``AMBIGUOUS`` fault if
+            the outcome can't be determined; any other fault if nothing was written.
         """
         compares = (Compare(DOCUMENT_KEY, base),)
         writes = (Put(DOCUMENT_KEY, value), *accepted_writes(record))
@@ -91,7 +92,7 @@
             pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
 
     def _whose(self, base: Revision, record: AuditRecord) -> Result[Revision | None, Fault]:
-        """Return the revision of the edit with this number if it is ours, ``None`` if not."""
+        """Return the revision created by this edit, or ``None`` if another edit has its number."""
         read = self._audit.entry(record.number)
         if isinstance(read, Failure):
             return read
@@ -104,11 +105,11 @@
 def _decide_by_head(
     head: Head, base: Revision, record: AuditRecord
 ) -> Result[Revision | None, Fault]:
-    """Decide by the document alone, where the edit's record is not there.
+    """Resolve the outcome of an edit from the document alone, if its audit record is missing.
 
-    A read from a lagging replica may lack the record of an edit that was made, so the absence
-    of ours proves nothing. A newer document that doesn't count past our number proves it: ours
-    would stand there itself or be counted by every later one.
+    A lagging replica may lack the record of an edit that was committed, so a missing record proves
+    nothing. A newer document with an edit number up to this edit's number proves that the edit was
+    not committed: otherwise the document would be this edit's, or have a higher number.
     """
     if head.document.write_id == record.write_id:
         return Success(head.revision)
--- a/tests/operators/serving.py
+++ b/tests/operators/serving.py
@@ -1,4 +1,4 @@
-"""A controller's HTTP for operators, served in this process over a platform in memory."""
+"""A controller's HTTP API for operators, served in this process on an in-memory platform."""
 
 import msgspec
 import urllib3
@@ -18,7 +18,7 @@
 
 
 def controller_settings(**changes: object) -> ControllerSettings:
-    """Return settings with the operators asha and ben."""
+    """Return controller settings with the operators asha and ben."""
     values = {
         "process": ProcessId("ct-1"),
         "entry_host": EntryHostId("entry-1"),
@@ -33,7 +33,7 @@
 
 
 def a_member_status(name: str, complete_to: int, **changes: object) -> MemberStatus:
-    """Return a living gateway that is complete to a revision."""
+    """Return the status of a live gateway that is complete to a revision."""
     values = {
         "process": ProcessId(name),
         "incarnation": Incarnation(1),
@@ -47,14 +47,14 @@
 
 
 def lists_body(document: Document, base: int, **more: object) -> bytes:
-    """Return the body that applies the lists of ``document``."""
+    """Return the request body that applies the lists of ``document``."""
     plans, entitlements = encode_lists(document)
     body = {"base": base, "plans": msgspec.Raw(plans), "entitlements": msgspec.Raw(entitlements)}
     return msgspec.json.encode(body | more)
 
 
 class ServedController:
-    """A server with what it depends on; ``members`` and ``stops`` go into its status."""
+    """An operator server with its dependencies; ``members`` and ``stops`` go into its status."""
 
     def __init__(self, kv: FakeKeyValue | None = None, host_list: HostList | None = None) -> None:
         self.kv = kv or FakeKeyValue()
@@ -69,11 +69,11 @@
 
     @property
     def address(self) -> str:
-        """Where operators reach it."""
+        """Address of the operators' HTTP API."""
         return self.settings.listen
 
     def status(self) -> Status:
-        """Return the picture that the server shows."""
+        """Return the status that the server shows."""
         return Status(
             self.settings.process,
             self.settings.zone,
@@ -86,7 +86,7 @@
     def ask(
         self, method: str, path: str, body: bytes | None = None, token: str = TOKEN
     ) -> tuple[int, dict]:
-        """Send a request, and return status and JSON body."""
+        """Send a request, and return the HTTP status and the JSON body."""
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         answer = self.http.request(
             method, f"http://{self.address}{path}", body=body, headers=headers
--- a/tests/operators/test_audit.py
+++ b/tests/operators/test_audit.py
@@ -51,8 +51,8 @@
         trail.stop()
 
     def test_the_oldest_edits_are_trimmed_with_the_newest(self) -> None:
-        # A site with thousands of changes a day fills the platform over the years. The record
-        # that falls out is deleted in the transaction that adds one.
+        # Thousands of edits a day would fill the platform over the years, so the transaction that
+        # adds a record deletes the oldest one.
         with mock.patch.object(_audit, "RETAINED_EDITS", 5):
             self.edit(12)
         numbers = [entry.record.number for entry in self.trail.newest(12, 100).unwrap()]
@@ -72,23 +72,23 @@
         self.assertEqual(230, len(self.trail.since(Revision(0), 230, 300).unwrap()))
 
     def test_a_trimmed_trail_does_not_pretend_to_be_whole(self) -> None:
-        # The edits just after the base have been trimmed. Taken as "nothing else happened", an
-        # old edit might pass as one that only planned stops came after.
+        # The edits just after the base have been trimmed. If an incomplete list were returned, an
+        # edit with an old base could be accepted as if only planned stops had changed since.
         with mock.patch.object(_audit, "RETAINED_EDITS", 5):
             self.edit(12)
         self.assertIsNone(self.trail.since(Revision(3), 12, 100).unwrap())
         self.assertEqual(4, len(self.trail.since(Revision(8), 12, 100).unwrap()))
 
     def test_refused_edits_are_bounded(self) -> None:
-        # A broken script sends wrong edits all night: the platform keeps the newest of them only.
+        # A broken script may send invalid edits all night: only the newest records are kept.
         with mock.patch.object(_refusals, "RETAINED", 3):
             self.write_refusals(self.trail, *(refused(float(n)) for n in range(10)))
         times = [entry.record.at for entry in self.trail.newest(0, 100).unwrap()]
         self.assertEqual([7.0, 8.0, 9.0], times)
 
     def test_refused_edits_of_any_size_fit_into_a_value(self) -> None:
-        # Large edits are refused again and again; with all that they would have changed, the
-        # value would pass the platform's bound, and no refusal would be recorded any more.
+        # Repeated refusals of large edits, recorded with all their differences, would exceed the
+        # platform's size limit for a value, and no further refusal could be recorded.
         fields = tuple(FieldChange(f"field-{n}", "x" * 200, "y" * 200) for n in range(8))
         changes = tuple(Difference("plans", f"p{n}", Change.CHANGED, fields) for n in range(60))
         kept, more = bounded(changes)
@@ -104,8 +104,8 @@
         self.assertLess(len(self.kv.items_by_key["audit/refused"].value), 1_000_000)
 
     def test_two_controllers_record_refusals_at_once(self) -> None:
-        # Two controllers add to the refused edits at the same time. Without the comparison one
-        # would overwrite what the other has just recorded.
+        # Two controllers append to the refused edits concurrently. Without compare-and-swap one
+        # would overwrite the record of the other.
         def other_first(call):
             self.write_refusals(AuditTrail(self.kv), refused(1.0, "ben"))
             return call()
@@ -116,8 +116,8 @@
         self.assertEqual(["ben", "asha"], who)
 
     def test_refusals_wait_for_the_platform(self) -> None:
-        # The answer to an edit was lost with the platform: it is "unknown". Just this record must
-        # not be lost as well: it is written when the platform is back.
+        # An edit whose outcome is unknown because the platform went down needs its audit record:
+        # it is written once the platform is reachable again.
         tried = threading.Event()
 
         def away(call):
@@ -139,8 +139,8 @@
         self.assertEqual(1, len(self.trail.newest(0, 100).unwrap()))
 
     def test_refusals_that_can_not_be_kept_are_counted(self) -> None:
-        # The platform is away for long: refusing goes on, the newest records wait in bounded
-        # memory, and what the trail lacks in the end is counted and logged.
+        # During a long platform outage edits are still refused, the newest records are queued in
+        # bounded memory, and records missing from the trail are counted and logged.
         self.kv.down = True
         for n in range(_refusals.MAX_PENDING + 5):
             self.trail.note_refused(refused(float(n)))
--- a/tests/operators/test_ctl.py
+++ b/tests/operators/test_ctl.py
@@ -1,4 +1,4 @@
-"""The command line against served controllers."""
+"""The command line against controllers served in this process."""
 
 import contextlib
 import io
@@ -90,8 +90,8 @@
         self.assertIn("unchanged", self.run_ctl("config", "apply", copy)[1])
 
     def test_the_loser_of_a_race(self) -> None:
-        # Two operators write the lists out, edit, and apply. The second one's exit code is 3, and
-        # the message shows whose edit came first and what differs.
+        # Two operators edit and apply lists of the same revision. The second gets exit code 3, and
+        # the message shows who made the first edit and the differences.
         self.run_ctl("config", "apply", self.lists("mine", 2))
         mine, other = self.lists("mine", 3), self.lists("other", 4)
         (self.folder / "other" / "revision").write_text("1\n")
@@ -103,7 +103,7 @@
         self.assertIn("asha", err)
 
     def test_a_controller_away_is_passed_over(self) -> None:
-        # An entry host was replaced and its address answers nothing: the next one is asked.
+        # The address of a replaced entry host doesn't answer: the next controller is tried.
         both = f"{an_address()},{self.served.address}"
         self.assertEqual(
             0, self.run_ctl("config", "apply", self.lists("m", 2), controllers=both)[0]
@@ -111,8 +111,8 @@
         self.assertEqual(4, self.run_ctl("status", controllers=an_address())[0])
 
     def test_a_controller_cut_off_from_the_platform_is_passed_over(self) -> None:
-        # The first controller's zone is cut off from the platform; another zone's isn't, and the
-        # edit need not wait for the first.
+        # The first controller's zone is cut off from the platform: the edit goes to the controller
+        # of another zone.
         cut = self.serve(FakeKeyValue())
         cut.kv.down = True
         both = f"{cut.address},{self.served.address}"
@@ -124,8 +124,8 @@
         )
 
     def test_an_answer_lost_between_platform_and_controller(self) -> None:
-        # The first controller sends the write, the platform stores it and is cut off from that
-        # zone. The same edit, sent to the next controller, must be found, not be made twice.
+        # The platform stores the first controller's write and is then cut off from its zone. The
+        # same edit, sent to the next controller, must be recognized and not applied twice.
         def cut_off(call):
             lost = lose_answer(call)
             self.served.kv.down = True
@@ -137,7 +137,7 @@
         self.assertIn("audit", err)
         self.served.kv.down = False
 
-        # The same, with a second controller that still reaches the same platform.
+        # The same with a second controller that can still reach the platform.
         other = self.serve(self.served.kv)
         self.served.kv.commits.append(lose_answer)
         both = f"{self.served.address},{other.address}"
@@ -148,8 +148,9 @@
         self.assertIn("edit 2", out)
 
     def test_an_answer_lost_between_controller_and_operator(self) -> None:
-        # A controller takes the edit and its connection breaks before the answer; the next one
-        # is away. "No controller answers" would hide that the edit may be in effect.
+        # A controller receives the edit and the connection breaks before the response; the next
+        # controller is unreachable. "No controller answers" would hide that the edit may be in
+        # effect.
         with socket.create_server(("127.0.0.1", 0)) as listener:
             breaking = threading.Thread(target=_read_and_break, args=(listener,))
             breaking.start()
@@ -161,15 +162,15 @@
         self.assertIn("not known whether the edit took effect", err)
 
     def test_a_suspect_process_alone_is_not_everywhere(self) -> None:
-        # A zone is cut off: its gateways are silent to us and go on serving by what they had.
+        # Gateways of a partitioned zone can't be reached and go on serving with an old document.
         self.served.members.append(a_member_status("gw-2", 0, liveness=Liveness.SUSPECT))
         code, _, err = self.run_ctl("config", "apply", self.lists("m", 2), "--wait", "0")
         self.assertEqual(5, code)
         self.assertIn("not heard: gw-2", err)
 
     def test_not_in_force_in_time(self) -> None:
-        # A gateway is silent, cut off or hung: it may go on by the older configuration, so the
-        # edit is accepted but not yet in force everywhere, and the operator is told where not.
+        # A gateway that is partitioned or hung may still use the old configuration: the edit is
+        # accepted but not yet in force everywhere, and the output names the processes without it.
         self.served.members.append(a_member_status("gw-2", 0, liveness=Liveness.SUSPECT))
         self.served.members.append(a_member_status("gw-3", 0))
         self.served.members.append(a_member_status("gw-4", 0, liveness=Liveness.GONE))
--- a/tests/operators/test_editing.py
+++ b/tests/operators/test_editing.py
@@ -1,4 +1,4 @@
-"""Edits of the document: races, lost answers, an unreachable platform."""
+"""Edits of the document: races, lost responses, an unreachable platform."""
 
 import msgspec
 from testtools import TestCase
@@ -19,7 +19,7 @@
 
 
 class Clock:
-    """A clock that only pauses move."""
+    """A fake clock that advances only by ``pause``."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -61,9 +61,9 @@
         )
 
     def test_the_loser_of_a_race_sees_what_differs(self) -> None:
-        # Two operators edit the lists from the same revision. Without the comparison, the second
-        # to apply silently undoes the first's change; here it is told who came first, with which
-        # revision, and what its own lists would change now.
+        # Two operators edit lists of the same revision. Without the comparison of revisions the
+        # second would silently undo the first one's change. Instead it gets the winner's name and
+        # revision, and the differences that its own lists would still make.
         won = self.asha.apply("asha", self.owing(4), self.base)
         lost = self.ben.apply("ben", self.owing(6), self.base)
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
@@ -75,8 +75,8 @@
         self.assertEqual(4, self.stored().plans[0].hosts_owed)
 
     def test_a_race_between_read_and_write_is_lost_as_well(self) -> None:
-        # Both operators' controllers read the same document, then both write. The comparison in
-        # the store, not the one at the controller, decides.
+        # Two controllers read the same document, then both write. The comparison in the store
+        # decides, not the one in the controller.
         def ben_first(call):
             self.ben.apply("ben", self.owing(6), self.base)
             return call()
@@ -88,8 +88,8 @@
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
     def test_a_lost_answer_of_a_write_that_took_effect(self) -> None:
-        # The platform stores the edit, and its answer is lost. Told as failed, the operator would
-        # go on with a wrong picture: the change is in force.
+        # The platform stores the edit and the response is lost. Reporting a failure would be
+        # wrong, because the change is in force.
         self.kv.commits.append(lose_answer)
         told = self.asha.apply("asha", self.owing(4), self.base)
         self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
@@ -98,9 +98,9 @@
         self.assertEqual(2, len(self.trail()))
 
     def test_a_lost_answer_then_another_edit_on_top(self) -> None:
-        # The edit takes effect, its answer is lost, and another operator edits on top before the
-        # controller reads back. The document now holds the other's id; told as a conflict, the
-        # first operator would make a change again that was in force. The trail knows better.
+        # The edit takes effect, the response is lost, and another edit follows before the
+        # controller reads back. The document now holds the write id of the other edit; a conflict
+        # would make the first operator repeat an applied change. The audit trail has its record.
         def lost_then_ben(call):
             lost = lose_answer(call)
             outcome = self.ben.apply("ben", self.owing(6), self.kv.revision)
@@ -115,8 +115,8 @@
         self.assertEqual(["asha", "asha", "ben"], [who for who, _ in self.trail()])
 
     def test_a_lost_request_then_another_edit(self) -> None:
-        # The edit never reached the platform, though that can't be told from a lost answer, and
-        # another operator's edit takes its place: it is a conflict, not an acceptance.
+        # The request is lost, which looks the same as a lost response, and another operator's edit
+        # is accepted under its number: the verdict is a conflict, not an acceptance.
         def lost_then_ben(call):
             self.ben.apply("ben", self.owing(6), self.base)
             return lose_request(call)
@@ -127,15 +127,15 @@
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
     def test_a_lost_request_is_made_again(self) -> None:
-        # The edit never reached the platform: it is sent again, and takes effect once.
+        # The request never reached the platform: it is retried and takes effect once.
         self.kv.commits.append(lose_request)
         told = self.asha.apply("asha", self.owing(4), self.base)
         self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
         self.assertEqual(2, self.stored().edit)
 
     def test_a_write_nobody_can_tell_of_is_unknown(self) -> None:
-        # The platform takes the edit and goes silent for good. Neither "accepted" nor "refused"
-        # would be true to what the controller knows, so it says so, and how to find out.
+        # The platform applies the edit and then stops answering. The controller can't determine
+        # the outcome, so it reports "unknown" and how to resolve it.
         def lost_for_good(call):
             lost = lose_answer(call)
             self.kv.down = True
@@ -153,9 +153,9 @@
         self.assertEqual(2, self.stored().edit)
 
     def test_the_same_edit_again_after_others_came_on_top(self) -> None:
-        # The controller's answer to the operator is lost, another operator edits on top, and
-        # lentilrillctl sends the same edit to the next controller. It must neither undo the
-        # other's edit nor be told as a conflict: it was accepted.
+        # The controller's response is lost, another edit follows, and lentilrillctl sends the same
+        # edit to the next controller. The retry must neither undo the other edit nor be reported
+        # as a conflict: it was accepted.
         first = self.asha.apply("asha", self.owing(4), self.base, "caller-write-1")
         self.ben.apply("ben", self.owing(6), first.revision)
         again = self.ben.apply("asha", self.owing(4), self.base, "caller-write-1")
@@ -163,8 +163,8 @@
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
     def test_a_trail_that_can_not_be_read_makes_no_conflict(self) -> None:
-        # The edit was accepted with its answer lost, another one came on top, and the same edit
-        # is sent again while reads of the trail fail. "Conflict" would say that it was refused.
+        # The edit was accepted but the response lost, another edit followed, and the edit is
+        # retried while reads of the trail fail. A conflict would mean that it had been refused.
         first = self.asha.apply("asha", self.owing(4), self.base, "caller-write-1")
         self.ben.apply("ben", self.owing(6), first.revision)
         self.kv.reads.extend([lambda call: call(), refuse])
@@ -172,16 +172,16 @@
         self.assertEqual(EditVerdict.UNAVAILABLE, again.verdict)
 
     def test_a_reused_name_with_other_lists_is_another_edit(self) -> None:
-        # A script names all its edits alike. The second one, with other lists, must not be told
-        # as accepted because the first one was.
+        # A script uses the same write id for all its edits. The second one, with other lists, must
+        # not be reported as accepted because the first one was.
         self.asha.apply("asha", self.owing(4), self.base, "my-script")
         other = self.asha.apply("asha", self.owing(6), self.base, "my-script")
         self.assertEqual(EditVerdict.CONFLICT, other.verdict)
 
     def test_a_stale_read_does_not_make_a_loser_of_the_winner(self) -> None:
-        # The edit took effect with its answer lost, and reads come from a lagging replica that
-        # doesn't have it yet. The missing record proves nothing: told as a conflict, the operator
-        # would think that a change which is in force was refused.
+        # The edit took effect but the response was lost, and reads come from a lagging replica
+        # without it. The missing record proves nothing: a conflict would tell the operator that a
+        # change which is in force was refused.
         before = {prefix: self.kv.read(prefix) for prefix in ("audit/edits/000000000002",)}
         old_head = self.kv.read(DOCUMENT_KEY)
         self.kv.commits.append(lose_answer)
@@ -196,8 +196,8 @@
         self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
 
     def test_platform_down_changes_nothing(self) -> None:
-        # The platform is away before the edit is sent: the operator is told at once that nothing
-        # was changed, and the lists may be applied again.
+        # The platform is down before the edit is sent: the verdict says that nothing was changed,
+        # and the lists can be applied again.
         for fates in (self.kv.reads, self.kv.commits):
             fates.append(refuse)
             told = self.asha.apply("asha", self.owing(4), self.base)
@@ -205,8 +205,8 @@
             self.assertEqual(1, self.stored().edit)
 
     def test_an_oversized_document_is_refused(self) -> None:
-        # The platform's values end at a megabyte. Beyond it the write would fail there with an
-        # error that nobody understands, or after the lists had grown for years.
+        # Values of the platform are limited to one megabyte. A larger document would be rejected
+        # there with an obscure error, possibly only after the lists had grown for years.
         zones = tuple(f"z{n}" for n in range(200_000))
         lists = self.owing(4)
         wide = msgspec.structs.replace(lists.entitlements[0], zones=zones)
@@ -217,9 +217,9 @@
         self.assertEqual(1, self.stored().edit)
 
     def test_applying_lists_keeps_a_stop_declared_meanwhile(self) -> None:
-        # One operator edits the lists while another declares a stop. Written as a whole, the
-        # document would lose the stop, and a host would be rebooted under running jobs. Stops
-        # are no part of the lists, so this is no conflict either.
+        # One operator edits the lists while another declares a stop. If the edit replaced the whole
+        # document, the stop would be lost and a host rebooted under running jobs. Stops are not
+        # part of the lists, so there is no conflict either.
         self.declare("stop-1", "h1")
         told = self.asha.apply("asha", self.owing(4), self.base)
         self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
@@ -232,8 +232,8 @@
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
 
     def test_two_stops_declared_at_once_both_hold(self) -> None:
-        # Two operators declare stops at the same time. One loses the race in the store; as a
-        # stop can't undo another, it is declared again on top, not refused.
+        # Two operators declare stops concurrently. One loses the race in the store; as stops can't
+        # undo each other, it is retried on the new document instead of refused.
         def other_first(call):
             self.declare("stop-2", "h2")
             return call()
@@ -254,8 +254,8 @@
         self.assertEqual(EditVerdict.INVALID, again.verdict)
 
     def test_a_document_put_there_by_other_means(self) -> None:
-        # Someone restored the document's key by hand, so the trail has no record of it. Editing
-        # goes on, and a race with such a write is lost like any other.
+        # The document's key was restored by hand, so the trail has no record of that write. An
+        # edit that races with it gets a conflict, and later edits are accepted.
         def restored(call):
             value = msgspec.json.encode(self.owing(9))
             self.kv.commit((Compare(DOCUMENT_KEY, self.base),), (Put(DOCUMENT_KEY, value),))
--- a/tests/operators/test_over_platform.py
+++ b/tests/operators/test_over_platform.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP over the real client of the platform and its stand-in, with faults."""
+"""The operators' HTTP API with the real platform client and a stand-in with faults."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -45,7 +45,7 @@
         self.platform.set_faults(**faults)
 
     def test_a_lost_answer_is_settled(self) -> None:
-        # The platform stores the edit and the connection breaks before the answer.
+        # The platform stores the edit and the connection breaks before the response.
         self.faults(lose_answers=1)
         status, answer = self.put(self.first, 0, 2)
         self.assertEqual((200, "accepted", 1), (status, answer["verdict"], answer["number"]))
@@ -53,9 +53,9 @@
         self.assertEqual(answer["revision"], config["revision"])
 
     def test_a_stale_replica_never_makes_a_conflict_of_a_win(self) -> None:
-        # The answer is lost, and every read comes from a replica that lags behind the edit: what
-        # became of it can't be known yet, and "another edit came first" would be wrong. Sent
-        # again to another controller, later, the edit is found and not made twice.
+        # The response is lost, and every read comes from a replica that lags behind the edit: the
+        # outcome can't be determined yet, and a conflict would be wrong. Retried later at another
+        # controller, the edit is recognized and not applied twice.
         _, first = self.put(self.first, 0, 2)
         base, name = first["revision"], "edit-of-asha"
         self.faults(stale=True, lose_answers=1)
@@ -67,7 +67,7 @@
         self.assertEqual(problem["write_id"], answer["write_id"])
 
     def test_a_stale_read_before_the_edit_is_a_conflict(self) -> None:
-        # The controller reads an old document and finds the operator's base in it, while another
+        # The controller reads a stale document that matches the operator's base, while another
         # edit is in force. The comparison in the store decides, not the read.
         _, first = self.put(self.first, 0, 2)
         self.faults(stale=True)
@@ -87,7 +87,7 @@
         self.assertEqual(1, self.second.ask("GET", "/v1/config")[1]["document"]["edit"])
 
     def test_many_editors_of_one_revision(self) -> None:
-        # Everybody edits at once through both controllers: one wins, the others see a conflict.
+        # Concurrent edits through both controllers: one is accepted, the others get a conflict.
         _, first = self.put(self.first, 0, 2)
         together = threading.Barrier(EDITORS)
 
@@ -101,8 +101,8 @@
         self.assertEqual([200] + [409] * (EDITORS - 1), statuses)
 
     def test_the_largest_document_fits(self) -> None:
-        # A document just below the platform's bound of a value is stored; one above is refused
-        # with a clear error, not by the platform with a puzzling one.
+        # A document just below the platform's size limit for a value is stored; a larger one is
+        # refused by the controller with a clear error, before the platform rejects it.
         def with_zones(count: int) -> bytes:
             document = a_document("schools", "spare")
             zones = tuple(f"zone-{n:06d}" for n in range(count))
--- a/tests/operators/test_server.py
+++ b/tests/operators/test_server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP: tokens, limits, broken input, and what is told of edits."""
+"""The operators' HTTP API: tokens, limits, malformed input, and reported outcomes of edits."""
 
 import socket
 import threading
@@ -37,8 +37,8 @@
         return self.served.ask("PUT", "/v1/config", lists_body(lists, base), token)
 
     def test_a_wrong_token_reads_and_changes_nothing(self) -> None:
-        # Someone on the operators' network has a caller's token, an old one or none. Nothing is
-        # shown, nothing is changed, and nothing tells how close the guess was.
+        # With a caller's token, an old token or none, nothing is shown or changed, and the response
+        # doesn't reveal how close a guess was.
         for token in ("", "wrong", "token-of-ash", "token-of-asha2", "t\u00f6ken"):
             for method, path in (("GET", "/v1/config"), ("PUT", "/v1/config"), ("GET", "/nowhere")):
                 status, problem = self.served.ask(
@@ -58,8 +58,8 @@
         self.assertEqual(("asha", answer["revision"]), (entry["record"]["who"], entry["revision"]))
 
     def test_the_loser_gets_a_problem_with_the_difference(self) -> None:
-        # Two operators send edits of the same revision: the second gets a 409 that names the
-        # winner's revision and what its own lists would change in it.
+        # Two operators send edits based on the same revision: the second gets a 409 with the
+        # winner's revision and the differences that its own lists would still make.
         _, first = self.put(0)
         _, won = self.put(first["revision"], hosts_owed=4)
         status, problem = self.put(first["revision"], "token-of-ben", hosts_owed=6)
@@ -87,7 +87,7 @@
         return status, body["entries"]
 
     def test_an_unknown_outcome_is_not_told_as_anything_else(self) -> None:
-        # The platform takes the write and goes silent. 200 would be a guess, 503 would be wrong.
+        # The platform applies the write and stops answering. 200 would be a guess, 503 wrong.
         def lost_for_good(call):
             lost = lose_answer(call)
             self.served.kv.down = True
@@ -99,8 +99,8 @@
         self.assertIn(problem["write_id"], problem["detail"])
 
     def test_platform_down(self) -> None:
-        # With the platform away, edits are refused at once with when to try again; the
-        # configuration is still shown, from the controller's own copy, and said to be so.
+        # While the platform is down, edits are refused immediately with a retry time, and the
+        # configuration is still shown, marked as the controller's own copy.
         _, first = self.put(0)
         self.served.kv.down = True
         status, problem = self.put(first["revision"], hosts_owed=4)
@@ -125,8 +125,7 @@
         self.assertIn("4 hosts are owed (schools 2 + spare 2), 2 live workers", warning["message"])
 
     def test_oversized_and_broken_bodies(self) -> None:
-        # A wrong file is sent, far too large or no JSON: one clear answer, the connection and
-        # the configuration stay whole.
+        # A body that is far too large or malformed gets a clear error and changes nothing.
         status, problem = self.served.ask("PUT", "/v1/config", b" " * (MAX_BODY_BYTES + 1))
         self.assertEqual(413, status)
         self.assertIn(str(MAX_BODY_BYTES), problem["detail"])
@@ -136,8 +135,9 @@
         self.assertEqual(0, self.served.kv.revision)
 
     def test_health_is_told_while_the_platform_hangs(self) -> None:
-        # The platform takes calls and says nothing, and operators ask again and again. With every
-        # thread held by them, the health check would time out and a sound controller be killed.
+        # The platform accepts calls and doesn't answer, while operators keep sending requests. If
+        # these occupied every thread, health checks would time out and a healthy controller would
+        # be killed.
         silent = threading.Event()
         reading = threading.Semaphore(0)
 
@@ -158,8 +158,8 @@
         self.assertEqual((503, "urn:lentilrill:problem:busy"), (status, problem["type"]))
 
     def test_malformed_requests(self) -> None:
-        # A port scanner or a broken proxy sends what is no HTTP: it gets an error of its own, and
-        # the controller goes on serving.
+        # A port scanner or a broken proxy sends malformed HTTP: it gets an error response, and the
+        # controller goes on serving.
         head = b"PUT /v1/config HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer token-of-asha\r\n"
         cases = {
             b"\x00\xff\r\n\r\n": b"400",
@@ -185,9 +185,9 @@
         self.assertEqual(422, self.served.ask("DELETE", "/v1/stops/none")[0])
 
     def test_readiness_follows_the_state_and_draining(self) -> None:
-        # Operators must not be sent to a controller that knows nothing of the state yet, or that
-        # is about to end. One that knows that there is no configuration is ready to take the
-        # first: it was not at first, and a new system never came up.
+        # A controller that has not read the state yet, or is draining, must not get requests. One
+        # that has read a state without a configuration is ready: otherwise the first configuration
+        # could never be applied, and a new system would not come up.
         self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
         self.assertEqual(503, self.served.ask("GET", "/readyz", token="")[0])
         self.served.kv.put("state/zones/z1", b"{}")
@@ -198,7 +198,7 @@
         self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
 
     def test_any_body_gets_an_answer(self) -> None:
-        # Whatever is sent by mistake, the controller answers with an error of the sender's.
+        # Any body gets a response: success or a client error, never a server error.
         paths = ("/v1/config", "/v1/config/check", "/v1/stops")
 
         @settings(derandomize=True, max_examples=150, database=None, deadline=None)
--- a/tests/operators/test_truth.py
+++ b/tests/operators/test_truth.py
@@ -1,7 +1,7 @@
-"""Whatever the platform does to single calls, operators are told the truth about their edits.
+"""Reported verdicts agree with the stored document under any faults of platform calls.
 
-Random runs of edits by two operators, with lost answers, lost requests, stale reads, refusals and
-edits of another controller in between.
+Random sequences of edits by two operators, with lost responses, lost requests, stale reads,
+rejected calls and concurrent edits by another controller.
 """
 
 from collections.abc import Callable
@@ -47,7 +47,7 @@
 
 
 class World:
-    """A platform, one editor with faults, and another that edits undisturbed."""
+    """A platform, an editor whose calls get faults, and a second editor without faults."""
 
     def __init__(self) -> None:
         self.kv = FakeKeyValue()
@@ -65,7 +65,7 @@
         self.name = 0
 
     def run(self, action: str, commits: list[str], reads: list[str]) -> EditOutcome:
-        """Make one edit with the given fates of its calls."""
+        """Make one edit whose platform calls behave as given."""
         base = self.kv.items_by_key.get(DOCUMENT_KEY)
         revision = base.revision if base is not None else Revision(0)
         self.kv.commits.extend(self._commit_fate(name) for name in commits)
@@ -82,7 +82,7 @@
         return msgspec.json.decode(self.kv.items_by_key[DOCUMENT_KEY].value, type=Document)
 
     def entries(self) -> tuple[AuditEntry, ...]:
-        """Return the accepted edits of the trail."""
+        """Return the accepted edits in the audit trail."""
         items = self.kv.items_by_key
         numbers = range(1, 1 + sum(key.startswith("audit/edits/") for key in items))
         return tuple(self.audit.entry(number).unwrap() for number in numbers)
@@ -163,9 +163,8 @@
     @settings(derandomize=True, max_examples=400, database=None, deadline=None)
     @given(steps)
     def test_told_and_true_agree(self, steps) -> None:
-        # An operator is told "accepted" and the change is not in force, or "refused" and it is:
-        # each makes the next decision on a wrong picture, and both come from answers that were
-        # lost, late or stale somewhere on the way.
+        # Lost, late or stale responses could make an edit that is not in force be reported as
+        # accepted, or one that is in force as refused.
         world = World()
         for step in steps:
             world.run(*step)
@@ -188,5 +187,5 @@
 
 
 def _sent_again(world: World, outcome: EditOutcome) -> bool:
-    """Whether the same edit was sent more than once: then another try may have been accepted."""
+    """Return whether the edit was sent repeatedly, so that another attempt may be accepted."""
     return sum(told.write_id == outcome.write_id for told in world.told) > 1
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -1,4 +1,4 @@
-"""The whole picture that a controller shows, from its roster, its view and the last look."""
+"""The status that a controller shows, from its membership, fleet view and last report."""
 
 from types import SimpleNamespace
 
@@ -24,7 +24,7 @@
 
 
 class Beliefs:
-    """A roster that says what it was told."""
+    """A fake roster that returns the values set by the test."""
 
     def __init__(self, me: Member, view: FleetView) -> None:
         self.me = me
@@ -73,9 +73,9 @@
         return status(self.roster, self.view, report, False)
 
     def test_a_paused_gateway_of_another_zone_has_not_the_edit(self) -> None:
-        # A gateway of another zone is paused while an edit is made. Its zone's controllers find
-        # it suspect, and tell how far those are that they hear. Taken for all of the zone, the
-        # edit was told as in force everywhere; the gateway woke up and served by the old one.
+        # A gateway of another zone is paused during an edit. Its zone reports it as suspect, and
+        # reports one revision for the processes it hears from. Applied to the whole zone, that
+        # showed the edit as in force everywhere, while the resumed gateway served the old one.
         self.zone("z2", a_member("gw-2", zone=ZoneId("z2")), a_member("gw-3", zone=ZoneId("z2")))
         self.roster.suspects = {"gw-2"}
         self.roster.news_list = [
@@ -92,8 +92,8 @@
         self.assertIn("gw-3", where.reached)
 
     def test_a_controller_restarted_in_an_outage_shows_itself_and_its_pools(self) -> None:
-        # The zone's record still names the incarnation before the restart, and there was no look
-        # at the fleet yet: the controller showed itself as gone, and no pools.
+        # The zone's record still has the incarnation before the restart, and there is no fleet
+        # report yet: the controller showed itself as gone, and no pools.
         before = a_member("ct-1", role=Role.CONTROLLER)
         self.zone("z1", before)
         hosts = (an_entry("h1"), an_entry("h2", phase=HostPhase.WITHDRAWING))
@@ -106,14 +106,14 @@
         )
 
     def test_a_report_older_than_the_document(self) -> None:
-        # A stop is cancelled, and status is asked for before the next look at the fleet: the
-        # report still has the stop, and the answer was an internal error.
+        # A stop is cancelled, and status is requested before the next fleet report: the report
+        # still contains the stop, which caused an internal error.
         report = FleetReport(stops=(SimpleNamespace(stop=StopId("june")),))
         self.assertEqual((), self.status(report).stops)
 
     def test_how_far_a_stop_is(self) -> None:
-        # Operators restart a host when status calls its stop "stopped". Shown for a stop whose
-        # hosts were restarted already, or before the last one was free, it is the wrong moment.
+        # Operators restart hosts when the state of a stop is "stopped". Shown while a host still
+        # runs jobs, or after all hosts were restarted, it would make them restart at a wrong time.
         stop = StopId("june")
         free = an_entry("h1", phase=HostPhase.STOPPED, stop=stop)
         leaving = an_entry("h2", phase=HostPhase.WITHDRAWING, stop=stop)
