--- a/src/lentilrill/ctl/_show_status.py
+++ b/src/lentilrill/ctl/_show_status.py
@@ -4,9 +4,16 @@
 
 from lentilrill.ctl._show import INDENT, table
 from lentilrill.membership import Liveness
-from lentilrill.operators import MemberStatus, Reach, Status, StopStatus, WaveStatus, reach
+from lentilrill.operators import (
+    MemberStatus,
+    Propagation,
+    Status,
+    StopStatus,
+    WaveStatus,
+    propagation_of,
+)
 
-__all__ = ["reach_text", "status_lines", "stop_lines"]
+__all__ = ["propagation_text", "status_lines", "stop_lines"]
 
 MAX_NAMED = 8
 
@@ -14,7 +21,7 @@
 def status_lines(status: Status) -> list[str]:
     """Return the status of the fleet and of the system, warnings first."""
     platform = "reachable" if status.platform_reachable else "NOT reachable"
-    spread = reach_text(reach(status, status.document_revision))
+    spread = propagation_text(propagation_of(status, status.document_revision))
     return [
         f"as seen by {status.process} in {status.zone}; the platform is {platform} from there",
         f"revision {status.document_revision} is {spread}",
@@ -27,16 +34,16 @@
     ]
 
 
-def reach_text(where: Reach) -> str:
+def propagation_text(propagation: Propagation) -> str:
     """Return one line that says where a revision is in force."""
-    total = len(where.reached) + len(where.behind) + len(where.unheard)
-    text = f"in force at {len(where.reached)} of {total} processes"
-    if where.everywhere:
+    total = len(propagation.reached) + len(propagation.behind) + len(propagation.unheard)
+    text = f"in force at {len(propagation.reached)} of {total} processes"
+    if propagation.is_complete:
         return f"in force everywhere ({total} processes)"
-    if where.behind:
-        text += f", not yet at {_named(where.behind)}"
-    if where.unheard:
-        text += f"; not heard: {_named(where.unheard)}"
+    if propagation.behind:
+        text += f", not yet at {_named(propagation.behind)}"
+    if propagation.unheard:
+        text += f"; not heard: {_named(propagation.unheard)}"
     return text
 
 
--- a/src/lentilrill/ctl/_spread.py
+++ b/src/lentilrill/ctl/_spread.py
@@ -8,9 +8,9 @@
 
 from lentilrill.ctl._client import Client
 from lentilrill.ctl._exit import Exit
-from lentilrill.ctl._show_status import reach_text
+from lentilrill.ctl._show_status import propagation_text
 from lentilrill.ids import Revision
-from lentilrill.operators import reach
+from lentilrill.operators import propagation_of
 
 __all__ = ["wait_in_force"]
 
@@ -32,8 +32,8 @@
         if isinstance(answer, Failure):
             text, everywhere = f"status: {answer.failure().detail}", False
         else:
-            where = reach(answer.unwrap(), revision)
-            text, everywhere = reach_text(where), where.everywhere
+            propagation = propagation_of(answer.unwrap(), revision)
+            text, everywhere = propagation_text(propagation), propagation.is_complete
         if text != shown:
             print(f"revision {revision}: {text}", file=sys.stderr)
             shown = text
--- a/src/lentilrill/operators/__init__.py
+++ b/src/lentilrill/operators/__init__.py
@@ -14,7 +14,7 @@
 )
 from lentilrill.operators._audit import AuditTrail
 from lentilrill.operators._capacity import check_capacity
-from lentilrill.operators._diff import Change, Difference, FieldChange, difference
+from lentilrill.operators._diff import Change, Difference, FieldChange, diff_documents
 from lentilrill.operators._editing import MAX_DOCUMENT_BYTES, Editor
 from lentilrill.operators._outcomes import EditOutcome
 from lentilrill.operators._records import Action, AuditEntry, AuditRecord, EditVerdict
@@ -22,12 +22,12 @@
 from lentilrill.operators._status import (
     MemberStatus,
     PoolStatus,
-    Reach,
+    Propagation,
     Status,
     StopState,
     StopStatus,
     WaveStatus,
-    reach,
+    propagation_of,
 )
 from lentilrill.operators._store import DocumentStore, Head
 
@@ -58,13 +58,13 @@
     "OperatorServer",
     "PoolStatus",
     "Problem",
-    "Reach",
+    "Propagation",
     "Status",
     "StopBody",
     "StopState",
     "StopStatus",
     "WaveStatus",
     "check_capacity",
-    "difference",
-    "reach",
+    "diff_documents",
+    "propagation_of",
 ]
--- a/src/lentilrill/operators/_api.py
+++ b/src/lentilrill/operators/_api.py
@@ -22,7 +22,7 @@
 )
 from lentilrill.operators._audit import AuditTrail
 from lentilrill.operators._capacity import check_capacity
-from lentilrill.operators._diff import difference
+from lentilrill.operators._diff import diff_documents
 from lentilrill.operators._editing import Editor
 from lentilrill.operators._outcomes import EditOutcome
 from lentilrill.operators._problems import Reply, edit_problem, fault_problem, problem
@@ -85,13 +85,13 @@
         """Return the document from the platform, or this controller's copy if that fails."""
         read = self._store.head()
         fresh = not isinstance(read, Failure)
-        head = read.value_or(self._held())
+        head = read.value_or(self._cached_head())
         return Reply(HTTPStatus.OK, ConfigAnswer(head.revision, fresh, head.document))
 
     def check(self, request: Request) -> Reply:
         """Check two lists without applying them."""
         body = msgspec.json.decode(request.body, type=CheckBody)
-        head = self._store.head().value_or(self._held())
+        head = self._store.head().value_or(self._cached_head())
         decoded = decode_lists(bytes(body.plans), bytes(body.entitlements))
         if isinstance(decoded, Failure):
             answer = CheckAnswer(False, head.revision, decoded.failure(), ())
@@ -101,8 +101,8 @@
         answer = CheckAnswer(
             not errors_of(findings),
             head.revision,
-            findings + self._capacity(document),
-            difference(head.document, document),
+            findings + self._capacity_findings(document),
+            diff_documents(head.document, document),
         )
         return Reply(HTTPStatus.OK, answer)
 
@@ -112,21 +112,23 @@
         decoded = decode_lists(bytes(body.plans), bytes(body.entitlements))
         if isinstance(decoded, Failure):
             found = decoded.failure()
-            return self._edited(EditOutcome(EditVerdict.INVALID, body.write_id, findings=found))
+            return self._edit_reply(EditOutcome(EditVerdict.INVALID, body.write_id, findings=found))
         lists = decoded.unwrap()
         outcome = self._editor.apply(request.who, lists, Revision(body.base), body.write_id)
-        return self._edited(outcome, lists)
+        return self._edit_reply(outcome, lists)
 
     def declare_stop(self, request: Request) -> Reply:
         """Declare a planned stop."""
         body = msgspec.json.decode(request.body, type=StopBody)
         stop = PlannedStop(body.id, body.hosts, body.retire, body.reason)
-        outcome = self._editor.declare(request.who, stop)
-        return self._edited(outcome, Document(stops=(stop,)))
+        outcome = self._editor.declare_stop(request.who, stop)
+        return self._edit_reply(outcome, Document(stops=(stop,)))
 
     def cancel_stop(self, request: Request) -> Reply:
         """Cancel a planned stop."""
-        return self._edited(self._editor.cancel(request.who, StopId(unquote(request.tail))))
+        return self._edit_reply(
+            self._editor.cancel_stop(request.who, StopId(unquote(request.tail)))
+        )
 
     def status(self, _request: Request) -> Reply:
         """Return the status of the fleet and of the system's processes."""
@@ -157,22 +159,22 @@
             detail = f"limit must be a number from 1 to {MAX_AUDIT_LIMIT}"
             return problem(HTTPStatus.BAD_REQUEST, "bad-request", detail)
         read = self._store.head().bind(
-            lambda head: self._audit.newest(head.document.edit, int(text))
+            lambda head: self._audit.newest_edits(head.document.edit, int(text))
         )
         if isinstance(read, Failure):
             return fault_problem(read.failure())
         return Reply(HTTPStatus.OK, AuditAnswer(read.unwrap()))
 
-    def _held(self) -> Head:
+    def _cached_head(self) -> Head:
         return Head(self._view.document, self._view.document_revision)
 
-    def _edited(self, outcome: EditOutcome, touched: Document | None = None) -> Reply:
+    def _edit_reply(self, outcome: EditOutcome, document: Document | None = None) -> Reply:
         self._metrics.incr(f"operators.edits.{outcome.verdict.value}")
         if outcome.verdict not in (EditVerdict.ACCEPTED, EditVerdict.UNCHANGED):
             return edit_problem(outcome)
         warnings = outcome.findings
-        if touched is not None:
-            warnings += self._capacity(touched)
+        if document is not None:
+            warnings += self._capacity_findings(document)
         answer = EditAnswer(
             outcome.verdict,
             outcome.revision or Revision(0),
@@ -184,7 +186,7 @@
         )
         return Reply(HTTPStatus.OK, answer)
 
-    def _capacity(self, document: Document) -> tuple[Finding, ...]:
+    def _capacity_findings(self, document: Document) -> tuple[Finding, ...]:
         if self._host_list is None:
             return ()
         listing = self._host_list.hosts()
--- a/src/lentilrill/operators/_audit.py
+++ b/src/lentilrill/operators/_audit.py
@@ -14,22 +14,22 @@
 from lentilrill.operators._refusals import Refusals
 from lentilrill.store import DeleteRange, Item, KeyValue, Put, RangeAnswer
 
-__all__ = ["AuditTrail", "accepted_writes"]
+__all__ = ["AuditTrail", "audit_writes"]
 
-EDITS = "audit/edits/"
-RETAINED_EDITS = 5000
+EDITS_PREFIX = "audit/edits/"
+MAX_RETAINED_EDITS = 5000
 NUMBER_DIGITS = 12
 PAGE_DIGITS = 2
 """Digits cut from a key to form the prefix of a page, which holds up to 100 records."""
 
 
-def accepted_writes(record: AuditRecord) -> tuple[Put | DeleteRange, ...]:
+def audit_writes(record: AuditRecord) -> tuple[Put | DeleteRange, ...]:
     """Return the writes that store the record of an accepted edit and delete the oldest ones."""
     put = Put(_edit_key(record.number), msgspec.json.encode(record))
-    oldest_kept = record.number - RETAINED_EDITS + 1
-    if oldest_kept <= 1:
+    oldest_retained = record.number - MAX_RETAINED_EDITS + 1
+    if oldest_retained <= 1:
         return (put,)
-    return put, DeleteRange(_edit_key(0), _edit_key(oldest_kept))
+    return put, DeleteRange(_edit_key(0), _edit_key(oldest_retained))
 
 
 class AuditTrail:
@@ -52,35 +52,38 @@
         """Write pending records of refused edits if the platform answers, and stop."""
         self._refusals.stop()
 
-    def note_refused(self, record: AuditRecord) -> None:
+    def record_refused(self, record: AuditRecord) -> None:
         """Record a refused edit on a best-effort basis."""
-        self._refusals.note(record)
+        self._refusals.add(record)
 
-    def entry(self, number: int) -> Result[AuditEntry | None, Fault]:
+    def accepted_edit(self, number: int) -> Result[AuditEntry | None, Fault]:
         """Return the accepted edit ``number``, or ``None`` if it has no record."""
-        return self._kv.read(_edit_key(number)).bind(_first_entry)
+        return self._kv.read(_edit_key(number)).bind(_decode_first)
 
-    def since(
-        self, revision: Revision, newest: int, limit: int
+    def edits_since(
+        self, revision: Revision, newest_number: int, limit: int
     ) -> Result[tuple[AuditEntry, ...] | None, Fault]:
         """Return the accepted edits after ``revision``, oldest first.
 
-        :param newest: number of the newest edit.
+        :param newest_number: number of the newest accepted edit.
         :param limit: maximum number of edits to return.
         :return: ``None`` if there are more, or if the trail no longer holds all of them.
         """
-        found = self._newest_edits(newest, limit + 1)
-        if isinstance(found, Failure):
-            return found
-        entries = found.unwrap()
+        read = self._newest_accepted(newest_number, limit + 1)
+        if isinstance(read, Failure):
+            return read
+        entries = read.unwrap()
         later = tuple(e for e in entries if e.revision is not None and e.revision > revision)
-        first_number = later[0].record.number if later else newest + 1
-        reaches_back = first_number == 1 or len(later) < len(entries)
-        return Success(later if reaches_back and len(later) <= limit else None)
+        first_number = later[0].record.number if later else newest_number + 1
+        complete = first_number == 1 or len(later) < len(entries)
+        return Success(later if complete and len(later) <= limit else None)
 
-    def newest(self, newest: int, limit: int) -> Result[tuple[AuditEntry, ...], Fault]:
-        """Return the newest edits, accepted and refused, oldest first."""
-        accepted = self._newest_edits(newest, limit)
+    def newest_edits(self, newest_number: int, limit: int) -> Result[tuple[AuditEntry, ...], Fault]:
+        """Return the newest edits, accepted and refused, oldest first.
+
+        :param newest_number: number of the newest accepted edit.
+        """
+        accepted = self._newest_accepted(newest_number, limit)
         refused = self._refusals.read()
         if isinstance(accepted, Failure):
             return accepted
@@ -89,33 +92,35 @@
         entries = accepted.unwrap() + tuple(AuditEntry(r, None) for r in refused.unwrap())
         return Success(tuple(sorted(entries, key=lambda entry: entry.record.at))[-limit:])
 
-    def _newest_edits(self, newest: int, limit: int) -> Result[tuple[AuditEntry, ...], Fault]:
+    def _newest_accepted(
+        self, newest_number: int, limit: int
+    ) -> Result[tuple[AuditEntry, ...], Fault]:
         pages: list[tuple[AuditEntry, ...]] = []
-        number, found = newest, 0
-        while number > 0 and found < limit:
+        number, count = newest_number, 0
+        while number > 0 and count < limit:
             read = self._kv.read(_edit_key(number)[:-PAGE_DIGITS])
             if isinstance(read, Failure):
                 return read
-            page = tuple(e for e in map(_entry, read.unwrap().items) if e is not None)
+            page = tuple(e for e in map(_decode_item, read.unwrap().items) if e is not None)
             if not page:
                 break
             pages.insert(0, page)
-            found += len(page)
+            count += len(page)
             number = number // 10**PAGE_DIGITS * 10**PAGE_DIGITS - 1
         entries = tuple(entry for page in pages for entry in page)
         return Success(entries[-limit:])
 
 
 def _edit_key(number: int) -> str:
-    return f"{EDITS}{number:0{NUMBER_DIGITS}d}"
+    return f"{EDITS_PREFIX}{number:0{NUMBER_DIGITS}d}"
 
 
-def _entry(item: Item) -> AuditEntry | None:
+def _decode_item(item: Item) -> AuditEntry | None:
     try:
         return AuditEntry(msgspec.json.decode(item.value or b"", type=AuditRecord), item.revision)
     except msgspec.MsgspecError:
         return None
 
 
-def _first_entry(answer: RangeAnswer) -> Result[AuditEntry | None, Fault]:
-    return Success(_entry(answer.items[0]) if answer.items else None)
+def _decode_first(answer: RangeAnswer) -> Result[AuditEntry | None, Fault]:
+    return Success(_decode_item(answer.items[0]) if answer.items else None)
--- a/src/lentilrill/operators/_auth.py
+++ b/src/lentilrill/operators/_auth.py
@@ -4,12 +4,12 @@
 import hmac
 from collections.abc import Mapping
 
-__all__ = ["operator_of"]
+__all__ = ["authenticate"]
 
 SCHEME = "bearer"
 
 
-def operator_of(authorization: str, tokens_sha256: Mapping[str, str]) -> str | None:
+def authenticate(authorization: str, tokens_sha256: Mapping[str, str]) -> str | None:
     """Return the operator whose token is in an ``Authorization`` header, or ``None``.
 
     To prevent timing attacks, digests are compared in constant time, and the loop always compares
--- a/src/lentilrill/operators/_capacity.py
+++ b/src/lentilrill/operators/_capacity.py
@@ -20,18 +20,18 @@
         if host.kind is HostKind.WORKER and host.state is HostState.LIVE
     ]
     return (
-        _whole_fleet(document, workers)
-        + _pools(document, workers)
-        + _zones(document, workers)
-        + _stops(document, listing)
+        _fleet_findings(document, workers)
+        + _pool_findings(document, workers)
+        + _zone_findings(document, workers)
+        + _stop_findings(document, listing)
     )
 
 
-def _whole_fleet(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
+def _fleet_findings(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
     owed = sum(plan.hosts_owed for plan in document.plans)
     if owed <= len(workers):
         return ()
-    sums = _sum_text(document.plans)
+    sums = _format_sum(document.plans)
     return _warning(
         "plans",
         f"{owed} hosts are owed ({sums}), {len(workers)} live workers are listed: "
@@ -39,7 +39,7 @@
     )
 
 
-def _pools(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
+def _pool_findings(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
     plans_by_pool: dict[PoolId, list[Plan]] = defaultdict(list)
     plans_by_id = document.plans_by_id()
     for entitlement in document.entitlements:
@@ -54,32 +54,32 @@
         if fitting < owed and fitting < len(workers):
             findings += _warning(
                 f"pools[{n}]",
-                f"{owed} hosts are owed ({_sum_text(tuple(plans))}), {fitting} of "
+                f"{owed} hosts are owed ({_format_sum(tuple(plans))}), {fitting} of "
                 f"{len(workers)} live workers have {pool.cores} cores, {pool.memory_gb} GB "
                 f"and {pool.accelerators} accelerators: {owed - fitting} missing",
             )
     return findings
 
 
-def _zones(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
+def _zone_findings(document: Document, workers: list[HostInfo]) -> tuple[Finding, ...]:
     plans_by_id = document.plans_by_id()
     findings: tuple[Finding, ...] = ()
     for n, entitlement in enumerate(document.entitlements):
         plan = plans_by_id.get(entitlement.plan)
         if plan is None or not entitlement.zones:
             continue
-        inside = sum(host.zone in entitlement.zones for host in workers)
-        if inside < plan.hosts_owed:
+        available = sum(host.zone in entitlement.zones for host in workers)
+        if available < plan.hosts_owed:
             findings += _warning(
                 f"entitlements[{n}].zones",
                 f"plan {plan.id!r} is owed {plan.hosts_owed} hosts, zones "
-                f"{', '.join(entitlement.zones)} list {inside} live workers: "
-                f"{plan.hosts_owed - inside} missing",
+                f"{', '.join(entitlement.zones)} list {available} live workers: "
+                f"{plan.hosts_owed - available} missing",
             )
     return findings
 
 
-def _stops(document: Document, listing: HostListing) -> tuple[Finding, ...]:
+def _stop_findings(document: Document, listing: HostListing) -> tuple[Finding, ...]:
     listed = {host.id for host in listing.hosts}
     findings: tuple[Finding, ...] = ()
     for n, stop in enumerate(document.stops):
@@ -99,7 +99,7 @@
     )
 
 
-def _sum_text(plans: tuple[Plan, ...]) -> str:
+def _format_sum(plans: tuple[Plan, ...]) -> str:
     return " + ".join(f"{plan.id} {plan.hosts_owed}" for plan in plans)
 
 
--- a/src/lentilrill/operators/_diff.py
+++ b/src/lentilrill/operators/_diff.py
@@ -8,9 +8,9 @@
 
 from lentilrill.settings import Document
 
-__all__ = ["Change", "Difference", "FieldChange", "difference"]
+__all__ = ["Change", "Difference", "FieldChange", "diff_documents"]
 
-MAX_SHOWN_CHARS = 200
+MAX_VALUE_CHARS = 200
 
 
 class Change(Enum):
@@ -50,14 +50,14 @@
         return f"{entry}: {fields}"
 
 
-def difference(before: Document, after: Document) -> tuple[Difference, ...]:
+def diff_documents(before: Document, after: Document) -> tuple[Difference, ...]:
     """Return how ``after`` differs from ``before``, ignoring the order within a list."""
     return (
-        _entries("plans", before.plans_by_id(), after.plans_by_id())
-        + _entries("pools", before.pools_by_id(), after.pools_by_id())
-        + _entries("entitlements", before.entitlements_by_plan(), after.entitlements_by_plan())
-        + _entries("objective", {"": before.objective}, {"": after.objective})
-        + _entries(
+        _diff_entries("plans", before.plans_by_id(), after.plans_by_id())
+        + _diff_entries("pools", before.pools_by_id(), after.pools_by_id())
+        + _diff_entries("entitlements", before.entitlements_by_plan(), after.entitlements_by_plan())
+        + _diff_entries("objective", {"": before.objective}, {"": after.objective})
+        + _diff_entries(
             "stops",
             {stop.id: stop for stop in before.stops},
             {stop.id: stop for stop in after.stops},
@@ -65,27 +65,31 @@
     )
 
 
-def _entries(name: str, before: Mapping[Any, Any], after: Mapping[Any, Any]) -> tuple[Any, ...]:
-    found = []
+def _diff_entries(
+    name: str, before: Mapping[Any, Any], after: Mapping[Any, Any]
+) -> tuple[Any, ...]:
+    differences = []
     for key in sorted(before.keys() | after.keys()):
         if key not in after:
-            found.append(Difference(name, key, Change.REMOVED))
+            differences.append(Difference(name, key, Change.REMOVED))
         elif key not in before:
-            found.append(Difference(name, key, Change.ADDED))
+            differences.append(Difference(name, key, Change.ADDED))
         elif before[key] != after[key]:
-            fields = _fields(before[key], after[key])
-            found.append(Difference(name, key, Change.CHANGED, fields))
-    return tuple(found)
+            fields = _diff_fields(before[key], after[key])
+            differences.append(Difference(name, key, Change.CHANGED, fields))
+    return tuple(differences)
 
 
-def _fields(before: msgspec.Struct, after: msgspec.Struct) -> tuple[FieldChange, ...]:
+def _diff_fields(before: msgspec.Struct, after: msgspec.Struct) -> tuple[FieldChange, ...]:
     return tuple(
-        FieldChange(name, _shown(getattr(before, name)), _shown(getattr(after, name)))
+        FieldChange(
+            name, _truncated_json(getattr(before, name)), _truncated_json(getattr(after, name))
+        )
         for name in before.__struct_fields__
         if getattr(before, name) != getattr(after, name)
     )
 
 
-def _shown(value: object) -> str:
+def _truncated_json(value: object) -> str:
     text = msgspec.json.encode(value).decode()
-    return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "..."
+    return text if len(text) <= MAX_VALUE_CHARS else text[:MAX_VALUE_CHARS] + "..."
--- a/src/lentilrill/operators/_editing.py
+++ b/src/lentilrill/operators/_editing.py
@@ -18,7 +18,7 @@
 from lentilrill.ids import Revision, StopId
 from lentilrill.operators import _outcomes as outcomes
 from lentilrill.operators._audit import AuditTrail
-from lentilrill.operators._diff import Change, Difference, difference
+from lentilrill.operators._diff import Change, Difference, diff_documents
 from lentilrill.operators._outcomes import EditOutcome
 from lentilrill.operators._records import Action, AuditEntry, AuditRecord, EditVerdict
 from lentilrill.operators._store import DocumentStore, Head
@@ -30,10 +30,10 @@
 MAX_DOCUMENT_BYTES = 1_000_000
 """The platform's size limit for a value."""
 MAX_EDITS_SEARCHED = 1000
-STOP_TRIES = 8
+MAX_STOP_ATTEMPTS = 8
 DIGEST_CHARS = 12
 WRITE_ID_PATTERN = re.compile(r"[A-Za-z0-9-]{8,80}")
-BAD_WRITE_ID = "write_id must be 8 to 80 letters, digits or '-'"
+INVALID_WRITE_ID = "write_id must be 8 to 80 letters, digits or '-'"
 
 StopChange = Callable[[Document, PlannedStop], Result[Document, Finding]]
 
@@ -67,45 +67,45 @@
         """
         write_id = write_id or _new_write_id()
         if not WRITE_ID_PATTERN.fullmatch(write_id):
-            outcome = outcomes.invalid("", base, (), BAD_WRITE_ID)
+            outcome = outcomes.invalid("", base, (), INVALID_WRITE_ID)
         else:
             outcome = self._apply(who, lists, base, f"{write_id}-{_digest(lists)}")
-        return self._told(who, Action.APPLY, outcome)
+        return self._record_outcome(who, Action.APPLY, outcome)
 
-    def declare(self, who: str, stop: PlannedStop) -> EditOutcome:
+    def declare_stop(self, who: str, stop: PlannedStop) -> EditOutcome:
         """Add a planned stop; the verdict is ``UNCHANGED`` if an equal one exists."""
-        outcome = self._on_stops(who, Action.DECLARE_STOP, stop, _declared)
-        return self._told(who, Action.DECLARE_STOP, outcome)
+        outcome = self._edit_stop(who, Action.DECLARE_STOP, stop, _with_stop)
+        return self._record_outcome(who, Action.DECLARE_STOP, outcome)
 
-    def cancel(self, who: str, stop_id: StopId) -> EditOutcome:
+    def cancel_stop(self, who: str, stop_id: StopId) -> EditOutcome:
         """Remove a planned stop; the edit is invalid if no such stop exists."""
-        outcome = self._on_stops(who, Action.CANCEL_STOP, PlannedStop(stop_id, ()), _cancelled)
-        return self._told(who, Action.CANCEL_STOP, outcome)
+        outcome = self._edit_stop(who, Action.CANCEL_STOP, PlannedStop(stop_id, ()), _without_stop)
+        return self._record_outcome(who, Action.CANCEL_STOP, outcome)
 
     def _apply(self, who: str, lists: Document, base: Revision, write_id: str) -> EditOutcome:
         read = self._store.head()
         if isinstance(read, Failure):
             return outcomes.unavailable(write_id, base, read.failure())
         head = read.unwrap()
-        looked_up = self._since(base, head)
-        if isinstance(looked_up, Failure):
-            return outcomes.unavailable(write_id, base, looked_up.failure())
-        since = looked_up.unwrap()
-        earlier = _own_earlier(head, since, write_id)
+        since_result = self._edits_since(base, head)
+        if isinstance(since_result, Failure):
+            return outcomes.unavailable(write_id, base, since_result.failure())
+        since = since_result.unwrap()
+        earlier = _earlier_attempt(head, since, write_id)
         if earlier is not None:
             return earlier
         candidate = _with_lists(head.document, lists)
-        if not difference(head.document, candidate):
+        if not diff_documents(head.document, candidate):
             return outcomes.unchanged(head, write_id)
-        if head.revision != base and not _only_stops(since):
-            differences = difference(head.document, candidate)
+        if head.revision != base and not _only_stop_edits(since):
+            differences = diff_documents(head.document, candidate)
             return outcomes.conflict(write_id, base, head, differences, since)
         outcome = self._write(who, Action.APPLY, head, candidate, write_id)
         if outcome.verdict is EditVerdict.CONFLICT:
-            return self._lost_race(outcome, candidate)
+            return self._describe_conflict(outcome, candidate)
         return outcome
 
-    def _on_stops(
+    def _edit_stop(
         self, who: str, action: Action, stop: PlannedStop, change: StopChange
     ) -> EditOutcome:
         """Apply an edit of one stop, retrying after a conflict.
@@ -113,12 +113,14 @@
         A retry is safe because an edit of one stop can't undo a concurrent edit.
         """
         write_id = _new_write_id()
-        outcome = outcomes.lost_to_others(write_id, Revision(0))
-        for _ in range(STOP_TRIES):
+        outcome = outcomes.lost_race(write_id, Revision(0))
+        for _ in range(MAX_STOP_ATTEMPTS):
             read = self._store.head()
             if isinstance(read, Failure):
                 unavailable = outcomes.unavailable(write_id, Revision(0), read.failure())
-                return msgspec.structs.replace(unavailable, differences=_wanted(action, stop))
+                return msgspec.structs.replace(
+                    unavailable, differences=_intended_difference(action, stop)
+                )
             head = read.unwrap()
             changed = change(head.document, stop)
             if isinstance(changed, Failure):
@@ -144,10 +146,10 @@
             write_id,
             number=number,
             base=head.revision,
-            differences=difference(head.document, candidate),
+            differences=diff_documents(head.document, candidate),
             findings=findings,
         )
-        record = outcomes.record_of(outcome, self._now(), who, action)
+        record = outcomes.audit_record(outcome, self._now(), who, action)
         return self._commit(head, value, record, outcome)
 
     def _commit(
@@ -161,21 +163,21 @@
             return outcomes.unavailable(outcome.write_id, head.revision, fault)
         revision = committed.unwrap()
         if revision is None:
-            return outcomes.lost_to_others(outcome.write_id, head.revision)
+            return outcomes.lost_race(outcome.write_id, head.revision)
         self._on_accepted(value, revision)
         return msgspec.structs.replace(outcome, revision=revision)
 
-    def _lost_race(self, outcome: EditOutcome, candidate: Document) -> EditOutcome:
+    def _describe_conflict(self, outcome: EditOutcome, candidate: Document) -> EditOutcome:
         """Add the winning edits and the differences to a conflict, if they can be read."""
         read = self._store.head()
         if isinstance(read, Failure):
             return outcome
         head = read.unwrap()
-        differences = difference(head.document, _with_lists(head.document, candidate))
-        since = self._since(outcome.base, head).value_or(())
+        differences = diff_documents(head.document, _with_lists(head.document, candidate))
+        since = self._edits_since(outcome.base, head).value_or(())
         return outcomes.conflict(outcome.write_id, outcome.base, head, differences, since)
 
-    def _since(self, base: Revision, head: Head) -> Result[tuple[AuditEntry, ...], Fault]:
+    def _edits_since(self, base: Revision, head: Head) -> Result[tuple[AuditEntry, ...], Fault]:
         """Return the accepted edits after ``base``; empty if the trail doesn't hold them all.
 
         A trail that can't be read is a fault, not an empty result: otherwise an edit that is in
@@ -183,13 +185,13 @@
         """
         if head.revision == base:
             return Success(())
-        read = self._audit.since(base, head.document.edit, MAX_EDITS_SEARCHED)
+        read = self._audit.edits_since(base, head.document.edit, MAX_EDITS_SEARCHED)
         return read.map(lambda entries: entries or ())
 
-    def _told(self, who: str, action: Action, outcome: EditOutcome) -> EditOutcome:
+    def _record_outcome(self, who: str, action: Action, outcome: EditOutcome) -> EditOutcome:
         """Log an outcome, and record an edit that was not accepted in the audit trail."""
         log(
-            _EVENTS[outcome.verdict],
+            _EVENT_BY_VERDICT[outcome.verdict],
             who=who,
             action=action.value,
             verdict=outcome.verdict.value,
@@ -197,11 +199,11 @@
             write_id=outcome.write_id,
         )
         if outcome.verdict not in (EditVerdict.ACCEPTED, EditVerdict.UNCHANGED):
-            self._audit.note_refused(outcomes.record_of(outcome, self._now(), who, action))
+            self._audit.record_refused(outcomes.audit_record(outcome, self._now(), who, action))
         return outcome
 
 
-_EVENTS = {
+_EVENT_BY_VERDICT = {
     EditVerdict.ACCEPTED: Event.EDIT_ACCEPTED,
     EditVerdict.UNCHANGED: Event.EDIT_ACCEPTED,
     EditVerdict.CONFLICT: Event.EDIT_REFUSED,
@@ -230,40 +232,42 @@
     )
 
 
-def _own_earlier(head: Head, since: tuple[AuditEntry, ...], write_id: str) -> EditOutcome | None:
+def _earlier_attempt(
+    head: Head, since: tuple[AuditEntry, ...], write_id: str
+) -> EditOutcome | None:
     """Return the outcome of an earlier attempt at the same edit whose response was lost."""
     for entry in since:
         if entry.record.write_id == write_id:
-            return outcomes.found_earlier(entry, entry.record.number)
+            return outcomes.already_accepted(entry, entry.record.number)
     if head.document.write_id == write_id:
         record = AuditRecord(0.0, "", Action.APPLY, EditVerdict.ACCEPTED, head.revision, write_id)
-        return outcomes.found_earlier(AuditEntry(record, head.revision), head.document.edit)
+        return outcomes.already_accepted(AuditEntry(record, head.revision), head.document.edit)
     return None
 
 
-def _wanted(action: Action, stop: PlannedStop) -> tuple[Difference, ...]:
+def _intended_difference(action: Action, stop: PlannedStop) -> tuple[Difference, ...]:
     """Return the intended change of a stop, for use when the document can't be read."""
     change = Change.ADDED if action is Action.DECLARE_STOP else Change.REMOVED
     return (Difference("stops", stop.id, change),)
 
 
-def _only_stops(since: tuple[AuditEntry, ...]) -> bool:
+def _only_stop_edits(since: tuple[AuditEntry, ...]) -> bool:
     """Return whether all edits since the base were of stops, which are no part of the lists."""
     return bool(since) and all(entry.record.action is not Action.APPLY for entry in since)
 
 
-def _declared(document: Document, stop: PlannedStop) -> Result[Document, Finding]:
-    held = next((held for held in document.stops if held.id == stop.id), None)
-    if held is None:
+def _with_stop(document: Document, stop: PlannedStop) -> Result[Document, Finding]:
+    existing = next((existing for existing in document.stops if existing.id == stop.id), None)
+    if existing is None:
         return Success(msgspec.structs.replace(document, stops=(*document.stops, stop)))
-    if held == stop:
+    if existing == stop:
         return Success(document)
     message = f"stop {stop.id!r} is declared already, otherwise; cancel it or take another id"
     return Failure(Finding(Severity.ERROR, "id", message))
 
 
-def _cancelled(document: Document, stop: PlannedStop) -> Result[Document, Finding]:
-    stops = tuple(held for held in document.stops if held.id != stop.id)
+def _without_stop(document: Document, stop: PlannedStop) -> Result[Document, Finding]:
+    stops = tuple(existing for existing in document.stops if existing.id != stop.id)
     if len(stops) == len(document.stops):
         return Failure(Finding(Severity.ERROR, "id", f"no stop {stop.id!r} is declared"))
     return Success(msgspec.structs.replace(document, stops=stops))
--- a/src/lentilrill/operators/_outcomes.py
+++ b/src/lentilrill/operators/_outcomes.py
@@ -10,18 +10,18 @@
     AuditEntry,
     AuditRecord,
     EditVerdict,
-    bounded,
+    truncate_differences,
 )
 from lentilrill.operators._store import Head
 from lentilrill.settings import Finding, errors_of
 
 __all__ = [
     "EditOutcome",
+    "already_accepted",
+    "audit_record",
     "conflict",
-    "found_earlier",
     "invalid",
-    "lost_to_others",
-    "record_of",
+    "lost_race",
     "unavailable",
     "unchanged",
     "unknown",
@@ -64,7 +64,7 @@
     )
 
 
-def found_earlier(entry: AuditEntry, number: int) -> EditOutcome:
+def already_accepted(entry: AuditEntry, number: int) -> EditOutcome:
     """Return the outcome of an edit that was accepted before but whose response was lost."""
     return EditOutcome(
         EditVerdict.ACCEPTED,
@@ -108,7 +108,7 @@
     )
 
 
-def lost_to_others(write_id: str, base: Revision) -> EditOutcome:
+def lost_race(write_id: str, base: Revision) -> EditOutcome:
     """Return the outcome of an edit that lost to a concurrent one, without details."""
     return EditOutcome(
         EditVerdict.CONFLICT,
@@ -144,9 +144,9 @@
     )
 
 
-def record_of(outcome: EditOutcome, at: float, who: str, action: Action) -> AuditRecord:
+def audit_record(outcome: EditOutcome, at: float, who: str, action: Action) -> AuditRecord:
     """Return the audit record of an outcome."""
-    kept, more = bounded(outcome.differences)
+    kept, more = truncate_differences(outcome.differences)
     errors = "; ".join(str(finding) for finding in errors_of(outcome.findings))
     return AuditRecord(
         at,
--- a/src/lentilrill/operators/_records.py
+++ b/src/lentilrill/operators/_records.py
@@ -7,7 +7,7 @@
 from lentilrill.ids import Revision
 from lentilrill.operators._diff import Difference
 
-__all__ = ["Action", "AuditEntry", "AuditRecord", "EditVerdict", "bounded"]
+__all__ = ["Action", "AuditEntry", "AuditRecord", "EditVerdict", "truncate_differences"]
 
 MAX_DIFFERENCES = 50
 MAX_DIFFERENCES_BYTES = 4096
@@ -64,7 +64,7 @@
     revision: Revision | None
 
 
-def bounded(differences: tuple[Difference, ...]) -> tuple[tuple[Difference, ...], int]:
+def truncate_differences(differences: tuple[Difference, ...]) -> tuple[tuple[Difference, ...], int]:
     """Return the differences to store in a record, and the number of omitted ones."""
     kept, size_bytes = 0, 0
     for each in differences[:MAX_DIFFERENCES]:
--- a/src/lentilrill/operators/_refusals.py
+++ b/src/lentilrill/operators/_refusals.py
@@ -18,15 +18,15 @@
 
 __all__ = ["Refusals"]
 
-REFUSED = "audit/refused"
-RETAINED = 100
+REFUSED_KEY = "audit/refused"
+MAX_RETAINED = 100
 MAX_PENDING = 100
-TRIES = 5
-FIRST_PAUSE_S = 1.0
-LONGEST_PAUSE_S = 30.0
+MAX_ATTEMPTS = 5
+INITIAL_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 30.0
 
 
-class Refused(msgspec.Struct, frozen=True):
+class StoredRefusals(msgspec.Struct, frozen=True):
     """The stored value: records of refused edits, oldest first."""
 
     records: tuple[AuditRecord, ...] = ()
@@ -41,7 +41,7 @@
     def __init__(self, kv: KeyValue) -> None:
         self._kv = kv
         self._pending: deque[AuditRecord] = deque()
-        self._changed = threading.Condition()
+        self._condition = threading.Condition()
         self._stopping = False
         self._thread = threading.Thread(target=self._run, name="audit", daemon=True)
         self.dropped = 0
@@ -52,56 +52,56 @@
 
     def stop(self, timeout_s: float = 5.0) -> None:
         """Try once more to write the pending records, then stop the thread."""
-        with self._changed:
+        with self._condition:
             self._stopping = True
-            self._changed.notify_all()
+            self._condition.notify_all()
         if self._thread.is_alive():
             self._thread.join(timeout_s)
 
-    def note(self, record: AuditRecord) -> None:
+    def add(self, record: AuditRecord) -> None:
         """Queue a record for writing; if the queue is full, the oldest record is dropped."""
-        with self._changed:
+        with self._condition:
             if len(self._pending) == MAX_PENDING:
                 self._pending.popleft()
                 self.dropped += 1
             self._pending.append(record)
-            self._changed.notify_all()
+            self._condition.notify_all()
 
     def read(self) -> Result[tuple[AuditRecord, ...], Fault]:
         """Return the stored records, oldest first."""
-        return self._held().map(lambda held: held[0])
+        return self._read_stored().map(lambda stored: stored[0])
 
     def _run(self) -> None:
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             batch, stopping = self._next_batch()
             if batch and self._append(batch):
-                self._forget(batch)
-                pause_s = FIRST_PAUSE_S
+                self._remove_pending(batch)
+                backoff_s = INITIAL_BACKOFF_S
             elif batch and not stopping:
-                self._wait(pause_s)
-                pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+                self._wait(backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
             if stopping:
-                self._give_up()
+                self._drop_pending()
                 return
 
     def _next_batch(self) -> tuple[tuple[AuditRecord, ...], bool]:
-        with self._changed:
+        with self._condition:
             while not self._pending and not self._stopping:
-                self._changed.wait()
+                self._condition.wait()
             return tuple(self._pending), self._stopping
 
-    def _wait(self, pause_s: float) -> None:
-        with self._changed:
-            self._changed.wait_for(lambda: self._stopping, pause_s)
+    def _wait(self, backoff_s: float) -> None:
+        with self._condition:
+            self._condition.wait_for(lambda: self._stopping, backoff_s)
 
-    def _forget(self, batch: tuple[AuditRecord, ...]) -> None:
-        with self._changed:
+    def _remove_pending(self, batch: tuple[AuditRecord, ...]) -> None:
+        with self._condition:
             written = set(map(id, batch))
             self._pending = deque(r for r in self._pending if id(r) not in written)
 
-    def _give_up(self) -> None:
-        with self._changed:
+    def _drop_pending(self) -> None:
+        with self._condition:
             self.dropped += len(self._pending)
             self._pending.clear()
         if self.dropped:
@@ -112,32 +112,34 @@
 
         A write whose response was lost is retried; records that are already stored are skipped.
         """
-        for _ in range(TRIES):
-            read = self._held()
+        for _ in range(MAX_ATTEMPTS):
+            read = self._read_stored()
             if isinstance(read, Failure):
                 return False
-            held, revision = read.unwrap()
-            new = tuple(record for record in records if record not in held)
+            stored, revision = read.unwrap()
+            new = tuple(record for record in records if record not in stored)
             if not new:
                 return True
-            put = Put(REFUSED, msgspec.json.encode(Refused((held + new)[-RETAINED:])))
-            done = self._kv.commit((Compare(REFUSED, revision),), (put,), Priority.LATER)
-            if isinstance(done, Success):
-                if done.unwrap().succeeded:
+            put = Put(
+                REFUSED_KEY, msgspec.json.encode(StoredRefusals((stored + new)[-MAX_RETAINED:]))
+            )
+            committed = self._kv.commit((Compare(REFUSED_KEY, revision),), (put,), Priority.LATER)
+            if isinstance(committed, Success):
+                if committed.unwrap().succeeded:
                     return True
-            elif done.failure().kind is not FaultKind.AMBIGUOUS:
+            elif committed.failure().kind is not FaultKind.AMBIGUOUS:
                 return False
         return False
 
-    def _held(self) -> Result[tuple[tuple[AuditRecord, ...], Revision], Fault]:
-        return self._kv.read(REFUSED, Priority.LATER).map(_decoded)
+    def _read_stored(self) -> Result[tuple[tuple[AuditRecord, ...], Revision], Fault]:
+        return self._kv.read(REFUSED_KEY, Priority.LATER).map(_decode)
 
 
-def _decoded(answer: RangeAnswer) -> tuple[tuple[AuditRecord, ...], Revision]:
-    item: Item | None = next((item for item in answer.items if item.key == REFUSED), None)
+def _decode(answer: RangeAnswer) -> tuple[tuple[AuditRecord, ...], Revision]:
+    item: Item | None = next((item for item in answer.items if item.key == REFUSED_KEY), None)
     if item is None or item.value is None:
         return (), Revision(0)
     try:
-        return msgspec.json.decode(item.value, type=Refused).records, item.revision
+        return msgspec.json.decode(item.value, type=StoredRefusals).records, item.revision
     except msgspec.MsgspecError:
         return (), item.revision
--- a/src/lentilrill/operators/_server.py
+++ b/src/lentilrill/operators/_server.py
@@ -16,7 +16,7 @@
 from lentilrill.ids import Revision
 from lentilrill.operators._api import Api, Request
 from lentilrill.operators._audit import AuditTrail
-from lentilrill.operators._auth import operator_of
+from lentilrill.operators._auth import authenticate
 from lentilrill.operators._editing import Editor
 from lentilrill.operators._problems import Reply, problem
 from lentilrill.operators._status import Status
@@ -33,9 +33,9 @@
 """Bodies up to this size are read and get a clear error; larger ones are not read at all."""
 MAX_HEADER_BYTES = 32 * 1024
 THREADS = 10
-AT_ONCE = 8
+MAX_CONCURRENT_REQUESTS = 8
 """Limit of concurrent operators' requests; the other threads are reserved for health checks."""
-IDLE_CONNECTION_S = 30
+IDLE_TIMEOUT_S = 30
 LISTEN_BACKLOG = 64
 STOPS_PATH = "/v1/stops/"
 
@@ -51,7 +51,7 @@
     document_revision: Revision
 
 
-class QuietServer(wsgi.Server):
+class EventLoggingServer(wsgi.Server):
     """A server that logs errors as events instead of printing them."""
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
@@ -66,7 +66,7 @@
 
     :param status: returns the current status; called for each status request.
     :param host_list: hosts to compare edits with, to warn about plans that they can't satisfy.
-    :param settle_s: seconds to keep trying to resolve the outcome of a write whose response was
+    :param resolve_timeout_s: how long to try to resolve the outcome of a write whose response was
         lost.
     :param publish: called with the items of an accepted edit, to update this process and its
         peers; by default only this process's mirror is updated.
@@ -80,7 +80,7 @@
         status: Callable[[], Status],
         metrics: Metrics | None = None,
         host_list: HostList | None = None,
-        settle_s: float = 6.0,
+        resolve_timeout_s: float = 6.0,
         publish: Callable[[tuple[Item, ...]], object] | None = None,
     ) -> None:
         self._tokens_sha256 = settings.operator_tokens_sha256
@@ -88,12 +88,12 @@
         self._publish = publish or view.mirror.offer
         self._metrics: Metrics = metrics or NoMetrics()
         self._audit = AuditTrail(kv)
-        store = DocumentStore(kv, self._audit, settle_s=settle_s)
-        editor = Editor(store, self._audit, on_accepted=self._offer)
+        store = DocumentStore(kv, self._audit, resolve_timeout_s=resolve_timeout_s)
+        editor = Editor(store, self._audit, on_accepted=self._publish_document)
         api = Api(store, editor, self._audit, view, status, self._metrics, host_list)
         self._handlers = _routes(api)
         self._draining = threading.Event()
-        self._turns = threading.BoundedSemaphore(AT_ONCE)
+        self._request_slots = threading.BoundedSemaphore(MAX_CONCURRENT_REQUESTS)
         self._server = _http_server(settings.listen, self)
         self._thread = threading.Thread(target=self._serve, name="operators", daemon=True)
 
@@ -137,14 +137,14 @@
         except Exception as error:
             log(Event.TASK_FAILED, task="operators", error=error)
 
-    def _offer(self, value: bytes, revision: Revision) -> None:
+    def _publish_document(self, value: bytes, revision: Revision) -> None:
         self._publish((Item(DOCUMENT_KEY, value, revision),))
 
     def _reply(self, environ: Environ) -> Reply:
         method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
         if path in ("/healthz", "/readyz"):
             return self._health(path)
-        who = operator_of(environ.get("HTTP_AUTHORIZATION", ""), self._tokens_sha256)
+        who = authenticate(environ.get("HTTP_AUTHORIZATION", ""), self._tokens_sha256)
         if who is None:
             log(Event.OPERATOR_DENIED, peer=environ.get("REMOTE_ADDR", ""), path=path)
             self._metrics.incr("operators.denied")
@@ -162,25 +162,27 @@
             allow = (("Allow", ", ".join(by_method)),)
             detail = f"{path} takes {allow[0][1]}"
             return problem(HTTPStatus.METHOD_NOT_ALLOWED, "method-not-allowed", detail, allow)
-        return self._in_turn(handler, who, tail, environ)
+        return self._run_limited(handler, who, tail, environ)
 
-    def _in_turn(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
+    def _run_limited(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
         """Run a handler unless the limit of concurrent requests is reached.
 
         If the platform accepts calls but doesn't answer, each request occupies its thread until a
         deadline. With all threads occupied, health checks would go unanswered, and a healthy
         controller would be restarted.
         """
-        if not self._turns.acquire(blocking=False):
-            detail = f"{AT_ONCE} requests are being worked on; the platform may be slow"
+        if not self._request_slots.acquire(blocking=False):
+            detail = (
+                f"{MAX_CONCURRENT_REQUESTS} requests are being worked on; the platform may be slow"
+            )
             retry = (("Retry-After", "1"),)
             return problem(HTTPStatus.SERVICE_UNAVAILABLE, "busy", detail, retry)
         try:
-            return self._handled(handler, who, tail, environ)
+            return self._run_handler(handler, who, tail, environ)
         finally:
-            self._turns.release()
+            self._request_slots.release()
 
-    def _handled(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
+    def _run_handler(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
         """Run a handler, turning every exception into an error response."""
         try:
             body = _read_body(environ)
@@ -227,13 +229,13 @@
 
 def _http_server(listen: str, app: OperatorServer) -> wsgi.Server:
     host, _, port = listen.rpartition(":")
-    server = QuietServer(
+    server = EventLoggingServer(
         (host.strip("[]"), int(port)),
         app,
         numthreads=THREADS,
         max=THREADS,
         request_queue_size=LISTEN_BACKLOG,
-        timeout=IDLE_CONNECTION_S,
+        timeout=IDLE_TIMEOUT_S,
     )
     server.max_request_header_size = MAX_HEADER_BYTES
     server.max_request_body_size = MAX_READ_BYTES
--- a/src/lentilrill/operators/_status.py
+++ b/src/lentilrill/operators/_status.py
@@ -20,12 +20,12 @@
 __all__ = [
     "MemberStatus",
     "PoolStatus",
-    "Reach",
+    "Propagation",
     "Status",
     "StopState",
     "StopStatus",
     "WaveStatus",
-    "reach",
+    "propagation_of",
 ]
 
 
@@ -134,7 +134,7 @@
     waves: tuple[WaveStatus, ...] = ()
 
 
-class Reach(msgspec.Struct, frozen=True):
+class Propagation(msgspec.Struct, frozen=True):
     """Where a revision of the document is in force.
 
     :param reached: processes that are complete to the revision.
@@ -148,12 +148,12 @@
     unheard: tuple[ProcessId, ...]
 
     @property
-    def everywhere(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every process that may still run has the revision."""
         return bool(self.reached) and not self.behind and not self.unheard
 
 
-def reach(status: Status, revision: Revision) -> Reach:
+def propagation_of(status: Status, revision: Revision) -> Propagation:
     """Return where ``revision`` is in force, ignoring processes that are known to be gone.
 
     A suspect process counts as unheard unless it had reached the revision before contact was lost:
@@ -169,4 +169,4 @@
             unheard.append(member.process)
         else:
             behind.append(member.process)
-    return Reach(revision, tuple(reached), tuple(behind), tuple(unheard))
+    return Propagation(revision, tuple(reached), tuple(behind), tuple(unheard))
--- a/src/lentilrill/operators/_store.py
+++ b/src/lentilrill/operators/_store.py
@@ -9,15 +9,15 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.fleet import DOCUMENT_KEY
 from lentilrill.ids import Revision
-from lentilrill.operators._audit import AuditTrail, accepted_writes
+from lentilrill.operators._audit import AuditTrail, audit_writes
 from lentilrill.operators._records import AuditRecord
 from lentilrill.settings import Document
 from lentilrill.store import Compare, KeyValue, Put, RangeAnswer
 
 __all__ = ["DocumentStore", "Head"]
 
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -30,7 +30,7 @@
 class DocumentStore:
     """The document stored on the platform.
 
-    :param settle_s: seconds to keep trying to resolve the outcome of a write whose response was
+    :param resolve_timeout_s: how long to try to resolve the outcome of a write whose response was
         lost.
     """
 
@@ -39,19 +39,19 @@
         kv: KeyValue,
         audit: AuditTrail,
         *,
-        settle_s: float = 6.0,
+        resolve_timeout_s: float = 6.0,
         clock: Callable[[], float] = time.monotonic,
         pause: Callable[[float], None] = time.sleep,
     ) -> None:
         self._kv = kv
         self._audit = audit
-        self._settle_s = settle_s
+        self._resolve_timeout_s = resolve_timeout_s
         self._clock = clock
         self._pause = pause
 
     def head(self) -> Result[Head, Fault]:
         """Read the stored document."""
-        return self._kv.read(DOCUMENT_KEY).bind(_head)
+        return self._kv.read(DOCUMENT_KEY).bind(_decode_head)
 
     def commit(
         self, base: Revision, value: bytes, record: AuditRecord
@@ -69,40 +69,42 @@
             the outcome can't be determined; any other fault if nothing was written.
         """
         compares = (Compare(DOCUMENT_KEY, base),)
-        writes = (Put(DOCUMENT_KEY, value), *accepted_writes(record))
-        give_up_at = self._clock() + self._settle_s
-        pause_s, ambiguous = FIRST_PAUSE_S, False
+        writes = (Put(DOCUMENT_KEY, value), *audit_writes(record))
+        deadline = self._clock() + self._resolve_timeout_s
+        backoff_s, ambiguous = INITIAL_BACKOFF_S, False
         while True:
             answer = self._kv.commit(compares, writes)
             if isinstance(answer, Success):
                 if answer.unwrap().succeeded:
                     return Success(answer.unwrap().revision)
-                settled = self._whose(base, record)
-                if isinstance(settled, Success):
-                    return settled
-                ambiguous, fault = True, settled.failure()
+                resolved = self._resolve_from_audit(base, record)
+                if isinstance(resolved, Success):
+                    return resolved
+                ambiguous, fault = True, resolved.failure()
             else:
                 fault = answer.failure()
                 ambiguous = ambiguous or fault.kind is FaultKind.AMBIGUOUS
             if not ambiguous:
                 return Failure(fault)
-            if self._clock() + pause_s > give_up_at:
+            if self._clock() + backoff_s > deadline:
                 return Failure(msgspec.structs.replace(fault, kind=FaultKind.AMBIGUOUS))
-            self._pause(pause_s)
-            pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+            self._pause(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
-    def _whose(self, base: Revision, record: AuditRecord) -> Result[Revision | None, Fault]:
+    def _resolve_from_audit(
+        self, base: Revision, record: AuditRecord
+    ) -> Result[Revision | None, Fault]:
         """Return the revision created by this edit, or ``None`` if another edit has its number."""
-        read = self._audit.entry(record.number)
+        read = self._audit.accepted_edit(record.number)
         if isinstance(read, Failure):
             return read
         entry = read.unwrap()
         if entry is not None:
             return Success(entry.revision if entry.record.write_id == record.write_id else None)
-        return self.head().bind(lambda head: _decide_by_head(head, base, record))
+        return self.head().bind(lambda head: _resolve_from_document(head, base, record))
 
 
-def _decide_by_head(
+def _resolve_from_document(
     head: Head, base: Revision, record: AuditRecord
 ) -> Result[Revision | None, Fault]:
     """Resolve the outcome of an edit from the document alone, if its audit record is missing.
@@ -119,7 +121,7 @@
     return Failure(Fault("operators.settle", DOCUMENT_KEY, FaultKind.AMBIGUOUS, reason))
 
 
-def _head(answer: RangeAnswer) -> Result[Head, Fault]:
+def _decode_head(answer: RangeAnswer) -> Result[Head, Fault]:
     item = next((item for item in answer.items if item.key == DOCUMENT_KEY), None)
     if item is None or item.value is None:
         return Success(Head(Document(), Revision(0)))
--- a/tests/operators/serving.py
+++ b/tests/operators/serving.py
@@ -63,7 +63,12 @@
         self.stops = ()
         self.settings = controller_settings()
         self.server = OperatorServer(
-            self.settings, self.kv, self.view, self.status, host_list=host_list, settle_s=0.3
+            self.settings,
+            self.kv,
+            self.view,
+            self.status,
+            host_list=host_list,
+            resolve_timeout_s=0.3,
         )
         self.http = urllib3.PoolManager(retries=False, timeout=20.0, maxsize=16)
 
@@ -83,7 +88,7 @@
             stops=self.stops,
         )
 
-    def ask(
+    def send(
         self, method: str, path: str, body: bytes | None = None, token: str = TOKEN
     ) -> tuple[int, dict]:
         """Send a request, and return the HTTP status and the JSON body."""
--- a/tests/operators/test_audit.py
+++ b/tests/operators/test_audit.py
@@ -20,7 +20,7 @@
     _audit,
     _refusals,
 )
-from lentilrill.operators._records import bounded
+from lentilrill.operators._records import truncate_differences
 from tests.builders import a_document
 from tests.fakes import FakeKeyValue, lose_answer, refuse
 
@@ -46,44 +46,44 @@
 
     def write_refusals(self, trail: AuditTrail, *records: AuditRecord) -> None:
         for record in records:
-            trail.note_refused(record)
+            trail.record_refused(record)
         trail.start()
         trail.stop()
 
-    def test_the_oldest_edits_are_trimmed_with_the_newest(self) -> None:
+    def test_adding_an_edit_trims_the_oldest(self) -> None:
         # Thousands of edits a day would fill the platform over the years, so the transaction that
         # adds a record deletes the oldest one.
-        with mock.patch.object(_audit, "RETAINED_EDITS", 5):
+        with mock.patch.object(_audit, "MAX_RETAINED_EDITS", 5):
             self.edit(12)
-        numbers = [entry.record.number for entry in self.trail.newest(12, 100).unwrap()]
+        numbers = [entry.record.number for entry in self.trail.newest_edits(12, 100).unwrap()]
         self.assertEqual([8, 9, 10, 11, 12], numbers)
 
     def test_newest_edits_across_pages(self) -> None:
         self.edit(230)
         for limit in (1, 31, 150, 1000):
-            numbers = [e.record.number for e in self.trail.newest(230, limit).unwrap()]
+            numbers = [e.record.number for e in self.trail.newest_edits(230, limit).unwrap()]
             self.assertEqual(list(range(max(1, 231 - limit), 231)), numbers)
 
     def test_edits_since_a_revision(self) -> None:
         self.edit(230)
-        later = self.trail.since(Revision(225), 230, 10).unwrap()
+        later = self.trail.edits_since(Revision(225), 230, 10).unwrap()
         self.assertEqual([226, 227, 228, 229, 230], [e.record.number for e in later])
-        self.assertIsNone(self.trail.since(Revision(1), 230, 10).unwrap())
-        self.assertEqual(230, len(self.trail.since(Revision(0), 230, 300).unwrap()))
+        self.assertIsNone(self.trail.edits_since(Revision(1), 230, 10).unwrap())
+        self.assertEqual(230, len(self.trail.edits_since(Revision(0), 230, 300).unwrap()))
 
-    def test_a_trimmed_trail_does_not_pretend_to_be_whole(self) -> None:
+    def test_edits_since_a_trimmed_revision_are_not_returned(self) -> None:
         # The edits just after the base have been trimmed. If an incomplete list were returned, an
         # edit with an old base could be accepted as if only planned stops had changed since.
-        with mock.patch.object(_audit, "RETAINED_EDITS", 5):
+        with mock.patch.object(_audit, "MAX_RETAINED_EDITS", 5):
             self.edit(12)
-        self.assertIsNone(self.trail.since(Revision(3), 12, 100).unwrap())
-        self.assertEqual(4, len(self.trail.since(Revision(8), 12, 100).unwrap()))
+        self.assertIsNone(self.trail.edits_since(Revision(3), 12, 100).unwrap())
+        self.assertEqual(4, len(self.trail.edits_since(Revision(8), 12, 100).unwrap()))
 
     def test_refused_edits_are_bounded(self) -> None:
         # A broken script may send invalid edits all night: only the newest records are kept.
-        with mock.patch.object(_refusals, "RETAINED", 3):
+        with mock.patch.object(_refusals, "MAX_RETAINED", 3):
             self.write_refusals(self.trail, *(refused(float(n)) for n in range(10)))
-        times = [entry.record.at for entry in self.trail.newest(0, 100).unwrap()]
+        times = [entry.record.at for entry in self.trail.newest_edits(0, 100).unwrap()]
         self.assertEqual([7.0, 8.0, 9.0], times)
 
     def test_refused_edits_of_any_size_fit_into_a_value(self) -> None:
@@ -91,11 +91,11 @@
         # platform's size limit for a value, and no further refusal could be recorded.
         fields = tuple(FieldChange(f"field-{n}", "x" * 200, "y" * 200) for n in range(8))
         changes = tuple(Difference("plans", f"p{n}", Change.CHANGED, fields) for n in range(60))
-        kept, more = bounded(changes)
+        kept, more = truncate_differences(changes)
         self.assertEqual(60, len(kept) + more)
         self.assertLess(len(kept), 2)
         few = tuple(Difference("plans", f"p{n}", Change.ADDED) for n in range(60))
-        self.assertEqual((few[:50], 10), bounded(few))
+        self.assertEqual((few[:50], 10), truncate_differences(few))
         records = [
             msgspec.structs.replace(refused(float(n)), differences=kept, message="m" * 1000)
             for n in range(100)
@@ -103,7 +103,7 @@
         self.write_refusals(self.trail, *records)
         self.assertLess(len(self.kv.items_by_key["audit/refused"].value), 1_000_000)
 
-    def test_two_controllers_record_refusals_at_once(self) -> None:
+    def test_two_controllers_record_refusals_concurrently(self) -> None:
         # Two controllers append to the refused edits concurrently. Without compare-and-swap one
         # would overwrite the record of the other.
         def other_first(call):
@@ -112,38 +112,38 @@
 
         self.kv.commits.append(other_first)
         self.write_refusals(self.trail, refused(2.0))
-        who = [entry.record.who for entry in self.trail.newest(0, 100).unwrap()]
+        who = [entry.record.who for entry in self.trail.newest_edits(0, 100).unwrap()]
         self.assertEqual(["ben", "asha"], who)
 
-    def test_refusals_wait_for_the_platform(self) -> None:
+    def test_refusals_are_written_after_an_outage(self) -> None:
         # An edit whose outcome is unknown because the platform went down needs its audit record:
         # it is written once the platform is reachable again.
         tried = threading.Event()
 
-        def away(call):
+        def unavailable(call):
             tried.set()
             return refuse(call)
 
-        self.kv.reads.append(away)
-        self.trail.note_refused(refused(1.0))
-        with mock.patch.object(_refusals, "FIRST_PAUSE_S", 0.01):
+        self.kv.reads.append(unavailable)
+        self.trail.record_refused(refused(1.0))
+        with mock.patch.object(_refusals, "INITIAL_BACKOFF_S", 0.01):
             self.trail.start()
             self.assertTrue(tried.wait(20))
             self.trail.stop()
-        self.assertEqual(1, len(self.trail.newest(0, 100).unwrap()))
+        self.assertEqual(1, len(self.trail.newest_edits(0, 100).unwrap()))
         self.assertEqual(0, self.trail.dropped)
 
-    def test_a_refusal_whose_write_lost_its_answer_is_there_once(self) -> None:
+    def test_a_refusal_with_a_lost_response_is_stored_once(self) -> None:
         self.kv.commits.append(lose_answer)
         self.write_refusals(self.trail, refused(1.0))
-        self.assertEqual(1, len(self.trail.newest(0, 100).unwrap()))
+        self.assertEqual(1, len(self.trail.newest_edits(0, 100).unwrap()))
 
-    def test_refusals_that_can_not_be_kept_are_counted(self) -> None:
+    def test_dropped_refusals_are_counted(self) -> None:
         # During a long platform outage edits are still refused, the newest records are queued in
         # bounded memory, and records missing from the trail are counted and logged.
         self.kv.down = True
         for n in range(_refusals.MAX_PENDING + 5):
-            self.trail.note_refused(refused(float(n)))
+            self.trail.record_refused(refused(float(n)))
         self.assertEqual(5, self.trail.dropped)
         self.trail.start()
         self.trail.stop()
--- a/tests/operators/test_ctl.py
+++ b/tests/operators/test_ctl.py
@@ -89,7 +89,7 @@
         self.assertEqual((0, "accepted"), (code, json.loads(out)["verdict"]))
         self.assertIn("unchanged", self.run_ctl("config", "apply", copy)[1])
 
-    def test_the_loser_of_a_race(self) -> None:
+    def test_conflict_shows_the_winning_edit(self) -> None:
         # Two operators edit and apply lists of the same revision. The second gets exit code 3, and
         # the message shows who made the first edit and the differences.
         self.run_ctl("config", "apply", self.lists("mine", 2))
@@ -102,7 +102,7 @@
         self.assertIn("hosts_owed: 4 -> 3", err)
         self.assertIn("asha", err)
 
-    def test_a_controller_away_is_passed_over(self) -> None:
+    def test_failover_from_an_unreachable_controller(self) -> None:
         # The address of a replaced entry host doesn't answer: the next controller is tried.
         both = f"{an_address()},{self.served.address}"
         self.assertEqual(
@@ -110,7 +110,7 @@
         )
         self.assertEqual(4, self.run_ctl("status", controllers=an_address())[0])
 
-    def test_a_controller_cut_off_from_the_platform_is_passed_over(self) -> None:
+    def test_failover_from_a_controller_without_platform_access(self) -> None:
         # The first controller's zone is cut off from the platform: the edit goes to the controller
         # of another zone.
         cut = self.serve(FakeKeyValue())
@@ -123,7 +123,7 @@
             4, self.run_ctl("config", "apply", self.lists("m", 3), controllers=cut.address)[0]
         )
 
-    def test_an_answer_lost_between_platform_and_controller(self) -> None:
+    def test_response_lost_between_platform_and_controller(self) -> None:
         # The platform stores the first controller's write and is then cut off from its zone. The
         # same edit, sent to the next controller, must be recognized and not applied twice.
         def cut_off(call):
@@ -147,7 +147,7 @@
         self.assertEqual(0, code)
         self.assertIn("edit 2", out)
 
-    def test_an_answer_lost_between_controller_and_operator(self) -> None:
+    def test_response_lost_between_controller_and_operator(self) -> None:
         # A controller receives the edit and the connection breaks before the response; the next
         # controller is unreachable. "No controller answers" would hide that the edit may be in
         # effect.
@@ -161,7 +161,7 @@
         self.assertEqual(6, code)
         self.assertIn("not known whether the edit took effect", err)
 
-    def test_a_suspect_process_alone_is_not_everywhere(self) -> None:
+    def test_suspect_process_counts_as_not_in_force(self) -> None:
         # Gateways of a partitioned zone can't be reached and go on serving with an old document.
         self.served.members.append(a_member_status("gw-2", 0, liveness=Liveness.SUSPECT))
         code, _, err = self.run_ctl("config", "apply", self.lists("m", 2), "--wait", "0")
@@ -205,7 +205,7 @@
         self.assertEqual(1, code)
         self.assertIn("plans[1].hosts_owed", err)
 
-    def test_broken_files_and_wrong_use(self) -> None:
+    def test_invalid_files_and_usage(self) -> None:
         mine = self.lists("mine", 2)
         Path(mine, "plans.json").write_text("[{")
         code, _, err = self.run_ctl("config", "apply", mine)
@@ -232,7 +232,7 @@
             self.assertEqual(0, code, command)
             msgspec.json.decode(out.encode())
 
-    def test_status_reads_well(self) -> None:
+    def test_status_text(self) -> None:
         self.run_ctl("config", "apply", self.lists("m", 2))
         code, out, _ = self.run_ctl("status")
         self.assertEqual(0, code)
--- a/tests/operators/test_over_platform.py
+++ b/tests/operators/test_over_platform.py
@@ -39,20 +39,20 @@
             a_document("schools", "spare"),
             plans=(a_plan(hosts_owed=hosts_owed), a_plan("spare")),
         )
-        return served.ask("PUT", "/v1/config", lists_body(lists, base, **more))
+        return served.send("PUT", "/v1/config", lists_body(lists, base, **more))
 
     def faults(self, **faults: object) -> None:
         self.platform.set_faults(**faults)
 
-    def test_a_lost_answer_is_settled(self) -> None:
+    def test_lost_response_is_resolved(self) -> None:
         # The platform stores the edit and the connection breaks before the response.
         self.faults(lose_answers=1)
         status, answer = self.put(self.first, 0, 2)
         self.assertEqual((200, "accepted", 1), (status, answer["verdict"], answer["number"]))
-        _, config = self.second.ask("GET", "/v1/config")
+        _, config = self.second.send("GET", "/v1/config")
         self.assertEqual(answer["revision"], config["revision"])
 
-    def test_a_stale_replica_never_makes_a_conflict_of_a_win(self) -> None:
+    def test_stale_replica_does_not_turn_an_accepted_edit_into_a_conflict(self) -> None:
         # The response is lost, and every read comes from a replica that lags behind the edit: the
         # outcome can't be determined yet, and a conflict would be wrong. Retried later at another
         # controller, the edit is recognized and not applied twice.
@@ -75,7 +75,7 @@
         status, problem = self.put(self.second, first["revision"], 4)
         self.assertIn((status, problem["verdict"]), ((409, "conflict"), (504, "unknown")))
         self.faults(stale=False)
-        _, config = self.first.ask("GET", "/v1/config")
+        _, config = self.first.send("GET", "/v1/config")
         self.assertEqual(3, config["document"]["plans"][0]["hosts_owed"])
 
     def test_a_platform_that_is_down(self) -> None:
@@ -84,15 +84,15 @@
         status, problem = self.put(self.first, first["revision"], 3)
         self.assertEqual((503, "unavailable"), (status, problem["verdict"]))
         self.faults(down=False)
-        self.assertEqual(1, self.second.ask("GET", "/v1/config")[1]["document"]["edit"])
+        self.assertEqual(1, self.second.send("GET", "/v1/config")[1]["document"]["edit"])
 
-    def test_many_editors_of_one_revision(self) -> None:
+    def test_concurrent_edits_of_one_revision(self) -> None:
         # Concurrent edits through both controllers: one is accepted, the others get a conflict.
         _, first = self.put(self.first, 0, 2)
-        together = threading.Barrier(EDITORS)
+        barrier = threading.Barrier(EDITORS)
 
         def edit(n: int) -> int:
-            together.wait()
+            barrier.wait()
             served = self.first if n % 2 else self.second
             return self.put(served, first["revision"], 10 + n)[0]
 
@@ -110,8 +110,8 @@
             lists = msgspec.structs.replace(document, entitlements=(wide, document.entitlements[1]))
             return lists_body(lists, 0)
 
-        status, problem = self.first.ask("PUT", "/v1/config", with_zones(71_500))
+        status, problem = self.first.send("PUT", "/v1/config", with_zones(71_500))
         self.assertEqual(422, status)
         self.assertIn("1000000", problem["findings"][-1]["message"])
-        status, answer = self.first.ask("PUT", "/v1/config", with_zones(71_000))
+        status, answer = self.first.send("PUT", "/v1/config", with_zones(71_000))
         self.assertEqual((200, "accepted"), (status, answer["verdict"]))
--- a/tests/operators/test_server.py
+++ b/tests/operators/test_server.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 
 from lentilrill.operators import MAX_BODY_BYTES
-from lentilrill.operators._server import AT_ONCE
+from lentilrill.operators._server import MAX_CONCURRENT_REQUESTS
 from lentilrill.store import HostInfo
 from tests.builders import a_document, a_plan
 from tests.fakes import FakeHostList, lose_answer
@@ -34,30 +34,30 @@
         lists = msgspec.structs.replace(
             a_document("schools", "spare"), plans=(a_plan(**changes), a_plan("spare"))
         )
-        return self.served.ask("PUT", "/v1/config", lists_body(lists, base), token)
+        return self.served.send("PUT", "/v1/config", lists_body(lists, base), token)
 
     def test_a_wrong_token_reads_and_changes_nothing(self) -> None:
         # With a caller's token, an old token or none, nothing is shown or changed, and the response
         # doesn't reveal how close a guess was.
         for token in ("", "wrong", "token-of-ash", "token-of-asha2", "t\u00f6ken"):
             for method, path in (("GET", "/v1/config"), ("PUT", "/v1/config"), ("GET", "/nowhere")):
-                status, problem = self.served.ask(
+                status, problem = self.served.send(
                     method, path, b"{}", token.encode("utf-8").decode("latin-1")
                 )
                 self.assertEqual(401, status)
                 self.assertNotIn("sha", problem["detail"])
         self.assertEqual(0, self.served.kv.revision)
 
-    def test_an_edit_is_told_with_its_revision_and_its_editor(self) -> None:
+    def test_accepted_edit_has_revision_and_editor(self) -> None:
         status, answer = self.put(0)
         self.assertEqual((200, "accepted", 1), (status, answer["verdict"], answer["number"]))
-        _, config = self.served.ask("GET", "/v1/config")
+        _, config = self.served.send("GET", "/v1/config")
         self.assertEqual((answer["revision"], True), (config["revision"], config["fresh"]))
-        _, audit = self.served.ask("GET", "/v1/audit?limit=5")
+        _, audit = self.served.send("GET", "/v1/audit?limit=5")
         (entry,) = audit["entries"]
         self.assertEqual(("asha", answer["revision"]), (entry["record"]["who"], entry["revision"]))
 
-    def test_the_loser_gets_a_problem_with_the_difference(self) -> None:
+    def test_conflict_is_a_problem_with_the_differences(self) -> None:
         # Two operators send edits based on the same revision: the second gets a 409 with the
         # winner's revision and the differences that its own lists would still make.
         _, first = self.put(0)
@@ -83,10 +83,10 @@
         again = ServedController(self.served.kv)
         again.server.start()
         self.addCleanup(again.server.stop)
-        status, body = again.ask("GET", "/v1/audit")
+        status, body = again.send("GET", "/v1/audit")
         return status, body["entries"]
 
-    def test_an_unknown_outcome_is_not_told_as_anything_else(self) -> None:
+    def test_unknown_outcome_is_reported_as_unknown(self) -> None:
         # The platform applies the write and stops answering. 200 would be a guess, 503 wrong.
         def lost_for_good(call):
             lost = lose_answer(call)
@@ -105,20 +105,20 @@
         self.served.kv.down = True
         status, problem = self.put(first["revision"], hosts_owed=4)
         self.assertEqual((503, "unavailable"), (status, problem["verdict"]))
-        status, config = self.served.ask("GET", "/v1/config")
+        status, config = self.served.send("GET", "/v1/config")
         self.assertEqual((200, False), (status, config["fresh"]))
         self.assertEqual(first["revision"], config["revision"])
-        self.assertEqual(503, self.served.ask("GET", "/v1/audit")[0])
-        self.assertEqual(200, self.served.ask("GET", "/v1/status")[0])
+        self.assertEqual(503, self.served.send("GET", "/v1/audit")[0])
+        self.assertEqual(200, self.served.send("GET", "/v1/status")[0])
 
-    def test_promises_beyond_the_fleet_are_warned_of(self) -> None:
+    def test_plans_exceeding_the_fleet_cause_a_warning(self) -> None:
         host_list = FakeHostList(lambda: 0.0)
         host_list.add(HostInfo("h1", "", "z1", "r1"), HostInfo("h2", "", "z1", "r1"))
         served = ServedController(host_list=host_list)
         served.server.start()
         self.addCleanup(served.server.stop)
         body = lists_body(a_document("schools", "spare"), 0)
-        status, answer = served.ask("PUT", "/v1/config", body)
+        status, answer = served.send("PUT", "/v1/config", body)
         self.assertEqual(200, status)
         (warning,) = answer["findings"]
         self.assertEqual("warning", warning["severity"])
@@ -126,35 +126,40 @@
 
     def test_oversized_and_broken_bodies(self) -> None:
         # A body that is far too large or malformed gets a clear error and changes nothing.
-        status, problem = self.served.ask("PUT", "/v1/config", b" " * (MAX_BODY_BYTES + 1))
+        status, problem = self.served.send("PUT", "/v1/config", b" " * (MAX_BODY_BYTES + 1))
         self.assertEqual(413, status)
         self.assertIn(str(MAX_BODY_BYTES), problem["detail"])
         for body in (b"", b"{", b"[]", b'{"base": "1"}', b'{"bases": 1}', b"\xff", b"[" * 99999):
-            status, problem = self.served.ask("PUT", "/v1/config", body)
+            status, problem = self.served.send("PUT", "/v1/config", body)
             self.assertEqual(400, status, body[:20])
         self.assertEqual(0, self.served.kv.revision)
 
-    def test_health_is_told_while_the_platform_hangs(self) -> None:
+    def test_health_checks_are_answered_while_the_platform_hangs(self) -> None:
         # The platform accepts calls and doesn't answer, while operators keep sending requests. If
         # these occupied every thread, health checks would time out and a healthy controller would
         # be killed.
-        silent = threading.Event()
+        resume = threading.Event()
         reading = threading.Semaphore(0)
 
         def hang(call):
             reading.release()
-            silent.wait(60)
+            resume.wait(60)
             return call()
 
-        self.served.kv.reads.extend([hang] * AT_ONCE)
-        with ThreadPoolExecutor(AT_ONCE) as pool:
-            held = [pool.submit(self.served.ask, "GET", "/v1/config") for _ in range(AT_ONCE)]
-            for _ in held:
+        self.served.kv.reads.extend([hang] * MAX_CONCURRENT_REQUESTS)
+        with ThreadPoolExecutor(MAX_CONCURRENT_REQUESTS) as pool:
+            pending = [
+                pool.submit(self.served.send, "GET", "/v1/config")
+                for _ in range(MAX_CONCURRENT_REQUESTS)
+            ]
+            for _ in pending:
                 self.assertTrue(reading.acquire(timeout=20))
-            self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
-            status, problem = self.served.ask("GET", "/v1/config")
-            silent.set()
-            self.assertEqual([200] * AT_ONCE, [answer.result()[0] for answer in held])
+            self.assertEqual(200, self.served.send("GET", "/healthz", token="")[0])
+            status, problem = self.served.send("GET", "/v1/config")
+            resume.set()
+            self.assertEqual(
+                [200] * MAX_CONCURRENT_REQUESTS, [answer.result()[0] for answer in pending]
+            )
         self.assertEqual((503, "urn:lentilrill:problem:busy"), (status, problem["type"]))
 
     def test_malformed_requests(self) -> None:
@@ -176,28 +181,28 @@
                 connection.shutdown(socket.SHUT_WR)
                 with connection.makefile("rb") as answer:
                     self.assertIn(status, answer.readline(), request[:90])
-        self.assertEqual(200, self.served.ask("GET", "/v1/status")[0])
+        self.assertEqual(200, self.served.send("GET", "/v1/status")[0])
 
     def test_routes(self) -> None:
-        self.assertEqual(404, self.served.ask("GET", "/v2/config")[0])
-        self.assertEqual(405, self.served.ask("POST", "/v1/config")[0])
-        self.assertEqual(400, self.served.ask("GET", "/v1/audit?limit=x")[0])
-        self.assertEqual(422, self.served.ask("DELETE", "/v1/stops/none")[0])
+        self.assertEqual(404, self.served.send("GET", "/v2/config")[0])
+        self.assertEqual(405, self.served.send("POST", "/v1/config")[0])
+        self.assertEqual(400, self.served.send("GET", "/v1/audit?limit=x")[0])
+        self.assertEqual(422, self.served.send("DELETE", "/v1/stops/none")[0])
 
     def test_readiness_follows_the_state_and_draining(self) -> None:
         # A controller that has not read the state yet, or is draining, must not get requests. One
         # that has read a state without a configuration is ready: otherwise the first configuration
         # could never be applied, and a new system would not come up.
-        self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
-        self.assertEqual(503, self.served.ask("GET", "/readyz", token="")[0])
+        self.assertEqual(200, self.served.send("GET", "/healthz", token="")[0])
+        self.assertEqual(503, self.served.send("GET", "/readyz", token="")[0])
         self.served.kv.put("state/zones/z1", b"{}")
         self.served.view.mirror.offer((), self.served.kv.revision)
-        self.assertEqual(200, self.served.ask("GET", "/readyz", token="")[0])
+        self.assertEqual(200, self.served.send("GET", "/readyz", token="")[0])
         self.served.server.drain()
-        self.assertEqual(503, self.served.ask("GET", "/readyz", token="")[0])
-        self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
+        self.assertEqual(503, self.served.send("GET", "/readyz", token="")[0])
+        self.assertEqual(200, self.served.send("GET", "/healthz", token="")[0])
 
-    def test_any_body_gets_an_answer(self) -> None:
+    def test_any_body_gets_a_response(self) -> None:
         # Any body gets a response: success or a client error, never a server error.
         paths = ("/v1/config", "/v1/config/check", "/v1/stops")
 
@@ -215,7 +220,7 @@
         )
         def fuzz(path: str, body: bytes) -> None:
             method = "PUT" if path == "/v1/config" else "POST"
-            status, _ = self.served.ask(method, path, body)
+            status, _ = self.served.send(method, path, body)
             self.assertIn(status, (200, 400, 422))
 
         fuzz()
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -17,13 +17,13 @@
 from lentilrill.fleet._records import DoneStop
 from lentilrill.ids import ProcessId, Revision, StopId, ZoneId
 from lentilrill.membership import Liveness, Member, Role, ZoneRecord, zone_key
-from lentilrill.operators import StopState, reach
+from lentilrill.operators import StopState, propagation_of
 from lentilrill.settings import PlannedStop
 from lentilrill.store import Item, Mirror
 from tests.builders import a_document, a_member, an_entry
 
 
-class Beliefs:
+class FakeMembership:
     """A fake roster that returns the values set by the test."""
 
     def __init__(self, me: Member, view: FleetView) -> None:
@@ -54,12 +54,12 @@
         return Liveness.SUSPECT if member.process in self.suspects else Liveness.ALIVE
 
 
-class WholeStatusTest(TestCase):
+class StatusTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.view = FleetView(Mirror())
         self.me = a_member("ct-1", role=Role.CONTROLLER)
-        self.roster = Beliefs(self.me, self.view)
+        self.roster = FakeMembership(self.me, self.view)
         self.put(DOCUMENT_KEY, a_document("schools", "spare"), 5)
 
     def put(self, key: str, value: object, revision: int) -> None:
@@ -72,7 +72,7 @@
     def status(self, report: FleetReport = FleetReport()):  # noqa: B008
         return status(self.roster, self.view, report, False)
 
-    def test_a_paused_gateway_of_another_zone_has_not_the_edit(self) -> None:
+    def test_paused_gateway_of_another_zone_counts_as_unheard(self) -> None:
         # A gateway of another zone is paused during an edit. Its zone reports it as suspect, and
         # reports one revision for the processes it hears from. Applied to the whole zone, that
         # showed the edit as in force everywhere, while the resumed gateway served the old one.
@@ -86,10 +86,10 @@
                 drained=frozenset(),
             )
         ]
-        where = reach(self.status(), Revision(5))
-        self.assertFalse(where.everywhere)
-        self.assertEqual(("gw-2",), where.unheard)
-        self.assertIn("gw-3", where.reached)
+        propagation = propagation_of(self.status(), Revision(5))
+        self.assertFalse(propagation.is_complete)
+        self.assertEqual(("gw-2",), propagation.unheard)
+        self.assertIn("gw-3", propagation.reached)
 
     def test_a_controller_restarted_in_an_outage_shows_itself_and_its_pools(self) -> None:
         # The zone's record still has the incarnation before the restart, and there is no fleet
@@ -111,7 +111,7 @@
         report = FleetReport(stops=(SimpleNamespace(stop=StopId("june")),))
         self.assertEqual((), self.status(report).stops)
 
-    def test_how_far_a_stop_is(self) -> None:
+    def test_state_of_a_stop(self) -> None:
         # Operators restart hosts when the state of a stop is "stopped". Shown while a host still
         # runs jobs, or after all hosts were restarted, it would make them restart at a wrong time.
         stop = StopId("june")
