--- a/src/lentilrill/ctl/_client.py
+++ b/src/lentilrill/ctl/_client.py
@@ -25,8 +25,8 @@
 
 __all__ = ["Client"]
 
-CONNECT_S = 2.0
-ANSWER_S = 20.0
+CONNECT_TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 20.0
 """Longer than a controller tries to resolve the outcome of an edit."""
 UNREACHABLE = "urn:lentilrill:problem:unreachable"
 NO_HEADERS: dict[str, str] = {}
@@ -46,74 +46,78 @@
     def __init__(self, controllers: Sequence[str], token: str) -> None:
         self._controllers = controllers
         self._headers = {"Authorization": f"Bearer {token}"} if token else NO_HEADERS
-        timeout = urllib3.Timeout(connect=CONNECT_S, read=ANSWER_S)
+        timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S)
         self._http = urllib3.PoolManager(timeout=timeout, retries=False)
 
     def config(self) -> Result[ConfigAnswer, Problem]:
         """Get the document."""
-        return self._ask("GET", "/v1/config", ConfigAnswer)
+        return self._request("GET", "/v1/config", ConfigAnswer)
 
     def check(self, body: CheckBody) -> Result[CheckAnswer, Problem]:
         """Check two lists."""
-        return self._ask("POST", "/v1/config/check", CheckAnswer, body)
+        return self._request("POST", "/v1/config/check", CheckAnswer, body)
 
     def apply(self, body: ApplyBody) -> Result[EditAnswer, Problem]:
         """Apply two lists."""
-        return self._ask("PUT", "/v1/config", EditAnswer, body, edits=True)
+        return self._request("PUT", "/v1/config", EditAnswer, body, is_edit=True)
 
     def declare_stop(self, body: StopBody) -> Result[EditAnswer, Problem]:
         """Declare a planned stop."""
-        return self._ask("POST", "/v1/stops", EditAnswer, body, edits=True)
+        return self._request("POST", "/v1/stops", EditAnswer, body, is_edit=True)
 
     def cancel_stop(self, stop_id: str) -> Result[EditAnswer, Problem]:
         """Cancel a planned stop."""
         path = "/v1/stops/" + quote(stop_id, safe="")
-        return self._ask("DELETE", path, EditAnswer, edits=True)
+        return self._request("DELETE", path, EditAnswer, is_edit=True)
 
     def status(self) -> Result[Status, Problem]:
         """Get the status of the fleet and of the system."""
-        return self._ask("GET", "/v1/status", Status)
+        return self._request("GET", "/v1/status", Status)
 
     def hosts(self) -> Result[HostsAnswer, Problem]:
         """Get every host with its pool."""
-        return self._ask("GET", "/v1/hosts", HostsAnswer)
+        return self._request("GET", "/v1/hosts", HostsAnswer)
 
     def audit(self, limit: int) -> Result[AuditAnswer, Problem]:
         """Get the newest edits."""
-        return self._ask("GET", "/v1/audit?" + urlencode({"limit": limit}), AuditAnswer)
+        return self._request("GET", "/v1/audit?" + urlencode({"limit": limit}), AuditAnswer)
 
-    def _ask(
+    def _request(
         self,
         method: str,
         path: str,
-        kind: type[T],
+        answer_type: type[T],
         body: msgspec.Struct | None = None,
-        edits: bool = False,
+        is_edit: bool = False,
     ) -> Result[T, Problem]:
         """Try the controllers in turn, until one returns a final response.
 
         After a lost response the outcome of an edit stays unknown, unless a later controller
         resolves it: an "unreachable" from the next controller must not hide that.
         """
-        doubt: Problem | None = None
-        last = _unreachable("no controller is given; see --controller")
+        unresolved: Problem | None = None
+        last_problem = _unreachable("no controller is given; see --controller")
         for address in self._controllers:
             try:
                 answer = self._send(method, f"http://{address}{path}", body)
             except urllib3.exceptions.HTTPError as error:
-                last = _unreachable(f"{address}: {_reason(error)}")
-                if edits and not _never_sent(error):
-                    doubt = doubt or _in_doubt(address)
+                last_problem = _unreachable(f"{address}: {_reason(error)}")
+                if is_edit and not _not_sent(error):
+                    unresolved = unresolved or _unknown_outcome(address)
                 continue
-            decoded = _decoded(answer, kind, address)
+            decoded = _decode(answer, answer_type, address)
             if isinstance(decoded, Success):
                 return decoded
-            last = decoded.failure()
-            if last.verdict is EditVerdict.UNKNOWN or (edits and last.status in _MAY_HAVE_EDITED):
-                doubt = msgspec.structs.replace(last, verdict=EditVerdict.UNKNOWN)
-            elif last.status not in _OTHERS_MAY_KNOW:
-                return Failure(_after_doubt(last) if doubt else last)
-        return Failure(doubt or last)
+            last_problem = decoded.failure()
+            if last_problem.verdict is EditVerdict.UNKNOWN or (
+                is_edit and last_problem.status in _AMBIGUOUS_STATUSES
+            ):
+                unresolved = msgspec.structs.replace(last_problem, verdict=EditVerdict.UNKNOWN)
+            elif last_problem.status not in _FAILOVER_STATUSES:
+                return Failure(
+                    _with_earlier_attempt_note(last_problem) if unresolved else last_problem
+                )
+        return Failure(unresolved or last_problem)
 
     def _send(self, method: str, url: str, body: msgspec.Struct | None) -> urllib3.BaseHTTPResponse:
         data = None if body is None else msgspec.json.encode(body)
@@ -121,24 +125,27 @@
         return self._http.request(method, url, body=data, headers=headers)
 
 
-_OTHERS_MAY_KNOW = {
+_FAILOVER_STATUSES = {
     HTTPStatus.INTERNAL_SERVER_ERROR,
     HTTPStatus.BAD_GATEWAY,
     HTTPStatus.SERVICE_UNAVAILABLE,
     HTTPStatus.GATEWAY_TIMEOUT,
 }
-_MAY_HAVE_EDITED = {HTTPStatus.INTERNAL_SERVER_ERROR, HTTPStatus.BAD_GATEWAY}
+_AMBIGUOUS_STATUSES = {HTTPStatus.INTERNAL_SERVER_ERROR, HTTPStatus.BAD_GATEWAY}
 
 
-def _after_doubt(problem: Problem) -> Problem:
+def _with_earlier_attempt_note(problem: Problem) -> Problem:
     """Return a refusal with a note that an earlier attempt may have been applied."""
     title = f"{problem.title} (an earlier controller's answer was lost: see 'lentilrillctl audit')"
     return msgspec.structs.replace(problem, title=title)
 
 
-def _never_sent(error: urllib3.exceptions.HTTPError) -> bool:
-    kinds = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
-    return isinstance(error, kinds)
+def _not_sent(error: urllib3.exceptions.HTTPError) -> bool:
+    not_sent_errors = (
+        urllib3.exceptions.NewConnectionError,
+        urllib3.exceptions.ConnectTimeoutError,
+    )
+    return isinstance(error, not_sent_errors)
 
 
 def _reason(error: urllib3.exceptions.HTTPError) -> str:
@@ -149,10 +156,12 @@
     return str(error)
 
 
-def _decoded(answer: urllib3.BaseHTTPResponse, kind: type[T], address: str) -> Result[T, Problem]:
+def _decode(
+    answer: urllib3.BaseHTTPResponse, answer_type: type[T], address: str
+) -> Result[T, Problem]:
     try:
         if answer.status == HTTPStatus.OK:
-            return Success(msgspec.json.decode(answer.data, type=kind))
+            return Success(msgspec.json.decode(answer.data, type=answer_type))
         return Failure(msgspec.json.decode(answer.data, type=Problem))
     except msgspec.MsgspecError:
         detail = f"{address} answered {answer.status} with something that is no controller's"
@@ -163,7 +172,7 @@
     return Problem(UNREACHABLE, "No controller answers", HTTPStatus.SERVICE_UNAVAILABLE, detail)
 
 
-def _in_doubt(address: str) -> Problem:
+def _unknown_outcome(address: str) -> Problem:
     return Problem(
         "urn:lentilrill:problem:unknown",
         "It is not known whether the edit took effect",
--- a/src/lentilrill/ctl/_commands.py
+++ b/src/lentilrill/ctl/_commands.py
@@ -11,8 +11,8 @@
 from lentilrill.ctl._client import UNREACHABLE, Client
 from lentilrill.ctl._exit import Exit
 from lentilrill.ctl._files import ListFiles
+from lentilrill.ctl._propagation import wait_until_in_force
 from lentilrill.ctl._show_status import status_lines, stop_lines
-from lentilrill.ctl._spread import wait_in_force
 from lentilrill.ids import HostId, StopId
 from lentilrill.operators import (
     ApplyBody,
@@ -43,7 +43,7 @@
     """Print the document, or write it to the two list files."""
     result = client.config()
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     answer = result.unwrap()
     note = "" if answer.fresh else " (the platform is away; this is the controller's copy)"
     if options.to is not None:
@@ -60,10 +60,10 @@
 def config_check(client: Client, options: argparse.Namespace) -> Exit:
     """Check two list files, locally or by a controller that compares them with the fleet."""
     if options.offline:
-        return _checked_offline(options)
-    result = _checked(client, options)
+        return _check_offline(options)
+    result = _request_check(client, options)
     if isinstance(result, Problem):
-        return _failed(result, options)
+        return _report_problem(result, options)
     if options.json:
         show.print_json(result)
     else:
@@ -75,9 +75,9 @@
 
 def config_diff(client: Client, options: argparse.Namespace) -> Exit:
     """Print what two list files would change."""
-    result = _checked(client, options)
+    result = _request_check(client, options)
     if isinstance(result, Problem):
-        return _failed(result, options)
+        return _report_problem(result, options)
     if options.json:
         show.print_json(result)
     elif not result.valid and not result.differences:
@@ -98,10 +98,10 @@
     body = ApplyBody(base, msgspec.Raw(plans), msgspec.Raw(entitlements), str(uuid.uuid4()))
     result = client.apply(body)
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     answer = result.unwrap()
-    files.note_base(answer.revision)
-    return _edited(client, answer, options)
+    files.write_base(answer.revision)
+    return _finish_edit(client, answer, options)
 
 
 def declare_stop(client: Client, options: argparse.Namespace) -> Exit:
@@ -111,23 +111,23 @@
         StopBody(StopId(options.id), hosts, options.retire, options.reason)
     )
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
-    return _edited(client, result.unwrap(), options)
+        return _report_problem(result.failure(), options)
+    return _finish_edit(client, result.unwrap(), options)
 
 
 def cancel_stop(client: Client, options: argparse.Namespace) -> Exit:
     """Cancel a planned stop, and wait until that is in force everywhere."""
     result = client.cancel_stop(options.id)
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
-    return _edited(client, result.unwrap(), options)
+        return _report_problem(result.failure(), options)
+    return _finish_edit(client, result.unwrap(), options)
 
 
 def list_stops(client: Client, options: argparse.Namespace) -> Exit:
     """List planned stops and their progress."""
     result = client.status()
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     stops = result.unwrap().stops
     if options.json:
         show.print_json(stops)
@@ -140,7 +140,7 @@
     """Print the status of the fleet and of the system's own processes."""
     result = client.status()
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     if options.json:
         show.print_json(result.unwrap())
     else:
@@ -152,7 +152,7 @@
     """List hosts with their pools."""
     result = client.hosts()
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     rows = [row for row in result.unwrap().hosts if options.pool in (None, row.pool)]
     if options.json:
         show.print_json(rows)
@@ -165,7 +165,7 @@
     """Print the newest edits."""
     result = client.audit(options.limit)
     if isinstance(result, Failure):
-        return _failed(result.failure(), options)
+        return _report_problem(result.failure(), options)
     entries = result.unwrap().entries
     if options.json:
         show.print_json(entries)
@@ -174,14 +174,14 @@
     return Exit.DONE
 
 
-def _checked(client: Client, options: argparse.Namespace) -> CheckAnswer | Problem:
+def _request_check(client: Client, options: argparse.Namespace) -> CheckAnswer | Problem:
     plans, entitlements = ListFiles.of(options.folder).read()
     result = client.check(CheckBody(msgspec.Raw(plans), msgspec.Raw(entitlements)))
     return result.failure() if isinstance(result, Failure) else result.unwrap()
 
 
-def _checked_offline(options: argparse.Namespace) -> Exit:
-    plans, entitlements = ListFiles.of(options.folder).read(broken=True)
+def _check_offline(options: argparse.Namespace) -> Exit:
+    plans, entitlements = ListFiles.of(options.folder).read(allow_invalid_json=True)
     decoded = decode_lists(plans, entitlements)
     findings: tuple[Finding, ...]
     findings = decoded.failure() if isinstance(decoded, Failure) else check(decoded.unwrap())
@@ -192,17 +192,17 @@
     return Exit.REFUSED if errors_of(findings) else Exit.DONE
 
 
-def _edited(client: Client, answer: EditAnswer, options: argparse.Namespace) -> Exit:
+def _finish_edit(client: Client, answer: EditAnswer, options: argparse.Namespace) -> Exit:
     if options.json:
         show.print_json(answer)
     else:
         show.print_lines(show.edit_lines(answer))
     if options.no_wait:
         return Exit.DONE
-    return wait_in_force(client, answer.revision, options.wait)
+    return wait_until_in_force(client, answer.revision, options.wait)
 
 
-def _failed(problem: Problem, options: argparse.Namespace) -> Exit:
+def _report_problem(problem: Problem, options: argparse.Namespace) -> Exit:
     if options.json:
         show.print_json(problem)
     else:
--- a/src/lentilrill/ctl/_files.py
+++ b/src/lentilrill/ctl/_files.py
@@ -9,9 +9,9 @@
 
 __all__ = ["ListFiles", "UsageError", "read_token"]
 
-PLANS = "plans.json"
-ENTITLEMENTS = "entitlements.json"
-REVISION = "revision"
+PLANS_FILE = "plans.json"
+ENTITLEMENTS_FILE = "entitlements.json"
+REVISION_FILE = "revision"
 
 
 class UsageError(Exception):
@@ -28,16 +28,16 @@
         """Return the list files in ``folder``."""
         return cls(folder)
 
-    def read(self, broken: bool = False) -> tuple[bytes, bytes]:
+    def read(self, allow_invalid_json: bool = False) -> tuple[bytes, bytes]:
         """Return the content of both lists.
 
-        :param broken: whether invalid JSON is returned instead of raising an error.
+        :param allow_invalid_json: whether invalid JSON is returned instead of raising an error.
         :raises UsageError: if a file can't be read, or isn't JSON.
         """
-        plans, entitlements = (self._read(name) for name in (PLANS, ENTITLEMENTS))
-        if not broken:
-            self._check_json(PLANS, plans)
-            self._check_json(ENTITLEMENTS, entitlements)
+        plans, entitlements = (self._read(name) for name in (PLANS_FILE, ENTITLEMENTS_FILE))
+        if not allow_invalid_json:
+            self._check_json(PLANS_FILE, plans)
+            self._check_json(ENTITLEMENTS_FILE, entitlements)
         return plans, entitlements
 
     def write(self, document: Document, revision: Revision) -> None:
@@ -48,18 +48,18 @@
         plans, entitlements = encode_lists(document)
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            (self.folder / PLANS).write_bytes(plans)
-            (self.folder / ENTITLEMENTS).write_bytes(entitlements)
+            (self.folder / PLANS_FILE).write_bytes(plans)
+            (self.folder / ENTITLEMENTS_FILE).write_bytes(entitlements)
         except OSError as error:
             raise UsageError(f"{self.folder}: {error.strerror}") from error
-        self.note_base(revision)
+        self.write_base(revision)
 
     def base(self) -> Revision:
         """Return the revision that the lists were edited from; 0 if there is no revision file.
 
         :raises UsageError: if the revision file can't be read or isn't a number.
         """
-        path = self.folder / REVISION
+        path = self.folder / REVISION_FILE
         try:
             text = path.read_text().strip()
         except FileNotFoundError:
@@ -70,12 +70,12 @@
             raise UsageError(f"{path}: not a revision; write the lists anew with config show --to")
         return Revision(int(text))
 
-    def note_base(self, revision: Revision) -> None:
+    def write_base(self, revision: Revision) -> None:
         """Write ``revision`` as the revision of the lists.
 
         :raises UsageError: if the revision file can't be written.
         """
-        path = self.folder / REVISION
+        path = self.folder / REVISION_FILE
         try:
             path.write_text(f"{revision}\n")
         except OSError as error:
--- a/src/lentilrill/ctl/_main.py
+++ b/src/lentilrill/ctl/_main.py
@@ -82,14 +82,14 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.set_defaults(controller=None, token_file=None)
-    _add_reaching(parser)
+    _add_connection_options(parser)
     subjects = parser.add_subparsers(dest="subject", required=True, metavar="COMMAND")
     _add_config(subjects)
     _add_stop(subjects)
-    _leaf(subjects, "status", commands.status, "show pools, processes and planned stops")
-    hosts = _leaf(subjects, "hosts", commands.hosts, "list hosts with their pools")
+    _add_command(subjects, "status", commands.status, "show pools, processes and planned stops")
+    hosts = _add_command(subjects, "hosts", commands.hosts, "list hosts with their pools")
     hosts.add_argument("--pool", help="only hosts of this pool")
-    audit = _leaf(subjects, "audit", commands.audit, "show who changed what")
+    audit = _add_command(subjects, "audit", commands.audit, "show who changed what")
     audit.add_argument(
         "--limit", type=_count, default=DEFAULT_AUDIT_LIMIT, metavar="N", help="newest N edits"
     )
@@ -104,68 +104,70 @@
         ("token", generate.token, "print a new token and its SHA-256"),
         ("keys", generate.keys, "print a new CURVE key pair for the processes' settings"),
     ):
-        leaf = _leaf(verbs, name, run, text)
-        leaf.set_defaults(offline=True)
+        command = _add_command(verbs, name, run, text)
+        command.set_defaults(offline=True)
 
 
 def _add_config(subjects: argparse._SubParsersAction) -> None:
     group = subjects.add_parser("config", help="plans, and what each plan may use")
     verbs = group.add_subparsers(dest="verb", required=True, metavar="VERB")
-    show = _leaf(verbs, "show", commands.config_show, "print the configuration in force")
+    show = _add_command(verbs, "show", commands.config_show, "print the configuration in force")
     show.add_argument(
         "--to", type=Path, metavar="DIR", help="write the two lists to this folder for editing"
     )
-    check = _leaf(verbs, "check", commands.config_check, "report every error in two lists")
+    check = _add_command(verbs, "check", commands.config_check, "report every error in two lists")
     check.add_argument("--offline", action="store_true", help="check without a controller")
-    diff = _leaf(verbs, "diff", commands.config_diff, "show what two lists would change")
-    apply = _leaf(verbs, "apply", commands.config_apply, "put two lists in force")
+    diff = _add_command(verbs, "diff", commands.config_diff, "show what two lists would change")
+    apply = _add_command(verbs, "apply", commands.config_apply, "put two lists in force")
     apply.add_argument(
         "--base",
         type=_revision,
         metavar="REVISION",
         help="revision the lists were edited from (default: the file DIR/revision, else 0)",
     )
-    for leaf in (check, diff, apply):
-        leaf.add_argument(
+    for command in (check, diff, apply):
+        command.add_argument(
             "folder", type=Path, metavar="DIR", help="folder of plans.json and entitlements.json"
         )
-    _add_waiting(apply)
+    _add_wait_options(apply)
 
 
 def _add_stop(subjects: argparse._SubParsersAction) -> None:
     group = subjects.add_parser("stop", help="planned stops")
     verbs = group.add_subparsers(dest="verb", required=True, metavar="VERB")
-    declare = _leaf(verbs, "declare", commands.declare_stop, "declare a planned stop of hosts")
+    declare = _add_command(
+        verbs, "declare", commands.declare_stop, "declare a planned stop of hosts"
+    )
     declare.add_argument("id", metavar="ID", help="an id for the stop")
     declare.add_argument(
         "--host", dest="hosts", action="append", required=True, metavar="HOST", help="repeat it"
     )
     declare.add_argument("--retire", action="store_true", help="the hosts are removed permanently")
     declare.add_argument("--reason", default="", help="shown in status and audit")
-    cancel = _leaf(verbs, "cancel", commands.cancel_stop, "take a planned stop back")
+    cancel = _add_command(verbs, "cancel", commands.cancel_stop, "cancel a planned stop")
     cancel.add_argument("id", metavar="ID")
-    for leaf in (declare, cancel):
-        _add_waiting(leaf)
-    _leaf(verbs, "list", commands.list_stops, "list planned stops and their progress")
+    for command in (declare, cancel):
+        _add_wait_options(command)
+    _add_command(verbs, "list", commands.list_stops, "list planned stops and their progress")
 
 
-def _leaf(
+def _add_command(
     verbs: argparse._SubParsersAction, name: str, run: object, text: str
 ) -> argparse.ArgumentParser:
-    leaf: argparse.ArgumentParser = verbs.add_parser(
+    command: argparse.ArgumentParser = verbs.add_parser(
         name,
         help=text,
         description=text[0].upper() + text[1:] + ".",
         epilog=EXIT_HELP,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    leaf.add_argument("--json", action="store_true", help="print the answer as JSON")
-    leaf.set_defaults(run=run)
-    _add_reaching(leaf)
-    return leaf
+    command.add_argument("--json", action="store_true", help="print the answer as JSON")
+    command.set_defaults(run=run)
+    _add_connection_options(command)
+    return command
 
 
-def _add_reaching(parser: argparse.ArgumentParser) -> None:
+def _add_connection_options(parser: argparse.ArgumentParser) -> None:
     """Add the options that are accepted both before and after the command.
 
     They have no defaults: the default of a command would override a value given before it.
@@ -186,15 +188,15 @@
     )
 
 
-def _add_waiting(leaf: argparse.ArgumentParser) -> None:
-    leaf.add_argument(
+def _add_wait_options(command: argparse.ArgumentParser) -> None:
+    command.add_argument(
         "--wait",
         type=_seconds,
         default=DEFAULT_WAIT_S,
         metavar="SECONDS",
         help=f"how long to wait until it is in force everywhere (default: {DEFAULT_WAIT_S:.0f})",
     )
-    leaf.add_argument("--no-wait", action="store_true", help="return as soon as it is accepted")
+    command.add_argument("--no-wait", action="store_true", help="return as soon as it is accepted")
 
 
 def _count(text: str) -> int:
--- a/src/lentilrill/ctl/_spread.py
+++ b/src/lentilrill/ctl/_propagation.py
@@ -12,12 +12,12 @@
 from lentilrill.ids import Revision
 from lentilrill.operators import propagation_of
 
-__all__ = ["wait_in_force"]
+__all__ = ["wait_until_in_force"]
 
 POLL_S = 0.2
 
 
-def wait_in_force(
+def wait_until_in_force(
     client: Client,
     revision: Revision,
     wait_s: float,
@@ -26,7 +26,7 @@
     pause: Callable[[float], None] = time.sleep,
 ) -> Exit:
     """Wait up to ``wait_s`` seconds, and print progress to stderr when it changes."""
-    began, shown = clock(), ""
+    started, printed = clock(), ""
     while True:
         answer = client.status()
         if isinstance(answer, Failure):
@@ -34,10 +34,10 @@
         else:
             propagation = propagation_of(answer.unwrap(), revision)
             text, everywhere = propagation_text(propagation), propagation.is_complete
-        if text != shown:
+        if text != printed:
             print(f"revision {revision}: {text}", file=sys.stderr)
-            shown = text
-        waited_s = clock() - began
+            printed = text
+        waited_s = clock() - started
         if everywhere:
             return Exit.DONE
         if waited_s >= wait_s:
--- a/src/lentilrill/ctl/_show.py
+++ b/src/lentilrill/ctl/_show.py
@@ -44,15 +44,17 @@
         print(line, file=sys.stderr if to_stderr else sys.stdout)
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
+def table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
     """Return a table with aligned columns; numeric columns are right-aligned."""
     rows = [tuple(row) for row in rows]
-    texts = [tuple(head), *(tuple(_cell(value) for value in row) for row in rows)]
-    widths = [max(len(text[n]) for text in texts) for n in range(len(head))]
-    right = [bool(rows) and all(_is_number(row[n]) for row in rows) for n in range(len(head))]
+    texts = [tuple(header), *(tuple(_cell(value) for value in row) for row in rows)]
+    widths = [max(len(text[n]) for text in texts) for n in range(len(header))]
+    right_aligned = [
+        bool(rows) and all(_is_number(row[n]) for row in rows) for n in range(len(header))
+    ]
     return [
         "  ".join(
-            cell.rjust(widths[n]) if right[n] else cell.ljust(widths[n])
+            cell.rjust(widths[n]) if right_aligned[n] else cell.ljust(widths[n])
             for n, cell in enumerate(text)
         ).rstrip()
         for text in texts
@@ -114,7 +116,8 @@
 def host_lines(hosts: Iterable[HostRow]) -> list[str]:
     """Return a table of hosts."""
     rows = [
-        (h.pool, h.id, h.zone, h.rack, h.address, h.phase.value, _leaving_for(h)) for h in hosts
+        (h.pool, h.id, h.zone, h.rack, h.address, h.phase.value, _withdrawal_reason(h))
+        for h in hosts
     ]
     return table(("POOL", "HOST", "ZONE", "RACK", "ADDRESS", "PHASE", "FOR"), rows)
 
@@ -141,7 +144,7 @@
     return lines
 
 
-def _leaving_for(host: HostRow) -> str:
+def _withdrawal_reason(host: HostRow) -> str:
     if host.stop is not None:
         return f"stop {host.stop}"
     return f"pool {host.target}" if host.target is not None else "-"
--- a/src/lentilrill/ctl/_show_status.py
+++ b/src/lentilrill/ctl/_show_status.py
@@ -15,17 +15,17 @@
 
 __all__ = ["propagation_text", "status_lines", "stop_lines"]
 
-MAX_NAMED = 8
+MAX_LISTED_NAMES = 8
 
 
 def status_lines(status: Status) -> list[str]:
     """Return the status of the fleet and of the system, warnings first."""
     platform = "reachable" if status.platform_reachable else "NOT reachable"
-    spread = propagation_text(propagation_of(status, status.document_revision))
+    propagation = propagation_text(propagation_of(status, status.document_revision))
     return [
         f"as seen by {status.process} in {status.zone}; the platform is {platform} from there",
-        f"revision {status.document_revision} is {spread}",
-        *_trouble_lines(status),
+        f"revision {status.document_revision} is {propagation}",
+        *_warning_lines(status),
         "",
         *_pool_lines(status),
         "",
@@ -41,9 +41,9 @@
     if propagation.is_complete:
         return f"in force everywhere ({total} processes)"
     if propagation.behind:
-        text += f", not yet at {_named(propagation.behind)}"
+        text += f", not yet at {_list_names(propagation.behind)}"
     if propagation.unheard:
-        text += f"; not heard: {_named(propagation.unheard)}"
+        text += f"; not heard: {_list_names(propagation.unheard)}"
     return text
 
 
@@ -68,13 +68,13 @@
     return table(head, rows) + notes
 
 
-def _trouble_lines(status: Status) -> list[str]:
+def _warning_lines(status: Status) -> list[str]:
     lines = []
     if not status.platform_reachable:
         lines.append("! configuration can't be edited through this controller now")
     suspect = [m.process for m in status.members if m.liveness is Liveness.SUSPECT]
     if suspect:
-        lines.append(f"! not heard: {_named(suspect)}")
+        lines.append(f"! not heard: {_list_names(suspect)}")
     for pool in status.pools:
         if pool.missing:
             lines.append(f"! pool {pool.pool} misses {pool.missing} of {pool.owed} owed hosts")
@@ -120,7 +120,7 @@
     return ["", *table(("STOP", "WAVE", "HOSTS", "STATE", "PREDICTED S", "TAKEN S"), rows)]
 
 
-def _named(processes: Iterable[str]) -> str:
+def _list_names(processes: Iterable[str]) -> str:
     names = sorted(processes)
-    more = f" and {len(names) - MAX_NAMED} more" if len(names) > MAX_NAMED else ""
-    return ", ".join(names[:MAX_NAMED]) + more
+    more = f" and {len(names) - MAX_LISTED_NAMES} more" if len(names) > MAX_LISTED_NAMES else ""
+    return ", ".join(names[:MAX_LISTED_NAMES]) + more
