--- a/src/lentilrill/ctl/_generate.py
+++ b/src/lentilrill/ctl/_generate.py
@@ -27,11 +27,11 @@
 def token(_client: Client, options: argparse.Namespace) -> Exit:
     """Print a new token and its SHA-256."""
     secret = secrets.token_urlsafe(TOKEN_BYTES)
-    made = NewToken(secret, hashlib.sha256(secret.encode()).hexdigest())
+    generated = NewToken(secret, hashlib.sha256(secret.encode()).hexdigest())
     if options.json:
-        show.print_json(made)
+        show.print_json(generated)
     else:
-        show.print_lines([f"token:  {made.token}", f"sha256: {made.sha256}"])
+        show.print_lines([f"token:  {generated.token}", f"sha256: {generated.sha256}"])
     return Exit.DONE
 
 
--- a/tests/operators/test_verdicts.py
+++ b/tests/operators/test_verdicts.py
@@ -62,7 +62,7 @@
         self.snapshot = (dict(self.kv.items_by_key), self.kv.revision)
         self.outcomes: list[EditOutcome] = []
         self.last: tuple[Document, Revision, str] | None = None
-        self.name = 0
+        self.edit_count = 0
 
     def run(self, action: str, commits: list[str], reads: list[str]) -> EditOutcome:
         """Make one edit whose platform calls behave as given."""
@@ -96,8 +96,8 @@
         if action == "apply_again" and self.last is not None:
             return self.editor.apply("asha", *self.last)
         base = revision if action != "apply_stale" else Revision(max(0, revision - 2))
-        self.name += 1
-        self.last = (self._lists(), base, f"edit-name-{self.name}")
+        self.edit_count += 1
+        self.last = (self._lists(), base, f"edit-name-{self.edit_count}")
         return self.editor.apply("asha", *self.last)
 
     def _lists(self) -> Document:
@@ -109,8 +109,8 @@
 
     def _commit_concurrent_edit(self) -> None:
         with self._without_faults():
-            held = self.kv.items_by_key.get(DOCUMENT_KEY)
-            revision = held.revision if held is not None else Revision(0)
+            stored = self.kv.items_by_key.get(DOCUMENT_KEY)
+            revision = stored.revision if stored is not None else Revision(0)
             outcome = self.other.apply("ben", self._lists(), revision)
             assert outcome.verdict is EditVerdict.ACCEPTED
             self.outcomes.append(outcome)
