--- a/src/lentilrill/ctl/_spread.py
+++ b/src/lentilrill/ctl/_propagation.py
@@ -1,4 +1,4 @@
-"""Waits until a revision is in force everywhere, and tells how far it is."""
+"""Waits until a revision is in force everywhere, and reports progress."""
 
 import sys
 import time
@@ -8,16 +8,16 @@
 
 from lentilrill.ctl._client import Client
 from lentilrill.ctl._exit import Exit
-from lentilrill.ctl._show_status import reach_text
+from lentilrill.ctl._show_status import propagation_text
 from lentilrill.ids import Revision
-from lentilrill.operators import reach
+from lentilrill.operators import propagation_of
 
-__all__ = ["wait_in_force"]
+__all__ = ["wait_until_in_force"]
 
 POLL_S = 0.2
 
 
-def wait_in_force(
+def wait_until_in_force(
     client: Client,
     revision: Revision,
     wait_s: float,
@@ -25,19 +25,19 @@
     clock: Callable[[], float] = time.monotonic,
     pause: Callable[[float], None] = time.sleep,
 ) -> Exit:
-    """Wait up to ``wait_s`` seconds; progress goes to stderr, a line when it changes."""
-    began, shown = clock(), ""
+    """Wait up to ``wait_s`` seconds, and print progress to stderr when it changes."""
+    started, printed = clock(), ""
     while True:
         answer = client.status()
         if isinstance(answer, Failure):
             text, everywhere = f"status: {answer.failure().detail}", False
         else:
-            where = reach(answer.unwrap(), revision)
-            text, everywhere = reach_text(where), where.everywhere
-        if text != shown:
+            propagation = propagation_of(answer.unwrap(), revision)
+            text, everywhere = propagation_text(propagation), propagation.is_complete
+        if text != printed:
             print(f"revision {revision}: {text}", file=sys.stderr)
-            shown = text
-        waited_s = clock() - began
+            printed = text
+        waited_s = clock() - started
         if everywhere:
             return Exit.DONE
         if waited_s >= wait_s:
--- a/src/lentilrill/ctl/_show.py
+++ b/src/lentilrill/ctl/_show.py
@@ -1,4 +1,4 @@
-"""Answers as text for people, or as JSON."""
+"""Output of responses as text or as JSON."""
 
 import sys
 import time
@@ -44,15 +44,17 @@
         print(line, file=sys.stderr if to_stderr else sys.stdout)
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Return a table with aligned columns; numbers to the right."""
+def table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
+    """Return a table with aligned columns; numeric columns are right-aligned."""
     rows = [tuple(row) for row in rows]
-    texts = [tuple(head), *(tuple(_cell(value) for value in row) for row in rows)]
-    widths = [max(len(text[n]) for text in texts) for n in range(len(head))]
-    right = [bool(rows) and all(_is_number(row[n]) for row in rows) for n in range(len(head))]
+    texts = [tuple(header), *(tuple(_cell(value) for value in row) for row in rows)]
+    widths = [max(len(text[n]) for text in texts) for n in range(len(header))]
+    right_aligned = [
+        bool(rows) and all(_is_number(row[n]) for row in rows) for n in range(len(header))
+    ]
     return [
         "  ".join(
-            cell.rjust(widths[n]) if right[n] else cell.ljust(widths[n])
+            cell.rjust(widths[n]) if right_aligned[n] else cell.ljust(widths[n])
             for n, cell in enumerate(text)
         ).rstrip()
         for text in texts
@@ -60,7 +62,7 @@
 
 
 def difference_lines(differences: Iterable[Difference]) -> list[str]:
-    """Return a line for a list's added or removed entries, and one for each changed field."""
+    """Return one line per list for added or removed entries, and one per changed field."""
     signs = {Change.ADDED: "+", Change.REMOVED: "-", Change.CHANGED: "~"}
     lines = []
     for (name, change), group in groupby(differences, lambda each: (each.list, each.change)):
@@ -80,7 +82,7 @@
 
 
 def edit_lines(answer: EditAnswer) -> list[str]:
-    """Return what became of an accepted edit."""
+    """Return the result of an accepted or unchanged edit."""
     if answer.verdict is EditVerdict.UNCHANGED:
         return [f"unchanged: revision {answer.revision} says so already"]
     note = f" ({answer.message})" if answer.message else ""
@@ -92,7 +94,7 @@
 
 
 def problem_lines(problem: Problem) -> list[str]:
-    """Return what went wrong, and what the operator can go on with."""
+    """Return a problem's title and details, and the edits and differences of a conflict."""
     lines = [problem.title]
     if problem.findings:
         lines += finding_lines(problem.findings)
@@ -114,7 +116,8 @@
 def host_lines(hosts: Iterable[HostRow]) -> list[str]:
     """Return a table of hosts."""
     rows = [
-        (h.pool, h.id, h.zone, h.rack, h.address, h.phase.value, _leaving_for(h)) for h in hosts
+        (h.pool, h.id, h.zone, h.rack, h.address, h.phase.value, _withdrawal_reason(h))
+        for h in hosts
     ]
     return table(("POOL", "HOST", "ZONE", "RACK", "ADDRESS", "PHASE", "FOR"), rows)
 
@@ -141,7 +144,7 @@
     return lines
 
 
-def _leaving_for(host: HostRow) -> str:
+def _withdrawal_reason(host: HostRow) -> str:
     if host.stop is not None:
         return f"stop {host.stop}"
     return f"pool {host.target}" if host.target is not None else "-"
--- a/src/lentilrill/ctl/_show_status.py
+++ b/src/lentilrill/ctl/_show_status.py
@@ -1,24 +1,31 @@
-"""The whole picture as text for people."""
+"""Output of the status as text."""
 
 from collections.abc import Iterable
 
 from lentilrill.ctl._show import INDENT, table
 from lentilrill.membership import Liveness
-from lentilrill.operators import MemberStatus, Reach, Status, StopStatus, WaveStatus, reach
+from lentilrill.operators import (
+    MemberStatus,
+    Propagation,
+    Status,
+    StopStatus,
+    WaveStatus,
+    propagation_of,
+)
 
-__all__ = ["reach_text", "status_lines", "stop_lines"]
+__all__ = ["propagation_text", "status_lines", "stop_lines"]
 
-MAX_NAMED = 8
+MAX_LISTED_NAMES = 8
 
 
 def status_lines(status: Status) -> list[str]:
-    """Return the fleet's and the system's state, trouble first."""
+    """Return the status of the fleet and of the system, warnings first."""
     platform = "reachable" if status.platform_reachable else "NOT reachable"
-    spread = reach_text(reach(status, status.document_revision))
+    propagation = propagation_text(propagation_of(status, status.document_revision))
     return [
         f"as seen by {status.process} in {status.zone}; the platform is {platform} from there",
-        f"revision {status.document_revision} is {spread}",
-        *_trouble_lines(status),
+        f"revision {status.document_revision} is {propagation}",
+        *_warning_lines(status),
         "",
         *_pool_lines(status),
         "",
@@ -27,21 +34,21 @@
     ]
 
 
-def reach_text(where: Reach) -> str:
-    """Return where a revision is in force, in one line."""
-    total = len(where.reached) + len(where.behind) + len(where.unheard)
-    text = f"in force at {len(where.reached)} of {total} processes"
-    if where.everywhere:
+def propagation_text(propagation: Propagation) -> str:
+    """Return one line that says where a revision is in force."""
+    total = len(propagation.reached) + len(propagation.behind) + len(propagation.unheard)
+    text = f"in force at {len(propagation.reached)} of {total} processes"
+    if propagation.is_complete:
         return f"in force everywhere ({total} processes)"
-    if where.behind:
-        text += f", not yet at {_named(where.behind)}"
-    if where.unheard:
-        text += f"; not heard: {_named(where.unheard)}"
+    if propagation.behind:
+        text += f", not yet at {_list_names(propagation.behind)}"
+    if propagation.unheard:
+        text += f"; not heard: {_list_names(propagation.unheard)}"
     return text
 
 
 def stop_lines(stops: Iterable[StopStatus]) -> list[str]:
-    """Return a table of planned stops, each followed by what holds it up."""
+    """Return a table of planned stops, followed by the reasons why they wait."""
     rows = [
         (
             stop.id,
@@ -61,13 +68,13 @@
     return table(head, rows) + notes
 
 
-def _trouble_lines(status: Status) -> list[str]:
+def _warning_lines(status: Status) -> list[str]:
     lines = []
     if not status.platform_reachable:
         lines.append("! configuration can't be edited through this controller now")
     suspect = [m.process for m in status.members if m.liveness is Liveness.SUSPECT]
     if suspect:
-        lines.append(f"! not heard: {_named(suspect)}")
+        lines.append(f"! not heard: {_list_names(suspect)}")
     for pool in status.pools:
         if pool.missing:
             lines.append(f"! pool {pool.pool} misses {pool.missing} of {pool.owed} owed hosts")
@@ -113,7 +120,7 @@
     return ["", *table(("STOP", "WAVE", "HOSTS", "STATE", "PREDICTED S", "TAKEN S"), rows)]
 
 
-def _named(processes: Iterable[str]) -> str:
+def _list_names(processes: Iterable[str]) -> str:
     names = sorted(processes)
-    more = f" and {len(names) - MAX_NAMED} more" if len(names) > MAX_NAMED else ""
-    return ", ".join(names[:MAX_NAMED]) + more
+    more = f" and {len(names) - MAX_LISTED_NAMES} more" if len(names) > MAX_LISTED_NAMES else ""
+    return ", ".join(names[:MAX_LISTED_NAMES]) + more
--- a/src/lentilrill/operators/_api.py
+++ b/src/lentilrill/operators/_api.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a controller, each as one handler from request to reply."""
+"""Request handlers of the operators' HTTP API."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -22,7 +22,7 @@
 )
 from lentilrill.operators._audit import AuditTrail
 from lentilrill.operators._capacity import check_capacity
-from lentilrill.operators._diff import difference
+from lentilrill.operators._diff import diff_documents
 from lentilrill.operators._editing import Editor
 from lentilrill.operators._outcomes import EditOutcome
 from lentilrill.operators._problems import Reply, edit_problem, fault_problem, problem
@@ -48,9 +48,10 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request of a known operator.
+    """A request of an authenticated operator.
 
-    :param tail: last part of the path where a route leaves it open.
+    :param who: the operator's name.
+    :param tail: rest of the path after the prefix, for routes that match a prefix.
     """
 
     who: str
@@ -60,7 +61,7 @@
 
 
 class Api:
-    """Handlers of the operators' HTTP."""
+    """Handlers of the operators' HTTP API."""
 
     def __init__(
         self,
@@ -81,16 +82,16 @@
         self._host_list = host_list
 
     def config(self, _request: Request) -> Reply:
-        """Show the document, from the platform if it answers, else this controller's copy."""
+        """Return the document from the platform, or this controller's copy if that fails."""
         read = self._store.head()
         fresh = not isinstance(read, Failure)
-        head = read.value_or(self._held())
+        head = read.value_or(self._cached_head())
         return Reply(HTTPStatus.OK, ConfigAnswer(head.revision, fresh, head.document))
 
     def check(self, request: Request) -> Reply:
         """Check two lists without applying them."""
         body = msgspec.json.decode(request.body, type=CheckBody)
-        head = self._store.head().value_or(self._held())
+        head = self._store.head().value_or(self._cached_head())
         decoded = decode_lists(bytes(body.plans), bytes(body.entitlements))
         if isinstance(decoded, Failure):
             answer = CheckAnswer(False, head.revision, decoded.failure(), ())
@@ -100,39 +101,41 @@
         answer = CheckAnswer(
             not errors_of(findings),
             head.revision,
-            findings + self._capacity(document),
-            difference(head.document, document),
+            findings + self._capacity_findings(document),
+            diff_documents(head.document, document),
         )
         return Reply(HTTPStatus.OK, answer)
 
     def apply(self, request: Request) -> Reply:
-        """Put two lists in the place of those in force."""
+        """Replace the lists that are in force."""
         body = msgspec.json.decode(request.body, type=ApplyBody)
         decoded = decode_lists(bytes(body.plans), bytes(body.entitlements))
         if isinstance(decoded, Failure):
             found = decoded.failure()
-            return self._edited(EditOutcome(EditVerdict.INVALID, body.write_id, findings=found))
+            return self._edit_reply(EditOutcome(EditVerdict.INVALID, body.write_id, findings=found))
         lists = decoded.unwrap()
         outcome = self._editor.apply(request.who, lists, Revision(body.base), body.write_id)
-        return self._edited(outcome, lists)
+        return self._edit_reply(outcome, lists)
 
     def declare_stop(self, request: Request) -> Reply:
         """Declare a planned stop."""
         body = msgspec.json.decode(request.body, type=StopBody)
         stop = PlannedStop(body.id, body.hosts, body.retire, body.reason)
-        outcome = self._editor.declare(request.who, stop)
-        return self._edited(outcome, Document(stops=(stop,)))
+        outcome = self._editor.declare_stop(request.who, stop)
+        return self._edit_reply(outcome, Document(stops=(stop,)))
 
     def cancel_stop(self, request: Request) -> Reply:
-        """Take a planned stop back."""
-        return self._edited(self._editor.cancel(request.who, StopId(unquote(request.tail))))
+        """Cancel a planned stop."""
+        return self._edit_reply(
+            self._editor.cancel_stop(request.who, StopId(unquote(request.tail)))
+        )
 
     def status(self, _request: Request) -> Reply:
-        """Show the whole picture."""
+        """Return the status of the fleet and of the system's processes."""
         return Reply(HTTPStatus.OK, self._status())
 
     def hosts(self, _request: Request) -> Reply:
-        """List every host with its pool."""
+        """Return every host with its pool."""
         rows = [
             HostRow(
                 entry.id,
@@ -150,28 +153,28 @@
         return Reply(HTTPStatus.OK, HostsAnswer(tuple(rows)))
 
     def audit(self, request: Request) -> Reply:
-        """Show the newest edits."""
+        """Return the newest edits."""
         text = request.query.get("limit", str(DEFAULT_AUDIT_LIMIT))
         if not text.isascii() or not text.isdigit() or not 1 <= int(text) <= MAX_AUDIT_LIMIT:
             detail = f"limit must be a number from 1 to {MAX_AUDIT_LIMIT}"
             return problem(HTTPStatus.BAD_REQUEST, "bad-request", detail)
         read = self._store.head().bind(
-            lambda head: self._audit.newest(head.document.edit, int(text))
+            lambda head: self._audit.newest_edits(head.document.edit, int(text))
         )
         if isinstance(read, Failure):
             return fault_problem(read.failure())
         return Reply(HTTPStatus.OK, AuditAnswer(read.unwrap()))
 
-    def _held(self) -> Head:
+    def _cached_head(self) -> Head:
         return Head(self._view.document, self._view.document_revision)
 
-    def _edited(self, outcome: EditOutcome, touched: Document | None = None) -> Reply:
+    def _edit_reply(self, outcome: EditOutcome, document: Document | None = None) -> Reply:
         self._metrics.incr(f"operators.edits.{outcome.verdict.value}")
         if outcome.verdict not in (EditVerdict.ACCEPTED, EditVerdict.UNCHANGED):
             return edit_problem(outcome)
         warnings = outcome.findings
-        if touched is not None:
-            warnings += self._capacity(touched)
+        if document is not None:
+            warnings += self._capacity_findings(document)
         answer = EditAnswer(
             outcome.verdict,
             outcome.revision or Revision(0),
@@ -183,7 +186,7 @@
         )
         return Reply(HTTPStatus.OK, answer)
 
-    def _capacity(self, document: Document) -> tuple[Finding, ...]:
+    def _capacity_findings(self, document: Document) -> tuple[Finding, ...]:
         if self._host_list is None:
             return ()
         listing = self._host_list.hosts()
--- a/src/lentilrill/operators/_auth.py
+++ b/src/lentilrill/operators/_auth.py
@@ -1,19 +1,19 @@
-"""Operators' tokens, kept only as digests."""
+"""Authentication of operators by bearer token; only digests of the tokens are stored."""
 
 import hashlib
 import hmac
 from collections.abc import Mapping
 
-__all__ = ["operator_of"]
+__all__ = ["authenticate"]
 
 SCHEME = "bearer"
 
 
-def operator_of(authorization: str, tokens_sha256: Mapping[str, str]) -> str | None:
-    """Return the operator whose token an ``Authorization`` header carries.
+def authenticate(authorization: str, tokens_sha256: Mapping[str, str]) -> str | None:
+    """Return the operator whose token is in an ``Authorization`` header, or ``None``.
 
-    Guard against guessing a token from response times: digests are compared, in constant time,
-    and all of them, so that neither a matching beginning nor the position of the operator shows.
+    To prevent timing attacks, digests are compared in constant time, and the loop always compares
+    all of them: response times reveal neither a matching prefix nor the operator's position.
 
     :param tokens_sha256: hex SHA-256 of each token by operator name.
     """
--- a/src/lentilrill/operators/_diff.py
+++ b/src/lentilrill/operators/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, by list and id."""
+"""Differences between two documents, by list and id."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -8,13 +8,13 @@
 
 from lentilrill.settings import Document
 
-__all__ = ["Change", "Difference", "FieldChange", "difference"]
+__all__ = ["Change", "Difference", "FieldChange", "diff_documents"]
 
-MAX_SHOWN_CHARS = 200
+MAX_VALUE_CHARS = 200
 
 
 class Change(Enum):
-    """What happened to an entry."""
+    """How an entry changed."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -22,7 +22,7 @@
 
 
 class FieldChange(msgspec.Struct, frozen=True):
-    """One field before and after, as JSON text cut to a readable length."""
+    """One field before and after, as truncated JSON text."""
 
     field: str
     before: str
@@ -34,7 +34,7 @@
 
     :param list: ``plans``, ``pools``, ``entitlements``, ``objective`` or ``stops``.
     :param id: the entry's id; an entitlement's is its plan's. Empty for the objective.
-    :param fields: what changed in an entry that stands on both sides.
+    :param fields: changed fields of an entry that both documents have.
     """
 
     list: str
@@ -50,14 +50,14 @@
         return f"{entry}: {fields}"
 
 
-def difference(before: Document, after: Document) -> tuple[Difference, ...]:
-    """Return how ``after`` differs from ``before``; order within a list does not count."""
+def diff_documents(before: Document, after: Document) -> tuple[Difference, ...]:
+    """Return how ``after`` differs from ``before``, ignoring the order within a list."""
     return (
-        _entries("plans", before.plans_by_id(), after.plans_by_id())
-        + _entries("pools", before.pools_by_id(), after.pools_by_id())
-        + _entries("entitlements", before.entitlements_by_plan(), after.entitlements_by_plan())
-        + _entries("objective", {"": before.objective}, {"": after.objective})
-        + _entries(
+        _diff_entries("plans", before.plans_by_id(), after.plans_by_id())
+        + _diff_entries("pools", before.pools_by_id(), after.pools_by_id())
+        + _diff_entries("entitlements", before.entitlements_by_plan(), after.entitlements_by_plan())
+        + _diff_entries("objective", {"": before.objective}, {"": after.objective})
+        + _diff_entries(
             "stops",
             {stop.id: stop for stop in before.stops},
             {stop.id: stop for stop in after.stops},
@@ -65,27 +65,31 @@
     )
 
 
-def _entries(name: str, before: Mapping[Any, Any], after: Mapping[Any, Any]) -> tuple[Any, ...]:
-    found = []
+def _diff_entries(
+    name: str, before: Mapping[Any, Any], after: Mapping[Any, Any]
+) -> tuple[Any, ...]:
+    differences = []
     for key in sorted(before.keys() | after.keys()):
         if key not in after:
-            found.append(Difference(name, key, Change.REMOVED))
+            differences.append(Difference(name, key, Change.REMOVED))
         elif key not in before:
-            found.append(Difference(name, key, Change.ADDED))
+            differences.append(Difference(name, key, Change.ADDED))
         elif before[key] != after[key]:
-            fields = _fields(before[key], after[key])
-            found.append(Difference(name, key, Change.CHANGED, fields))
-    return tuple(found)
+            fields = _diff_fields(before[key], after[key])
+            differences.append(Difference(name, key, Change.CHANGED, fields))
+    return tuple(differences)
 
 
-def _fields(before: msgspec.Struct, after: msgspec.Struct) -> tuple[FieldChange, ...]:
+def _diff_fields(before: msgspec.Struct, after: msgspec.Struct) -> tuple[FieldChange, ...]:
     return tuple(
-        FieldChange(name, _shown(getattr(before, name)), _shown(getattr(after, name)))
+        FieldChange(
+            name, _truncated_json(getattr(before, name)), _truncated_json(getattr(after, name))
+        )
         for name in before.__struct_fields__
         if getattr(before, name) != getattr(after, name)
     )
 
 
-def _shown(value: object) -> str:
+def _truncated_json(value: object) -> str:
     text = msgspec.json.encode(value).decode()
-    return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "..."
+    return text if len(text) <= MAX_VALUE_CHARS else text[:MAX_VALUE_CHARS] + "..."
--- a/src/lentilrill/operators/_server.py
+++ b/src/lentilrill/operators/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server for operators: routes, tokens, limits, and the server's life."""
+"""HTTP server for operators: routes, authentication, limits, and the server's life cycle."""
 
 import logging
 import threading
@@ -16,7 +16,7 @@
 from lentilrill.ids import Revision
 from lentilrill.operators._api import Api, Request
 from lentilrill.operators._audit import AuditTrail
-from lentilrill.operators._auth import operator_of
+from lentilrill.operators._auth import authenticate
 from lentilrill.operators._editing import Editor
 from lentilrill.operators._problems import Reply, problem
 from lentilrill.operators._status import Status
@@ -28,14 +28,14 @@
 __all__ = ["MAX_BODY_BYTES", "OperatorServer"]
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""Above the largest document, as operators' files hold spaces and line ends."""
+"""Larger than the largest document, because operators' files contain whitespace."""
 MAX_READ_BYTES = 4 * MAX_BODY_BYTES
-"""Bodies announced as larger than that are not even read; up to it they get a clear answer."""
+"""Bodies up to this size are read and get a clear error; larger ones are not read at all."""
 MAX_HEADER_BYTES = 32 * 1024
 THREADS = 10
-AT_ONCE = 8
-"""Operators' requests worked on at once; the other threads are left for health checks."""
-IDLE_CONNECTION_S = 30
+MAX_CONCURRENT_REQUESTS = 8
+"""Limit of concurrent operators' requests; the other threads are reserved for health checks."""
+IDLE_TIMEOUT_S = 30
 LISTEN_BACKLOG = 64
 STOPS_PATH = "/v1/stops/"
 
@@ -45,30 +45,31 @@
 
 
 class Health(msgspec.Struct, frozen=True):
-    """Answer of the health checks."""
+    """Response body of the health checks."""
 
     ok: bool
     document_revision: Revision
 
 
-class QuietServer(wsgi.Server):
-    """A server whose errors are logged as events instead of printed."""
+class EventLoggingServer(wsgi.Server):
+    """A server that logs errors as events instead of printing them."""
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what went wrong with a connection, without the traceback."""
+        """Log a connection error, without the traceback."""
         del traceback
         if level >= logging.ERROR:
             log(Event.OPERATOR_REQUEST_FAILED, error=msg.strip())
 
 
 class OperatorServer:
-    """Serves operators on the controller's address.
-
-    :param status: makes the whole picture, on each request for it.
-    :param host_list: with it, promises that the fleet can't meet are warned of.
-    :param settle_s: seconds to go on asking what became of a write whose answer was lost.
-    :param publish: takes over an accepted edit and tells peers of it; just this process's mirror
-        by default.
+    """Serves the operators' HTTP API on the controller's address.
+
+    :param status: returns the current status; called for each status request.
+    :param host_list: hosts to compare edits with, to warn about plans that they can't satisfy.
+    :param resolve_timeout_s: how long to try to resolve the outcome of a write whose response was
+        lost.
+    :param publish: called with the items of an accepted edit, to update this process and its
+        peers; by default only this process's mirror is updated.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         status: Callable[[], Status],
         metrics: Metrics | None = None,
         host_list: HostList | None = None,
-        settle_s: float = 6.0,
+        resolve_timeout_s: float = 6.0,
         publish: Callable[[tuple[Item, ...]], object] | None = None,
     ) -> None:
         self._tokens_sha256 = settings.operator_tokens_sha256
@@ -87,17 +88,17 @@
         self._publish = publish or view.mirror.offer
         self._metrics: Metrics = metrics or NoMetrics()
         self._audit = AuditTrail(kv)
-        store = DocumentStore(kv, self._audit, settle_s=settle_s)
-        editor = Editor(store, self._audit, on_accepted=self._offer)
+        store = DocumentStore(kv, self._audit, resolve_timeout_s=resolve_timeout_s)
+        editor = Editor(store, self._audit, on_accepted=self._publish_document)
         api = Api(store, editor, self._audit, view, status, self._metrics, host_list)
         self._handlers = _routes(api)
         self._draining = threading.Event()
-        self._turns = threading.BoundedSemaphore(AT_ONCE)
+        self._request_slots = threading.BoundedSemaphore(MAX_CONCURRENT_REQUESTS)
         self._server = _http_server(settings.listen, self)
         self._thread = threading.Thread(target=self._serve, name="operators", daemon=True)
 
     def start(self) -> None:
-        """Bind the address and begin to serve.
+        """Bind the address and start serving.
 
         :raises OSError: if the address can't be bound.
         """
@@ -106,18 +107,18 @@
         self._thread.start()
 
     def drain(self) -> None:
-        """Answer 503 on /readyz from now on; requests are still served."""
+        """Answer 503 on /readyz from now on; other requests are still served."""
         self._draining.set()
 
     def stop(self) -> None:
-        """Finish the requests in flight and end."""
+        """Finish the requests in flight and stop."""
         self.drain()
         self._server.stop()
         self._thread.join()
         self._audit.stop()
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
-        """Answer one request, as WSGI has it."""
+        """Answer one request; the WSGI entry point."""
         began = time.monotonic()
         reply = self._reply(environ)
         body = msgspec.json.encode(reply.body)
@@ -136,14 +137,14 @@
         except Exception as error:
             log(Event.TASK_FAILED, task="operators", error=error)
 
-    def _offer(self, value: bytes, revision: Revision) -> None:
+    def _publish_document(self, value: bytes, revision: Revision) -> None:
         self._publish((Item(DOCUMENT_KEY, value, revision),))
 
     def _reply(self, environ: Environ) -> Reply:
         method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
         if path in ("/healthz", "/readyz"):
             return self._health(path)
-        who = operator_of(environ.get("HTTP_AUTHORIZATION", ""), self._tokens_sha256)
+        who = authenticate(environ.get("HTTP_AUTHORIZATION", ""), self._tokens_sha256)
         if who is None:
             log(Event.OPERATOR_DENIED, peer=environ.get("REMOTE_ADDR", ""), path=path)
             self._metrics.incr("operators.denied")
@@ -161,26 +162,28 @@
             allow = (("Allow", ", ".join(by_method)),)
             detail = f"{path} takes {allow[0][1]}"
             return problem(HTTPStatus.METHOD_NOT_ALLOWED, "method-not-allowed", detail, allow)
-        return self._in_turn(handler, who, tail, environ)
+        return self._run_limited(handler, who, tail, environ)
 
-    def _in_turn(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
-        """Run a handler if not too many run already.
+    def _run_limited(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
+        """Run a handler unless the limit of concurrent requests is reached.
 
-        Guard against a platform that takes calls and stays silent: each request then holds its
-        thread until a deadline. With all threads held, health checks would go unanswered, and a
-        controller that is well would be restarted.
+        If the platform accepts calls but doesn't answer, each request occupies its thread until a
+        deadline. With all threads occupied, health checks would go unanswered, and a healthy
+        controller would be restarted.
         """
-        if not self._turns.acquire(blocking=False):
-            detail = f"{AT_ONCE} requests are being worked on; the platform may be slow"
+        if not self._request_slots.acquire(blocking=False):
+            detail = (
+                f"{MAX_CONCURRENT_REQUESTS} requests are being worked on; the platform may be slow"
+            )
             retry = (("Retry-After", "1"),)
             return problem(HTTPStatus.SERVICE_UNAVAILABLE, "busy", detail, retry)
         try:
-            return self._handled(handler, who, tail, environ)
+            return self._run_handler(handler, who, tail, environ)
         finally:
-            self._turns.release()
+            self._request_slots.release()
 
-    def _handled(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
-        """Run a handler; whatever it meets becomes an answer, never a broken connection."""
+    def _run_handler(self, handler: Handler, who: str, tail: str, environ: Environ) -> Reply:
+        """Run a handler, turning every exception into an error response."""
         try:
             body = _read_body(environ)
         except (ValueError, MaxSizeExceeded) as error:
@@ -202,8 +205,8 @@
     def _health(self, path: str) -> Reply:
         """Answer a health check.
 
-        A controller is ready once it knows the state, even if that holds no document: the first
-        configuration has to come in through one.
+        A controller is ready once it has read the state, even if that contains no document: the
+        first configuration is applied through a controller.
         """
         revision = self._view.document_revision
         ready = self._view.mirror.complete_to > 0 and not self._draining.is_set()
@@ -226,13 +229,13 @@
 
 def _http_server(listen: str, app: OperatorServer) -> wsgi.Server:
     host, _, port = listen.rpartition(":")
-    server = QuietServer(
+    server = EventLoggingServer(
         (host.strip("[]"), int(port)),
         app,
         numthreads=THREADS,
         max=THREADS,
         request_queue_size=LISTEN_BACKLOG,
-        timeout=IDLE_CONNECTION_S,
+        timeout=IDLE_TIMEOUT_S,
     )
     server.max_request_header_size = MAX_HEADER_BYTES
     server.max_request_body_size = MAX_READ_BYTES
--- a/tests/operators/test_editing.py
+++ b/tests/operators/test_editing.py
@@ -1,4 +1,4 @@
-"""Edits of the document: races, lost answers, an unreachable platform."""
+"""Edits of the document: races, lost responses, an unreachable platform."""
 
 import msgspec
 from testtools import TestCase
@@ -18,8 +18,8 @@
 from tests.fakes import FakeKeyValue, lose_answer, lose_request, refuse
 
 
-class Clock:
-    """A clock that only pauses move."""
+class FakeClock:
+    """A fake clock that advances only by ``pause``."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -42,7 +42,7 @@
         self.base = self.first.revision
 
     def editor(self) -> Editor:
-        clock = Clock()
+        clock = FakeClock()
         store = DocumentStore(self.kv, self.audit, clock=clock, pause=clock.pause)
         return Editor(store, self.audit)
 
@@ -51,21 +51,21 @@
         return msgspec.json.decode(item.value, type=Document)
 
     def trail(self) -> list[tuple[str, int | None]]:
-        entries = self.audit.newest(self.stored().edit, 100).unwrap()
+        entries = self.audit.newest_edits(self.stored().edit, 100).unwrap()
         return [(entry.record.who, entry.revision) for entry in entries]
 
-    def owing(self, hosts: int) -> Document:
+    def lists_owing(self, hosts: int) -> Document:
         return msgspec.structs.replace(
             a_document("schools", "spare"),
             plans=(a_plan(hosts_owed=hosts), a_plan("spare")),
         )
 
-    def test_the_loser_of_a_race_sees_what_differs(self) -> None:
-        # Two operators edit the lists from the same revision. Without the comparison, the second
-        # to apply silently undoes the first's change; here it is told who came first, with which
-        # revision, and what its own lists would change now.
-        won = self.asha.apply("asha", self.owing(4), self.base)
-        lost = self.ben.apply("ben", self.owing(6), self.base)
+    def test_conflict_reports_the_differences(self) -> None:
+        # Two operators edit lists of the same revision. Without the comparison of revisions the
+        # second would silently undo the first one's change. Instead it gets the winner's name and
+        # revision, and the differences that its own lists would still make.
+        won = self.asha.apply("asha", self.lists_owing(4), self.base)
+        lost = self.ben.apply("ben", self.lists_owing(6), self.base)
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
         self.assertEqual(won.revision, lost.revision)
         self.assertIn("asha", lost.message)
@@ -74,114 +74,114 @@
         self.assertEqual([("hosts_owed", "4", "6")], [_plain(f) for f in differs.fields])
         self.assertEqual(4, self.stored().plans[0].hosts_owed)
 
-    def test_a_race_between_read_and_write_is_lost_as_well(self) -> None:
-        # Both operators' controllers read the same document, then both write. The comparison in
-        # the store, not the one at the controller, decides.
+    def test_race_between_read_and_write_is_a_conflict(self) -> None:
+        # Two controllers read the same document, then both write. The comparison in the store
+        # decides, not the one in the controller.
         def ben_first(call):
-            self.ben.apply("ben", self.owing(6), self.base)
+            self.ben.apply("ben", self.lists_owing(6), self.base)
             return call()
 
         self.kv.commits.append(ben_first)
-        lost = self.asha.apply("asha", self.owing(4), self.base)
+        lost = self.asha.apply("asha", self.lists_owing(4), self.base)
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
         self.assertIn("ben", lost.message)
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
-    def test_a_lost_answer_of_a_write_that_took_effect(self) -> None:
-        # The platform stores the edit, and its answer is lost. Told as failed, the operator would
-        # go on with a wrong picture: the change is in force.
+    def test_lost_response_of_a_committed_edit(self) -> None:
+        # The platform stores the edit and the response is lost. Reporting a failure would be
+        # wrong, because the change is in force.
         self.kv.commits.append(lose_answer)
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
-        self.assertEqual(self.kv.revision, told.revision)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
+        self.assertEqual(self.kv.revision, outcome.revision)
         self.assertEqual(4, self.stored().plans[0].hosts_owed)
         self.assertEqual(2, len(self.trail()))
 
-    def test_a_lost_answer_then_another_edit_on_top(self) -> None:
-        # The edit takes effect, its answer is lost, and another operator edits on top before the
-        # controller reads back. The document now holds the other's id; told as a conflict, the
-        # first operator would make a change again that was in force. The trail knows better.
+    def test_lost_response_followed_by_another_edit(self) -> None:
+        # The edit takes effect, the response is lost, and another edit follows before the
+        # controller reads back. The document now holds the write id of the other edit; a conflict
+        # would make the first operator repeat an applied change. The audit trail has its record.
         def lost_then_ben(call):
             lost = lose_answer(call)
-            outcome = self.ben.apply("ben", self.owing(6), self.kv.revision)
-            self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
+            other = self.ben.apply("ben", self.lists_owing(6), self.kv.revision)
+            self.assertEqual(EditVerdict.ACCEPTED, other.verdict)
             return lost
 
         self.kv.commits.append(lost_then_ben)
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
-        self.assertEqual(self.base + 1, told.revision)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
+        self.assertEqual(self.base + 1, outcome.revision)
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
         self.assertEqual(["asha", "asha", "ben"], [who for who, _ in self.trail()])
 
-    def test_a_lost_request_then_another_edit(self) -> None:
-        # The edit never reached the platform, though that can't be told from a lost answer, and
-        # another operator's edit takes its place: it is a conflict, not an acceptance.
+    def test_lost_request_followed_by_another_edit(self) -> None:
+        # The request is lost, which looks the same as a lost response, and another operator's edit
+        # is accepted under its number: the verdict is a conflict, not an acceptance.
         def lost_then_ben(call):
-            self.ben.apply("ben", self.owing(6), self.base)
+            self.ben.apply("ben", self.lists_owing(6), self.base)
             return lose_request(call)
 
         self.kv.commits.append(lost_then_ben)
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.CONFLICT, told.verdict)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.CONFLICT, outcome.verdict)
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
-    def test_a_lost_request_is_made_again(self) -> None:
-        # The edit never reached the platform: it is sent again, and takes effect once.
+    def test_lost_request_is_retried(self) -> None:
+        # The request never reached the platform: it is retried and takes effect once.
         self.kv.commits.append(lose_request)
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
         self.assertEqual(2, self.stored().edit)
 
-    def test_a_write_nobody_can_tell_of_is_unknown(self) -> None:
-        # The platform takes the edit and goes silent for good. Neither "accepted" nor "refused"
-        # would be true to what the controller knows, so it says so, and how to find out.
+    def test_unresolvable_write_is_unknown(self) -> None:
+        # The platform applies the edit and then stops answering. The controller can't determine
+        # the outcome, so it reports "unknown" and how to resolve it.
         def lost_for_good(call):
             lost = lose_answer(call)
             self.kv.down = True
             return lost
 
         self.kv.commits.append(lost_for_good)
-        told = self.asha.apply("asha", self.owing(4), self.base, "caller-write-1")
-        self.assertEqual(EditVerdict.UNKNOWN, told.verdict)
-        self.assertIsNone(told.revision)
-        self.assertIn(told.write_id, told.message)
-        self.assertIn("audit", told.message)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
+        self.assertEqual(EditVerdict.UNKNOWN, outcome.verdict)
+        self.assertIsNone(outcome.revision)
+        self.assertIn(outcome.write_id, outcome.message)
+        self.assertIn("audit", outcome.message)
         self.kv.down = False
-        again = self.ben.apply("asha", self.owing(4), self.base, "caller-write-1")
+        again = self.ben.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
         self.assertEqual((EditVerdict.ACCEPTED, 2), (again.verdict, again.number))
         self.assertEqual(2, self.stored().edit)
 
-    def test_the_same_edit_again_after_others_came_on_top(self) -> None:
-        # The controller's answer to the operator is lost, another operator edits on top, and
-        # lentilrillctl sends the same edit to the next controller. It must neither undo the
-        # other's edit nor be told as a conflict: it was accepted.
-        first = self.asha.apply("asha", self.owing(4), self.base, "caller-write-1")
-        self.ben.apply("ben", self.owing(6), first.revision)
-        again = self.ben.apply("asha", self.owing(4), self.base, "caller-write-1")
+    def test_retried_edit_after_another_edit(self) -> None:
+        # The controller's response is lost, another edit follows, and lentilrillctl sends the same
+        # edit to the next controller. The retry must neither undo the other edit nor be reported
+        # as a conflict: it was accepted.
+        first = self.asha.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
+        self.ben.apply("ben", self.lists_owing(6), first.revision)
+        again = self.ben.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
         self.assertEqual((EditVerdict.ACCEPTED, first.revision), (again.verdict, again.revision))
         self.assertEqual(6, self.stored().plans[0].hosts_owed)
 
-    def test_a_trail_that_can_not_be_read_makes_no_conflict(self) -> None:
-        # The edit was accepted with its answer lost, another one came on top, and the same edit
-        # is sent again while reads of the trail fail. "Conflict" would say that it was refused.
-        first = self.asha.apply("asha", self.owing(4), self.base, "caller-write-1")
-        self.ben.apply("ben", self.owing(6), first.revision)
+    def test_unreadable_trail_is_not_a_conflict(self) -> None:
+        # The edit was accepted but the response lost, another edit followed, and the edit is
+        # retried while reads of the trail fail. A conflict would mean that it had been refused.
+        first = self.asha.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
+        self.ben.apply("ben", self.lists_owing(6), first.revision)
         self.kv.reads.extend([lambda call: call(), refuse])
-        again = self.ben.apply("asha", self.owing(4), self.base, "caller-write-1")
+        again = self.ben.apply("asha", self.lists_owing(4), self.base, "caller-write-1")
         self.assertEqual(EditVerdict.UNAVAILABLE, again.verdict)
 
-    def test_a_reused_name_with_other_lists_is_another_edit(self) -> None:
-        # A script names all its edits alike. The second one, with other lists, must not be told
-        # as accepted because the first one was.
-        self.asha.apply("asha", self.owing(4), self.base, "my-script")
-        other = self.asha.apply("asha", self.owing(6), self.base, "my-script")
+    def test_reused_write_id_with_other_lists_is_another_edit(self) -> None:
+        # A script uses the same write id for all its edits. The second one, with other lists, must
+        # not be reported as accepted because the first one was.
+        self.asha.apply("asha", self.lists_owing(4), self.base, "my-script")
+        other = self.asha.apply("asha", self.lists_owing(6), self.base, "my-script")
         self.assertEqual(EditVerdict.CONFLICT, other.verdict)
 
-    def test_a_stale_read_does_not_make_a_loser_of_the_winner(self) -> None:
-        # The edit took effect with its answer lost, and reads come from a lagging replica that
-        # doesn't have it yet. The missing record proves nothing: told as a conflict, the operator
-        # would think that a change which is in force was refused.
+    def test_stale_read_does_not_turn_an_accepted_edit_into_a_conflict(self) -> None:
+        # The edit took effect but the response was lost, and reads come from a lagging replica
+        # without it. The missing record proves nothing: a conflict would tell the operator that a
+        # change which is in force was refused.
         before = {prefix: self.kv.read(prefix) for prefix in ("audit/edits/000000000002",)}
         old_head = self.kv.read(DOCUMENT_KEY)
         self.kv.commits.append(lose_answer)
@@ -192,103 +192,103 @@
                 lambda _call: old_head,
             ]
         )
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
 
     def test_platform_down_changes_nothing(self) -> None:
-        # The platform is away before the edit is sent: the operator is told at once that nothing
-        # was changed, and the lists may be applied again.
-        for fates in (self.kv.reads, self.kv.commits):
-            fates.append(refuse)
-            told = self.asha.apply("asha", self.owing(4), self.base)
-            self.assertEqual(EditVerdict.UNAVAILABLE, told.verdict)
+        # The platform is down before the edit is sent: the verdict says that nothing was changed,
+        # and the lists can be applied again.
+        for calls in (self.kv.reads, self.kv.commits):
+            calls.append(refuse)
+            outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+            self.assertEqual(EditVerdict.UNAVAILABLE, outcome.verdict)
             self.assertEqual(1, self.stored().edit)
 
     def test_an_oversized_document_is_refused(self) -> None:
-        # The platform's values end at a megabyte. Beyond it the write would fail there with an
-        # error that nobody understands, or after the lists had grown for years.
+        # Values of the platform are limited to one megabyte. A larger document would be rejected
+        # there with an obscure error, possibly only after the lists had grown for years.
         zones = tuple(f"z{n}" for n in range(200_000))
-        lists = self.owing(4)
+        lists = self.lists_owing(4)
         wide = msgspec.structs.replace(lists.entitlements[0], zones=zones)
         large = msgspec.structs.replace(lists, entitlements=(wide, *lists.entitlements[1:]))
-        told = self.asha.apply("asha", large, self.base)
-        self.assertEqual(EditVerdict.INVALID, told.verdict)
-        self.assertIn("1000000", str(told.findings[-1]))
+        outcome = self.asha.apply("asha", large, self.base)
+        self.assertEqual(EditVerdict.INVALID, outcome.verdict)
+        self.assertIn("1000000", str(outcome.findings[-1]))
         self.assertEqual(1, self.stored().edit)
 
     def test_applying_lists_keeps_a_stop_declared_meanwhile(self) -> None:
-        # One operator edits the lists while another declares a stop. Written as a whole, the
-        # document would lose the stop, and a host would be rebooted under running jobs. Stops
-        # are no part of the lists, so this is no conflict either.
+        # One operator edits the lists while another declares a stop. If the edit replaced the whole
+        # document, the stop would be lost and a host rebooted under running jobs. Stops are not
+        # part of the lists, so there is no conflict either.
         self.declare("stop-1", "h1")
-        told = self.asha.apply("asha", self.owing(4), self.base)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.base)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
         self.assertEqual(["stop-1"], [stop.id for stop in self.stored().stops])
 
     def test_lists_changed_and_a_stop_declared_is_a_conflict(self) -> None:
-        self.asha.apply("asha", self.owing(4), self.base)
+        self.asha.apply("asha", self.lists_owing(4), self.base)
         self.declare("stop-1", "h1")
-        lost = self.ben.apply("ben", self.owing(6), self.base)
+        lost = self.ben.apply("ben", self.lists_owing(6), self.base)
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
 
-    def test_two_stops_declared_at_once_both_hold(self) -> None:
-        # Two operators declare stops at the same time. One loses the race in the store; as a
-        # stop can't undo another, it is declared again on top, not refused.
+    def test_stops_declared_concurrently_are_both_stored(self) -> None:
+        # Two operators declare stops concurrently. One loses the race in the store; as stops can't
+        # undo each other, it is retried on the new document instead of refused.
         def other_first(call):
             self.declare("stop-2", "h2")
             return call()
 
         self.kv.commits.append(other_first)
-        told = self.declare("stop-1", "h1")
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
+        outcome = self.declare("stop-1", "h1")
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
         self.assertEqual({"stop-1", "stop-2"}, {stop.id for stop in self.stored().stops})
 
     def test_a_stop_is_declared_once_and_cancelled_once(self) -> None:
         self.declare("stop-1", "h1")
         self.assertEqual(EditVerdict.UNCHANGED, self.declare("stop-1", "h1").verdict)
         self.assertEqual(EditVerdict.INVALID, self.declare("stop-1", "h2").verdict)
-        cancel = self.asha.cancel("asha", StopId("stop-1"))
+        cancel = self.asha.cancel_stop("asha", StopId("stop-1"))
         self.assertEqual(EditVerdict.ACCEPTED, cancel.verdict)
         self.assertEqual((), self.stored().stops)
-        again = self.asha.cancel("asha", StopId("stop-1"))
+        again = self.asha.cancel_stop("asha", StopId("stop-1"))
         self.assertEqual(EditVerdict.INVALID, again.verdict)
 
-    def test_a_document_put_there_by_other_means(self) -> None:
-        # Someone restored the document's key by hand, so the trail has no record of it. Editing
-        # goes on, and a race with such a write is lost like any other.
+    def test_document_written_outside_the_editor(self) -> None:
+        # The document's key was restored by hand, so the trail has no record of that write. An
+        # edit that races with it gets a conflict, and later edits are accepted.
         def restored(call):
-            value = msgspec.json.encode(self.owing(9))
+            value = msgspec.json.encode(self.lists_owing(9))
             self.kv.commit((Compare(DOCUMENT_KEY, self.base),), (Put(DOCUMENT_KEY, value),))
             return call()
 
         self.kv.commits.append(restored)
-        lost = self.asha.apply("asha", self.owing(4), self.base)
+        lost = self.asha.apply("asha", self.lists_owing(4), self.base)
         self.assertEqual(EditVerdict.CONFLICT, lost.verdict)
         self.assertEqual(9, self.stored().plans[0].hosts_owed)
-        told = self.asha.apply("asha", self.owing(4), self.kv.revision)
-        self.assertEqual(EditVerdict.ACCEPTED, told.verdict)
+        outcome = self.asha.apply("asha", self.lists_owing(4), self.kv.revision)
+        self.assertEqual(EditVerdict.ACCEPTED, outcome.verdict)
 
-    def test_the_own_copy_gets_an_accepted_edit_at_once(self) -> None:
+    def test_on_accepted_receives_the_stored_document(self) -> None:
         seen = []
         store = DocumentStore(self.kv, self.audit)
         editor = Editor(store, self.audit, on_accepted=lambda v, r: seen.append((v, r)))
-        told = editor.apply("asha", self.owing(4), self.base)
+        outcome = editor.apply("asha", self.lists_owing(4), self.base)
         (item,) = self.kv.read(DOCUMENT_KEY).unwrap().items
-        self.assertEqual([(item.value, told.revision)], seen)
+        self.assertEqual([(item.value, outcome.revision)], seen)
 
     def declare(self, stop: str, host: str) -> EditOutcome:
-        return self.ben.declare("ben", PlannedStop(StopId(stop), (HostId(host),)))
+        return self.ben.declare_stop("ben", PlannedStop(StopId(stop), (HostId(host),)))
 
 
-class EmptyTest(TestCase):
+class InvalidListsTest(TestCase):
     def test_invalid_lists_name_every_error(self) -> None:
         kv = FakeKeyValue()
         audit = AuditTrail(kv)
         editor = Editor(DocumentStore(kv, audit), audit)
         bad = a_document("schools", "spare", hosts_owed=-1, start_within_s=0.0)
-        told = editor.apply("asha", bad, Revision(0))
-        self.assertEqual(EditVerdict.INVALID, told.verdict)
-        paths = {finding.path for finding in told.findings}
+        outcome = editor.apply("asha", bad, Revision(0))
+        self.assertEqual(EditVerdict.INVALID, outcome.verdict)
+        paths = {finding.path for finding in outcome.findings}
         self.assertIn("plans[0].hosts_owed", paths)
         self.assertIn("plans[0].start_within_s", paths)
         self.assertEqual(0, kv.revision)
