--- a/src/lentilrill/settings/_checks.py
+++ b/src/lentilrill/settings/_checks.py
@@ -1,6 +1,6 @@
-"""Checks of the operators' document as a whole.
+"""Validation of a whole operators' document.
 
-Every error is reported, not just the first one.
+Every error is reported, not only the first one.
 """
 
 import math
@@ -20,7 +20,7 @@
 
 
 def check(document: Document) -> tuple[Finding, ...]:
-    """Return everything that is wrong or doubtful in ``document``."""
+    """Return the errors and warnings for ``document``."""
     checker = _Checker(document)
     checker.check_plans()
     checker.check_pools()
@@ -40,7 +40,7 @@
         self._pools_by_id = document.pools_by_id()
 
     def check_plans(self) -> None:
-        """Check each plan by itself, then ids, tokens and references."""
+        """Check the fields of each plan, then unique ids and tokens, and references."""
         plans = self._document.plans
         for n, plan in enumerate(plans):
             self._plan(f"plans[{n}]", plan)
@@ -55,30 +55,30 @@
                 self._error(f"plans[{n}].id", f"plan {plan.id!r} has no entitlement")
 
     def check_pools(self) -> None:
-        """Check each pool, and that one of them is the spare."""
+        """Check each pool, and that at least one is a spare pool."""
         pools = self._document.pools
         for n, pool in enumerate(pools):
             self._pool(f"pools[{n}]", pool)
         self._unique("pools", "id", [pool.id for pool in pools])
         if pools and not any(pool.spare for pool in pools):
-            self._error("pools", 'no pool is the spare; set "spare": true on one of them')
+            self._error("pools", 'there is no spare pool; set "spare": true on one pool')
 
     def check_entitlements(self) -> None:
-        """Check each entitlement and what it refers to."""
+        """Check each entitlement and its references."""
         entitlements = self._document.entitlements
         for n, entitlement in enumerate(entitlements):
             self._entitlement(f"entitlements[{n}]", entitlement)
         self._unique("entitlements", "plan", [entitlement.plan for entitlement in entitlements])
 
     def check_objective(self) -> None:
-        """Check the weights."""
+        """Check the ranges of the objective's fields."""
         objective = self._document.objective
         self._at_least("objective.move_weight", objective.move_weight, 0)
         self._at_least("objective.buffer_weight", objective.buffer_weight, 0)
         self._at_least("objective.settle_s", objective.settle_s, 0)
 
     def check_stops(self) -> None:
-        """Check each planned stop, and that no host stands in two."""
+        """Check each planned stop; warn about hosts listed in more than one."""
         stops = self._document.stops
         self._unique("stops", "id", [stop.id for stop in stops])
         stops_by_host = defaultdict(list)
@@ -88,7 +88,7 @@
                 stops_by_host[host].append(stop.id)
         for host, ids in stops_by_host.items():
             if len(ids) > 1:
-                self._warn("stops", f"host {host!r} stands in several stops: {', '.join(ids)}")
+                self._warn("stops", f"host {host!r} is listed in several stops: {', '.join(ids)}")
 
     def _plan(self, path: str, plan: Plan) -> None:
         self._id(f"{path}.id", plan.id)
@@ -107,7 +107,7 @@
         elif plan.hosts_owed > 0 and plan.availability_budget == 0:
             self._warn(
                 f"{path}.availability_budget",
-                "0 lets a host leave for maintenance only once another has taken its place",
+                "with 0, a host can leave for maintenance only after its replacement is in service",
             )
 
     def _pool(self, path: str, pool: Pool) -> None:
@@ -120,7 +120,7 @@
         if pool.connections_per_host < pool.slots_per_host:
             self._error(
                 f"{path}.connections_per_host",
-                f"{pool.connections_per_host} connections can't fill "
+                f"{pool.connections_per_host} connections are fewer than "
                 f"{pool.slots_per_host} slots",
             )
 
@@ -128,7 +128,7 @@
         if entitlement.plan not in self._plans_by_id:
             self._error(f"{path}.plan", f"no plan {entitlement.plan!r}")
         if not entitlement.pools:
-            self._error(f"{path}.pools", "names no pool")
+            self._error(f"{path}.pools", "must list at least one pool")
         self._pool_references(path, entitlement)
         self._repeated(f"{path}.pools", entitlement.pools)
         self._repeated(f"{path}.zones", entitlement.zones)
@@ -158,12 +158,12 @@
                 )
         known = any(pool in self._pools_by_id for pool in entitlement.pools)
         if plan is not None and known and not serving:
-            self._error(f"{path}.pools", f"none of them serves {plan.service!r}")
+            self._error(f"{path}.pools", f"none of these pools serves {plan.service!r}")
 
     def _stop(self, path: str, stop: PlannedStop) -> None:
         self._id(f"{path}.id", stop.id)
         if not stop.hosts:
-            self._error(f"{path}.hosts", "names no host")
+            self._error(f"{path}.hosts", "must list at least one host")
         self._repeated(f"{path}.hosts", stop.hosts)
         for n, host in enumerate(stop.hosts):
             self._id(f"{path}.hosts[{n}]", host)
@@ -176,24 +176,27 @@
 
     def _at_least(self, path: str, value: float, least: float) -> None:
         if not math.isfinite(value) or value < least:
-            self._error(path, f"{value} is out of range: at least {least}")
+            self._error(path, f"{value} is out of range: must be at least {least}")
 
     def _above(self, path: str, value: float, bound: float) -> None:
         if not math.isfinite(value) or value <= bound:
-            self._error(path, f"{value} is out of range: above {bound}")
+            self._error(path, f"{value} is out of range: must be above {bound}")
 
     def _unique(self, path: str, key: str, values: list[str], secret: bool = False) -> None:
         first: dict[str, int] = {}
         for n, value in enumerate(values):
             if value in first:
                 shown = "" if secret else f" {value!r}"
-                self._error(f"{path}[{n}].{key}", f"repeats{shown} of {path}[{first[value]}]")
+                self._error(
+                    f"{path}[{n}].{key}",
+                    f"duplicate value{shown}, first used in {path}[{first[value]}]",
+                )
             first.setdefault(value, n)
 
     def _repeated(self, path: str, values: Iterable[str]) -> None:
         for value, count in Counter(values).items():
             if count > 1:
-                self._error(path, f"{value!r} stands there {count} times")
+                self._error(path, f"{value!r} is listed {count} times")
 
     def _error(self, path: str, message: str) -> None:
         self.findings.append(Finding(Severity.ERROR, path, message))
--- a/src/lentilrill/settings/_document.py
+++ b/src/lentilrill/settings/_document.py
@@ -1,7 +1,8 @@
-"""The operators' document: plans, what each plan may use, and planned stops.
+"""The operators' document: plans, their entitlements, and planned stops.
 
-The document is one value on the platform; its revision is the platform's modification revision.
-Defaults are left out when it is encoded, since each change sends it to every process.
+The document is stored on the platform as one value; its revision is the modification revision of
+that key. Defaults are omitted from the encoding because every change sends the document to all
+processes.
 """
 
 from enum import Enum
@@ -14,7 +15,7 @@
 
 
 class Urgency(Enum):
-    """Order in which queued jobs start; a lower class is shed first."""
+    """Class that orders queued jobs; jobs of the last class are shed first."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -22,17 +23,17 @@
 
     @property
     def rank(self) -> int:
-        """0 for the class that starts first."""
+        """Position in the start order; 0 starts first."""
         return list(Urgency).index(self)
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A customer's plan: what it is owed, and how fast.
+    """A customer's plan: owed hosts, start time limit and credentials.
 
-    :param hosts_owed: hosts of the service's pool that the plan is owed.
-    :param availability_budget: how many owed hosts may be away at once.
+    :param hosts_owed: number of hosts of the service's pool owed to the plan.
+    :param availability_budget: maximum number of owed hosts that may be unavailable at once.
     :param start_within_s: seconds within which a job of the plan should start.
-    :param token_sha256: hex SHA-256 of the bearer token that names the plan.
+    :param token_sha256: hex SHA-256 of the bearer token that identifies the plan.
     """
 
     id: PlanId
@@ -48,10 +49,12 @@
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """Hosts that serve one service.
 
-    :param spare: whether the pool lends hosts to pools that miss some.
-    :param slots_per_host: jobs that one endpoint runs at once.
-    :param connections_per_host: open connections that one endpoint accepts.
-    :param cores: least cores a host needs to join; the same for memory and accelerators.
+    :param spare: whether the pool lends hosts to pools that are short of hosts.
+    :param slots_per_host: maximum number of jobs that one endpoint runs at once.
+    :param connections_per_host: maximum number of open connections that one endpoint accepts.
+    :param cores: minimum cores of a host in the pool.
+    :param memory_gb: minimum memory of a host in the pool.
+    :param accelerators: minimum accelerators of a host in the pool.
     """
 
     id: PoolId
@@ -65,15 +68,16 @@
 
 
 class Entitlement(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What one plan may use.
+    """Resources that one plan may use.
 
-    :param pools: pools that run the plan's jobs, preferred first.
+    :param pools: pools that run the plan's jobs, in order of preference.
     :param zones: zones whose hosts the plan may use; empty means all.
-    :param rate_per_s: accepted jobs a second for one entry host's zone; 0 means no limit.
-    :param concurrency: jobs running at once in one zone; 0 means no limit.
-    :param queue: jobs waiting at once in one zone.
+    :param rate_per_s: maximum jobs per second accepted in the zone of one entry host; 0 means no
+        limit.
+    :param concurrency: maximum jobs running at once in one zone; 0 means no limit.
+    :param queue: maximum jobs waiting at once in one zone.
     :param idempotent_paths: path prefixes below the service where POST and PATCH are idempotent.
-    :param largest_job_bytes: bound of a request body.
+    :param largest_job_bytes: maximum size of a request body.
     """
 
     plan: PlanId
@@ -87,11 +91,11 @@
 
 
 class Objective(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What the assignment of hosts minimises.
+    """Objective function that the assignment of hosts to pools minimizes.
 
     :param move_weight: cost of moving one host between pools.
-    :param buffer_weight: cost of one host held above what is owed.
-    :param settle_s: seconds that a shortage must last before hosts move for it.
+    :param buffer_weight: cost of each host assigned beyond the owed number.
+    :param settle_s: seconds that a shortage must last before hosts are moved to cover it.
     """
 
     move_weight: float = 1.0
@@ -100,11 +104,11 @@
 
 
 class PlannedStop(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Hosts that operators want to stop for maintenance or for good.
+    """Hosts that operators want to stop, for maintenance or permanently.
 
     :param hosts: worker or entry hosts to stop.
-    :param retire: whether the hosts leave the fleet for good.
-    :param reason: shown in status and audit.
+    :param retire: whether the hosts leave the fleet permanently.
+    :param reason: text shown in the status and in the audit log.
     """
 
     id: StopId
@@ -114,12 +118,12 @@
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Everything operators decide.
+    """The configuration that operators edit.
 
-    :param write_id: names the write that stored this value, so that a writer whose answer was
-        lost can tell by reading back whether its write took effect.
-    :param edit: number of the accepted edit that stored this value, counted from 1; its record
-        stands in the audit trail under the same number.
+    :param write_id: id of the write that stored this value, so that a writer that lost the
+        answer can read the value back to find out whether its write took effect.
+    :param edit: number of the accepted edit that stored this value, counted from 1; the audit
+        record of the edit has the same number.
     """
 
     plans: tuple[Plan, ...] = ()
--- a/src/lentilrill/settings/_findings.py
+++ b/src/lentilrill/settings/_findings.py
@@ -1,4 +1,4 @@
-"""What is wrong, or doubtful, in the operators' lists, and where."""
+"""Errors and warnings about the operators' lists, with their paths."""
 
 from enum import Enum
 
@@ -8,17 +8,17 @@
 
 
 class Severity(Enum):
-    """Whether a finding forbids the edit."""
+    """Severity of a finding; an error rejects the edit."""
 
     ERROR = "error"
     WARNING = "warning"
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One thing that is wrong or doubtful.
+    """One error or warning.
 
-    :param path: where, such as ``plans[3].hosts_owed``.
-    :param message: what is wrong, for people.
+    :param path: path of the value, such as ``plans[3].hosts_owed``.
+    :param message: human-readable description.
     """
 
     severity: Severity
@@ -30,5 +30,5 @@
 
 
 def errors_of(findings: tuple[Finding, ...]) -> tuple[Finding, ...]:
-    """Return the findings that forbid the edit."""
+    """Return the findings that reject the edit."""
     return tuple(finding for finding in findings if finding.severity is Severity.ERROR)
--- a/src/lentilrill/settings/_lists.py
+++ b/src/lentilrill/settings/_lists.py
@@ -1,7 +1,7 @@
-"""Decoding of the operators' two files, with every error and its path.
+"""Decoding of the operators' two files, reporting every error with its path.
 
-A typed decoder stops at the first error. Here each entry is converted field by field, so that
-an operator who edits a long list sees all of its errors at once.
+A typed decoder stops at the first error. This module converts each entry field by field, so that
+an operator who edits a long list sees all errors at once.
 """
 
 from typing import Any, TypeVar
@@ -17,7 +17,7 @@
 
 MAX_SHOWN_KEY_CHARS = 80
 BROKEN = object()
-"""Stands for the value of a file that is no JSON; its finding is there already."""
+"""Sentinel for a file that is not valid JSON and whose error is already reported."""
 
 S = TypeVar("S", bound=msgspec.Struct)
 
@@ -47,7 +47,7 @@
 
 
 def encode_lists(document: Document) -> tuple[bytes, bytes]:
-    """Return the two files of a document, formatted for people to edit."""
+    """Return the contents of the two files for a document, indented for editing."""
     rest = EntitlementsFile(document.pools, document.objective, document.entitlements)
     return _pretty(document.plans), _pretty(rest)
 
@@ -57,13 +57,13 @@
 
 
 class _Reader:
-    """Collects the findings of one decoding."""
+    """Converts parsed JSON to the settings types and collects findings."""
 
     def __init__(self) -> None:
         self.findings: list[Finding] = []
 
     def parsed(self, text: bytes, path: str) -> Any:
-        """Return the JSON value of ``text``, or ``BROKEN`` with a finding."""
+        """Return the JSON value of ``text``, or ``BROKEN`` after adding a finding."""
         try:
             return msgspec.json.decode(text)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
@@ -71,7 +71,7 @@
             return BROKEN
 
     def entries(self, raw: Any, kind: type[S], path: str) -> tuple[S, ...]:
-        """Convert a list entry by entry; entries with errors are left out."""
+        """Convert a list entry by entry; omit entries with errors."""
         if not isinstance(raw, list):
             if raw is not BROKEN:
                 self._add(path, f"expected a list, got {_kind_of(raw)}")
@@ -80,7 +80,7 @@
         return tuple(entry for entry in entries if entry is not None)
 
     def struct_values(self, raw: Any, kind: type[msgspec.Struct], path: str) -> dict[str, Any]:
-        """Convert an object's fields one by one; return those that are right."""
+        """Convert an object's fields one by one; return the valid ones."""
         if not isinstance(raw, dict):
             if raw is not BROKEN:
                 self._add(path or "entitlements.json", f"expected an object, got {_kind_of(raw)}")
@@ -88,7 +88,9 @@
         fields = {field.name: field for field in msgspec.structs.fields(kind)}
         for key in raw:
             if key not in fields:
-                self._add(_join(path, _shown(key)), f"unknown key; known: {', '.join(fields)}")
+                self._add(
+                    _join(path, _shown(key)), f"unknown key; expected one of: {', '.join(fields)}"
+                )
         values: dict[str, Any] = {}
         for name, field in fields.items():
             if name in raw:
--- a/src/lentilrill/settings/_loading.py
+++ b/src/lentilrill/settings/_loading.py
@@ -1,4 +1,4 @@
-"""Reading a process's settings from a file."""
+"""Loading the settings of a process from a file."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -19,7 +19,7 @@
 def load_settings(path: Path, kind: type[S]) -> Result[S, Fault]:
     """Read settings of ``kind`` from the JSON file at ``path``.
 
-    :return: the settings, or a fault whose reason, in one line, names each offending key's path.
+    :return: the settings, or a fault whose one-line reason names the path of each invalid key.
     """
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=kind)
--- a/src/lentilrill/settings/_located.py
+++ b/src/lentilrill/settings/_located.py
@@ -1,4 +1,4 @@
-"""Where a decoder's error lies, without the decoder's notation."""
+"""Conversion of msgspec error messages into a key path and a message."""
 
 import re
 
@@ -9,7 +9,7 @@
 
 
 def located(error: Exception) -> tuple[str, str]:
-    """Return the key's path and the message of an error, without the decoder's notation."""
+    """Return the key path and the message of an error, without msgspec's path notation."""
     message, _, at = str(error).partition(" - at `$")
     path = at.rstrip("`").lstrip(".")
     for pattern, text in ((UNKNOWN_FIELD, "unknown key"), (MISSING_FIELD, "missing")):
--- a/src/lentilrill/settings/_process.py
+++ b/src/lentilrill/settings/_process.py
@@ -1,4 +1,4 @@
-"""Settings of one process."""
+"""Settings types of the processes."""
 
 from typing import Annotated
 
@@ -24,8 +24,8 @@
 ]
 
 LINK_MBPS_A_CORE = 20.0
-"""Bandwidth that an owner of pools needs for each core that it keeps busy, in megabits a second:
-reads of stored jobs after a take-over, orders to endpoints, and news."""
+"""Bandwidth in Mbit/s that a pool owner needs per busy core, for reading stored jobs after a
+take-over, orders to endpoints and status messages."""
 
 
 class InnerKeys(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -36,11 +36,11 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's services are and how much of them a process may use.
+    """Addresses of the platform's services and the limits of a process's calls.
 
     :param key_value: addresses of the key-value service, tried in turn.
     :param host_list: address of the host list.
-    :param prefix: first part of every key of this system.
+    :param prefix: prefix of all keys of this system.
     :param deadline_s: deadline of one call, in seconds.
     :param calls_per_s: call budget of the process.
     """
@@ -53,12 +53,12 @@
 
 
 class ProcessSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What every process needs to know of itself.
+    """Settings that all processes have in common.
 
     :param inner: address on which other processes of the system reach this one.
-    :param inner_listen: address to bind if it differs from ``inner``, as behind a relay. Own
-        connections to peers start from its IP number.
-    :param seeds: inner addresses of processes to ask first.
+    :param inner_listen: address to bind if it differs from ``inner``, as behind a relay. Outgoing
+        connections to peers use its IP address as their source.
+    :param seeds: inner addresses of the processes to contact first.
     :param statsd: address of the statsd sink; empty means no metrics are sent.
     :param heartbeat_s: seconds between two heartbeats to a peer.
     :param suspect_after_s: seconds of silence after which a peer is suspect.
@@ -78,14 +78,14 @@
 
 
 class GatewaySettings(ProcessSettings, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Settings of the request path.
+    """Settings of a gateway, which serves the request path.
 
     :param listen: address for callers.
-    :param forwards: address told to other gateways, if it differs from ``listen``.
-    :param threads: callers that can be held at once; more than the queue bound.
+    :param forwards: address advertised to other gateways, if it differs from ``listen``.
+    :param threads: maximum concurrent requests; must exceed the queue limit.
     :param drain_s: seconds that a stopping process waits for requests in flight.
-    :param drain_notice_s: seconds that it still takes jobs after ``/readyz`` says 503.
-    :param claim_retention_s: seconds that the outcome of a keyed job is kept.
+    :param drain_notice_s: seconds that it still accepts jobs after ``/readyz`` returns 503.
+    :param claim_retention_s: seconds that the outcome of a keyed job is retained.
     """
 
     listen: Address
@@ -101,12 +101,12 @@
 
 
 class ControllerSettings(ProcessSettings, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Settings of the fleet path.
+    """Settings of a controller, which manages the fleet.
 
     :param listen: address for operators.
     :param operator_tokens_sha256: hex SHA-256 of each operator's token, by operator name.
-    :param plan_every_s: seconds between two looks at the fleet.
-    :param host_list_lag_s: how old the platform's host list may be, in seconds.
+    :param plan_every_s: seconds between two planning rounds.
+    :param host_list_lag_s: maximum age of the platform's host list, in seconds.
     """
 
     listen: Address
@@ -117,7 +117,7 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The key-value store of the platform on which entry hosts run.
+    """Address and call budget of the entry hosts' key-value store.
 
     :param calls_per_s: call budget of the process.
     """
@@ -127,11 +127,11 @@
 
 
 class EntryHostLimits(msgspec.Struct, frozen=True):
-    """What an entry host may use; the whole of one core, and any link, unless said.
+    """Resource limits of an entry host; by default one core and an unlimited link.
 
-    :param cpu_share: share of each core's time.
-    :param cores: how many times a usual core's speed all of its cores have together.
-    :param link_mbps: bandwidth of its link in megabits a second.
+    :param cpu_share: share of the time of each core.
+    :param cores: total speed of all cores, in multiples of a reference core.
+    :param link_mbps: bandwidth of the network link in Mbit/s.
     """
 
     cpu_share: Positive = 1.0
@@ -140,26 +140,26 @@
 
     @property
     def strength(self) -> float:
-        """How much control work the host can carry, in usual cores.
+        """Capacity of the host for control work, in reference cores.
 
-        Its link counts for as many as it can keep busy: an owner that reads its jobs and talks to
-        its endpoints over a slow link is late whatever processor it has.
+        The link limits the result to the number of cores that it can keep busy: an owner that
+        reads jobs and calls endpoints over a slow link is late whatever its processor.
         """
         return min(self.cpu_share * self.cores, self.link_mbps / LINK_MBPS_A_CORE)
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings of an entry host on the users' platform, which may hold more than is known here.
+    """Settings of an entry host on the users' platform; unknown keys are ignored.
 
     :param callers: address for callers of jobs.
-    :param readiness: address on which the platform's balancer asks.
+    :param readiness: address that the platform's load balancer polls for readiness.
     :param metrics: address on which metrics are served.
     :param hosts_api: address of the platform's list of hosts, for moves and upkeep.
-    :param host_orders_per_s: orders to hosts that the platform takes a second from all entry hosts.
+    :param host_orders_per_s: orders to hosts per second accepted from all entry hosts together.
     :param advice: address of the policy service; empty if there is none.
     :param grace_s: seconds from SIGTERM to SIGKILL.
-    :param limits: what the host may use.
-    :param threads: callers that can be held at once.
+    :param limits: resource limits of the host.
+    :param threads: maximum concurrent requests.
     """
 
     process: ProcessId
--- a/src/lentilrill/settings/_process_checks.py
+++ b/src/lentilrill/settings/_process_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a process's settings that go beyond the type of one key."""
+"""Validation of process settings beyond the types of single keys."""
 
 import ipaddress
 import re
@@ -18,7 +18,7 @@
 
 
 def problems_of(settings: ProcessSettings) -> tuple[str, ...]:
-    """Return what is wrong, each as ``key.path: message``."""
+    """Return all errors, each as ``key.path: message``."""
     checks: tuple[Callable[[ProcessSettings], Problems], ...] = (
         _addresses,
         _keys,
@@ -42,7 +42,7 @@
         for n, address in enumerate(settings.platform.key_value):
             yield from _address(f"platform.key_value[{n}]", address)
         if settings.listen == (settings.inner_listen or settings.inner):
-            yield f"listen: {settings.listen} is the inner address too"
+            yield f"listen: {settings.listen} is also the inner address"
     if isinstance(settings, GatewaySettings) and settings.forwards:
         yield from _address("forwards", settings.forwards)
 
@@ -52,7 +52,7 @@
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        yield f"{path}: {address!r} is not an IP address and a port"
+        yield f"{path}: {address!r} is not an IP address with a port"
         return
     if not port.isdigit() or not 1 <= int(port) <= MAX_PORT:
         yield f"{path}: port of {address!r} is out of range: 1 to {MAX_PORT}"
@@ -72,7 +72,7 @@
     if settings.suspect_after_s <= settings.heartbeat_s:
         yield (
             f"suspect_after_s: {settings.suspect_after_s} must be more than heartbeat_s "
-            f"({settings.heartbeat_s}), or every peer is suspect between two heartbeats"
+            f"({settings.heartbeat_s}), or every peer becomes suspect between two heartbeats"
         )
 
 
@@ -81,7 +81,7 @@
         if not getattr(settings, name):
             yield f"{name}: must not be empty"
     if settings.log_level not in LOG_LEVELS:
-        yield f"log_level: {settings.log_level!r} is none of {', '.join(LOG_LEVELS)}"
+        yield f"log_level: {settings.log_level!r} is not one of {', '.join(LOG_LEVELS)}"
     if isinstance(settings, ControllerSettings):
         yield from _operators(settings)
 
@@ -89,14 +89,14 @@
 def _operators(settings: ControllerSettings) -> Problems:
     tokens = settings.operator_tokens_sha256
     if not tokens:
-        yield "operator_tokens_sha256: names no operator, so nobody could edit anything"
+        yield "operator_tokens_sha256: names no operator, so no edit would be possible"
     owner_by_digest: dict[str, str] = {}
     for name, digest in tokens.items():
         path = f"operator_tokens_sha256.{name}"
         if not name:
-            yield f"{path}: the operator has no name"
+            yield f"{path}: the name of the operator is empty"
         if not DIGEST_PATTERN.fullmatch(digest):
             yield f"{path}: must be a SHA-256 in 64 hex digits"
         elif digest.lower() in owner_by_digest:
-            yield f"{path}: is the token of {owner_by_digest[digest.lower()]!r} too"
+            yield f"{path}: is the token of {owner_by_digest[digest.lower()]!r} as well"
         owner_by_digest.setdefault(digest.lower(), name)
--- a/tests/settings/test_checks.py
+++ b/tests/settings/test_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the document: every error is reported, with its path."""
+"""Validation of the operators' document: every error is reported with its path."""
 
 import msgspec
 from testtools import TestCase
@@ -21,7 +21,7 @@
         self.assertEqual((), check(a_document("schools", "spare")))
 
     def test_every_error_is_reported_not_just_the_first(self) -> None:
-        # An operator renews a long list and gets one error a try, for twenty tries.
+        # Guards against showing one error per attempt to an operator who edits a long list.
         plans = (
             a_plan(hosts_owed=-1, availability_budget=0),
             a_plan("spare", token_sha256="ABC", start_within_s=float("nan")),
@@ -41,7 +41,7 @@
             self.assertIn(path, found)
 
     def test_tokens_are_unique_and_not_shown(self) -> None:
-        # Two plans with one token: whose job a request is could not be told.
+        # With one token for two plans, the plan of a request would be ambiguous.
         plans = (a_plan(), a_plan("spare", token_sha256=a_plan().token_sha256))
         (finding,) = check(changed(plans=plans))
         self.assertEqual("plans[1].token_sha256", finding.path)
@@ -97,7 +97,7 @@
         self.assertEqual(expected, set(found))
 
     def test_ids_fit_into_keys_and_paths(self) -> None:
-        # An id with a slash would put a pool's record under another pool's key.
+        # An id with a slash would store a pool's record under the key of another pool.
         for name in ("", "a/b", "a b", "../x", "x" * 65, "\u00e9"):
             plan = a_plan(id=PlanId(name))
             self.assertIn("plans[0].id", paths(changed(plans=(plan, a_plan("spare")))))
--- a/tests/settings/test_lists.py
+++ b/tests/settings/test_lists.py
@@ -39,8 +39,8 @@
         self.assertEqual(Success(Document()), decode_lists(b"[]", b"{}"))
 
     def test_every_error_with_its_path(self) -> None:
-        # An operator mistypes a key, a type and a name in different entries: all are shown at
-        # once, each with where it stands.
+        # A wrong key, type and value in different entries are all reported at once, each with
+        # its path.
         plan = json.loads(encode_lists(a_document("schools"))[0])[0]
         plans = [
             plan | {"hosts_owed": "6"},
@@ -86,7 +86,7 @@
     @settings(derandomize=True, max_examples=400, database=None, deadline=None)
     @given(st.binary(max_size=40) | json_values.map(repr).map(str.encode), json_values)
     def test_whatever_is_in_the_files_is_decoded_or_refused(self, plans, entitlements) -> None:
-        # A wrong file is no reason for a traceback in an operator's terminal or a controller's log.
+        # Guards against tracebacks in the terminal of an operator or the log of a controller.
         body = json.dumps(entitlements).encode()
         for result in (decode_lists(plans, body), decode_lists(body, plans)):
             if isinstance(result, Success):
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -1,4 +1,4 @@
-"""Settings files of processes: strict, with one clear line."""
+"""Loading of settings files: strict decoding and one-line error messages."""
 
 import json
 import tempfile
@@ -114,7 +114,7 @@
 
 class StrengthTest(TestCase):
     def test_a_slow_link_makes_a_host_weak(self) -> None:
-        """A host with a good processor never got through its pool's jobs: its link was slow."""
+        """Guards against ownership by a host whose slow link keeps it behind on its pool's jobs."""
         fast = EntryHostLimits(cpu_share=0.7, cores=3, link_mbps=100)
         slow = EntryHostLimits(cpu_share=0.7, cores=3, link_mbps=5)
         self.assertAlmostEqual(2.1, fast.strength)
