--- a/src/lentilrill/telemetry/_dependency.py
+++ b/src/lentilrill/telemetry/_dependency.py
@@ -1,4 +1,4 @@
-"""Telling once that something this process depends on is lost, and once that it is back."""
+"""Logging of the loss and the recovery of a dependency, once each."""
 
 from lentilrill.telemetry._events import Event, log
 
@@ -6,9 +6,11 @@
 
 
 class Dependency:
-    """One dependency, whose tries may fail several times a second for as long as it is away.
+    """State of one dependency; logs only the first failure and the first success after it.
 
-    :param name: as it stands in the log.
+    Calls may fail several times per second during an outage.
+
+    :param name: name of the dependency in the log.
     """
 
     def __init__(self, name: str) -> None:
@@ -16,13 +18,13 @@
         self._is_lost = False
 
     def failed(self, reason: str) -> None:
-        """Note a failed try; the first one in a row is logged."""
+        """Record a failed call; log it if it is the first in a row."""
         if not self._is_lost:
             self._is_lost = True
             log(Event.DEPENDENCY_LOST, dependency=self._name, reason=reason)
 
     def succeeded(self) -> None:
-        """Note a try that succeeded; the first one after failures is logged."""
+        """Record a successful call; log it if it is the first after a failure."""
         if self._is_lost:
             self._is_lost = False
             log(Event.DEPENDENCY_BACK, dependency=self._name)
--- a/src/lentilrill/telemetry/_guarded.py
+++ b/src/lentilrill/telemetry/_guarded.py
@@ -1,4 +1,4 @@
-"""Rounds of a task that must go on whatever one of them meets."""
+"""Running one iteration of a task that must survive unexpected errors."""
 
 from collections.abc import Callable
 
@@ -8,11 +8,10 @@
 
 
 def guarded(task: str, round_: Callable[[], object]) -> bool:
-    """Run one round of a task; return whether it ended without an unexpected error.
+    """Run one iteration of a task; return whether it ended without an exception.
 
-    Guard against a task that is gone for good: an error that nobody foresaw would end its thread
-    without a trace, and whatever it looked after would stand still. It is logged, and the caller
-    goes on with the next round.
+    An exception is logged and the caller continues with the next iteration. Otherwise an
+    unexpected error would silently end the thread, and the work of the task would stop for good.
     """
     try:
         round_()
--- a/src/lentilrill/telemetry/_lines.py
+++ b/src/lentilrill/telemetry/_lines.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON objects on standard output, written by a task of their own."""
+"""Log lines as JSON objects on standard output, written by a separate thread."""
 
 import logging as std_logging
 import queue
@@ -13,14 +13,14 @@
 __all__ = ["set_level", "setup"]
 
 MOST_WAITING = 10_000
-"""Lines that may wait for standard output; more are counted and dropped, since a reader that has
-stopped reading must never hold up a request."""
+"""Maximum number of lines queued for standard output. Further lines are counted and dropped,
+because a reader that stopped reading must not block requests."""
 GATHER_S = 0.05
-"""Lines that come within this time are written by one system call."""
+"""Lines logged within this time are written with one system call."""
 
 
 class _BoundedHandler(QueueHandler):
-    """Queues records for the writing task, and drops what does not fit."""
+    """Queues records for the writer thread and drops records when the queue is full."""
 
     def __init__(self, lines: "queue.Queue[std_logging.LogRecord]") -> None:
         super().__init__(lines)
@@ -28,7 +28,7 @@
         self.dropped = 0
 
     def enqueue(self, record: std_logging.LogRecord) -> None:
-        """Queue a record without waiting."""
+        """Queue a record without blocking."""
         try:
             self.lines.put_nowait(record)
         except queue.Full:
@@ -42,13 +42,13 @@
         self._told = 0
 
     def run(self) -> None:
-        """Write lines for as long as the process lives."""
+        """Write queued lines until the process ends."""
         while True:
             self.write([self._handler.lines.get()])
             time.sleep(GATHER_S)
 
     def write(self, records: list[std_logging.LogRecord]) -> None:
-        """Write ``records`` and all that waits."""
+        """Write ``records`` and all queued records."""
         while True:
             try:
                 records.append(self._handler.lines.get_nowait())
@@ -79,7 +79,7 @@
 def setup(level: str, process: str = "") -> None:
     """Send log lines at or above ``level`` (debug, info, warning, error) to standard output.
 
-    :param process: named in the line that says the log begins.
+    :param process: name of the process in the first log line.
     """
     flags.FLAGS([sys.argv[0]])
     logging.use_absl_handler()
@@ -88,9 +88,9 @@
     logger = logging.get_absl_logger()
     logger.handlers = [handler]
     logger.propagate = False
-    # What libraries log goes the same way: a line of another form breaks whoever reads the log by
-    # machine, and a write by the calling thread can block it.
+    # Records of libraries use the same handler: a line that is not JSON breaks programs that parse
+    # the log, and a write in the calling thread can block it.
     std_logging.getLogger().handlers = [handler]
     writer = _Writer(handler)
     writer.start()
-    logging.info("log begins: %s", process)
+    logging.info("log started: %s", process)
--- a/src/lentilrill/telemetry/_metrics.py
+++ b/src/lentilrill/telemetry/_metrics.py
@@ -11,7 +11,7 @@
 
 
 class Metrics(Protocol):
-    """Where figures go."""
+    """Destination of counters, gauges and timings."""
 
     def incr(self, stat: str, count: int = 1) -> None:
         """Add to a counter."""
@@ -24,20 +24,20 @@
 
 
 class NoMetrics:
-    """Metrics that go nowhere."""
+    """Metrics that discard all values."""
 
     def incr(self, stat: str, count: int = 1) -> None:
-        """Ignore a count."""
+        """Discard a count."""
 
     def gauge(self, stat: str, value: float) -> None:
-        """Ignore a value."""
+        """Discard a value."""
 
     def timing(self, stat: str, delta: float) -> None:
-        """Ignore a duration."""
+        """Discard a duration."""
 
 
 def connect(address: str, process: str) -> Metrics:
-    """Return metrics sent to ``address`` (``ip:port``), or nowhere if it is empty."""
+    """Return metrics sent to ``address`` (``ip:port``), or discarded if it is empty."""
     if not address:
         return NoMetrics()
     host, _, port = address.rpartition(":")
--- a/src/lentilrill/telemetry/_prometheus.py
+++ b/src/lentilrill/telemetry/_prometheus.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms for scraping over HTTP."""
+"""Counters, gauges and histograms in the Prometheus text format."""
 
 import re
 import threading
@@ -12,7 +12,7 @@
 
 
 class ScrapedMetrics:
-    """Metrics that are kept here until somebody reads them."""
+    """Metrics kept in memory for a Prometheus scraper."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -53,7 +53,7 @@
         histogram.observe(delta)
 
     def page(self) -> bytes:
-        """Return all figures in the text format."""
+        """Return all metrics in the text format."""
         return generate_latest(self._registry)
 
 
--- a/tests/docs/events.py
+++ b/tests/docs/events.py
@@ -1,4 +1,4 @@
-"""The page of log events, from the catalogue: ``python -m tests.docs.events`` writes it."""
+"""Generator of docs/events.md from the event catalogue: ``python -m tests.docs.events``."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
     {"at":1770658014.453,"level":"info","id":901,"event":"edit_accepted","who":"ben","revision":219}
 
-A line `lines_dropped` tells how many lines were lost because nobody read them in time.
+A line `lines_dropped` reports how many lines were dropped because the reader was too slow.
 
 Numbers are never reused. The tables are written by `python -m tests.docs.events` from the catalogue
 in `lentilrill/telemetry/_events.py`, and a test compares them.
@@ -35,7 +35,7 @@
 
 
 def events_page() -> str:
-    """Return the page as it should be."""
+    """Return the expected content of the page."""
     text = HEAD
     for block, title in BLOCKS.items():
         events = sorted((e for e in Event if e.number // 100 == block), key=lambda e: e.number)
--- a/tests/docs/test_links.py
+++ b/tests/docs/test_links.py
@@ -1,4 +1,4 @@
-"""Every link between the pages leads somewhere."""
+"""Every link between the pages resolves to a file."""
 
 import re
 from pathlib import Path
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages that list what the code has are whole."""
+"""Pages that list names of the code are complete."""
 
 import json
 import re
--- a/tests/telemetry/test_dependency.py
+++ b/tests/telemetry/test_dependency.py
@@ -1,4 +1,4 @@
-"""Lines about what a process depends on."""
+"""Log lines about the dependencies of a process."""
 
 from unittest.mock import patch
 
@@ -9,9 +9,9 @@
 
 class DependencyTest(TestCase):
     def test_one_line_for_the_loss_and_one_for_the_return(self) -> None:
-        """In an outage of an hour the log of one host filled its disk quota.
+        """Guards against one log line per failed call.
 
-        Its lease was tried several times a second, and each failed try was a line.
+        In an outage of an hour, a lease renewed several times per second filled a disk quota.
         """
         with patch("lentilrill.telemetry._dependency.log") as log:
             lease = Dependency("lease")
--- a/tests/telemetry/test_lines.py
+++ b/tests/telemetry/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output, each a JSON object."""
+"""Log lines on standard output are JSON objects."""
 
 import json
 import subprocess
@@ -17,10 +17,10 @@
 
 class LinesTest(TestCase):
     def test_what_a_library_logs_is_a_line_like_the_others(self) -> None:
-        """A search by request stopped half-way: one line in a thousand was no JSON.
+        """Guards against lines that are not JSON, which break programs that parse the log.
 
-        An HTTP library warned through the standard library's root logger, which wrote in a form
-        of its own.
+        An HTTP library logged through the root logger of the standard library, which used its
+        own format.
         """
         texts = []
         with subprocess.Popen(
