--- a/src/lentilrill/settings/_located.py
+++ b/src/lentilrill/settings/_decode_errors.py
@@ -2,13 +2,13 @@
 
 import re
 
-__all__ = ["located"]
+__all__ = ["path_and_message"]
 
 UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.*)`", re.DOTALL)
 MISSING_FIELD = re.compile(r"Object missing required field `(.*)`", re.DOTALL)
 
 
-def located(error: Exception) -> tuple[str, str]:
+def path_and_message(error: Exception) -> tuple[str, str]:
     """Return the key path and the message of an error, without msgspec's path notation."""
     message, _, at = str(error).partition(" - at `$")
     path = at.rstrip("`").lstrip(".")
--- a/src/lentilrill/settings/_loading.py
+++ b/src/lentilrill/settings/_loading.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from lentilrill.faults import Fault, FaultKind
-from lentilrill.settings._located import located
+from lentilrill.settings._decode_errors import path_and_message
 from lentilrill.settings._process import EntrySettings, ProcessSettings
 from lentilrill.settings._process_checks import problems_of
 
@@ -26,8 +26,8 @@
     except OSError as error:
         return _invalid(path, error.strerror or str(error))
     except msgspec.ValidationError as error:
-        where, message = located(error)
-        return _invalid(path, f"{where}: {message}" if where else message)
+        key_path, message = path_and_message(error)
+        return _invalid(path, f"{key_path}: {message}" if key_path else message)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return _invalid(path, f"broken JSON: {error}")
     problems = problems_of(settings) if isinstance(settings, ProcessSettings) else []
--- a/src/lentilrill/settings/_process.py
+++ b/src/lentilrill/settings/_process.py
@@ -17,13 +17,13 @@
     "StoreSettings",
 ]
 
-Positive = Annotated[float, msgspec.Meta(gt=0)]
-Count = Annotated[int, msgspec.Meta(ge=1)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 Address = Annotated[
     str, msgspec.Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$|^\[[0-9a-fA-F:.]+\]:[0-9]{1,5}$")
 ]
 
-LINK_MBPS_A_CORE = 20.0
+LINK_MBPS_PER_CORE = 20.0
 """Bandwidth in Mbit/s that a pool owner needs per busy core, for reading stored jobs after a
 take-over, orders to endpoints and status messages."""
 
@@ -48,8 +48,8 @@
     key_value: Annotated[tuple[Address, ...], msgspec.Meta(min_length=1)]
     host_list: Address
     prefix: str = "lentilrill/"
-    deadline_s: Positive = 2.0
-    calls_per_s: Positive = 50.0
+    deadline_s: PositiveFloat = 2.0
+    calls_per_s: PositiveFloat = 50.0
 
 
 class ProcessSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -73,8 +73,8 @@
     seeds: tuple[Address, ...] = ()
     statsd: str = ""
     log_level: str = "info"
-    heartbeat_s: Positive = 1.0
-    suspect_after_s: Positive = 3.5
+    heartbeat_s: PositiveFloat = 1.0
+    suspect_after_s: PositiveFloat = 3.5
 
 
 class GatewaySettings(ProcessSettings, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -91,13 +91,13 @@
     listen: Address
     platform: PlatformSettings
     forwards: str = ""
-    threads: Count = 400
-    drain_s: Positive = 3600.0
+    threads: PositiveInt = 400
+    drain_s: PositiveFloat = 3600.0
     drain_notice_s: Annotated[float, msgspec.Meta(ge=0)] = 2.0
-    largest_body_bytes: Count = 64 * 1024 * 1024
-    connect_timeout_s: Positive = 1.0
-    claim_retention_s: Positive = 600.0
-    claim_shards: Count = 16
+    largest_body_bytes: PositiveInt = 64 * 1024 * 1024
+    connect_timeout_s: PositiveFloat = 1.0
+    claim_retention_s: PositiveFloat = 600.0
+    claim_shards: PositiveInt = 16
 
 
 class ControllerSettings(ProcessSettings, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -112,8 +112,8 @@
     listen: Address
     platform: PlatformSettings
     operator_tokens_sha256: dict[str, str]
-    plan_every_s: Positive = 1.0
-    host_list_lag_s: Positive = 10.0
+    plan_every_s: PositiveFloat = 1.0
+    host_list_lag_s: PositiveFloat = 10.0
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -123,7 +123,7 @@
     """
 
     address: Address
-    calls_per_s: Positive = 60.0
+    calls_per_s: PositiveFloat = 60.0
 
 
 class EntryHostLimits(msgspec.Struct, frozen=True):
@@ -134,9 +134,9 @@
     :param link_mbps: bandwidth of the network link in Mbit/s.
     """
 
-    cpu_share: Positive = 1.0
-    cores: Positive = 1.0
-    link_mbps: Positive = 1000.0
+    cpu_share: PositiveFloat = 1.0
+    cores: PositiveFloat = 1.0
+    link_mbps: PositiveFloat = 1000.0
 
     @property
     def strength(self) -> float:
@@ -145,7 +145,7 @@
         The link limits the result to the number of cores that it can keep busy: an owner that
         reads jobs and calls endpoints over a slow link is late whatever its processor.
         """
-        return min(self.cpu_share * self.cores, self.link_mbps / LINK_MBPS_A_CORE)
+        return min(self.cpu_share * self.cores, self.link_mbps / LINK_MBPS_PER_CORE)
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -170,9 +170,9 @@
     metrics: Address
     store: StoreSettings
     hosts_api: str = ""
-    host_orders_per_s: Positive = 50.0
+    host_orders_per_s: PositiveFloat = 50.0
     advice: str = ""
     log_level: Annotated[str, msgspec.Meta(pattern="^(debug|info|warning|error)$")] = "info"
-    grace_s: Positive = 6.0
+    grace_s: PositiveFloat = 6.0
     limits: EntryHostLimits = EntryHostLimits()
-    threads: Count = 24
+    threads: PositiveInt = 24
--- a/src/lentilrill/settings/_process_checks.py
+++ b/src/lentilrill/settings/_process_checks.py
@@ -20,34 +20,34 @@
 def problems_of(settings: ProcessSettings) -> tuple[str, ...]:
     """Return all errors, each as ``key.path: message``."""
     checks: tuple[Callable[[ProcessSettings], Problems], ...] = (
-        _addresses,
-        _keys,
-        _liveness,
-        _own,
+        _check_addresses,
+        _check_keys,
+        _check_heartbeats,
+        _check_process,
     )
     return tuple(problem for check in checks for problem in check(settings))
 
 
-def _addresses(settings: ProcessSettings) -> Problems:
-    yield from _address("inner", settings.inner)
+def _check_addresses(settings: ProcessSettings) -> Problems:
+    yield from _check_address("inner", settings.inner)
     if settings.inner_listen:
-        yield from _address("inner_listen", settings.inner_listen)
+        yield from _check_address("inner_listen", settings.inner_listen)
     for n, seed in enumerate(settings.seeds):
-        yield from _address(f"seeds[{n}]", seed)
+        yield from _check_address(f"seeds[{n}]", seed)
     if settings.statsd:
-        yield from _address("statsd", settings.statsd)
+        yield from _check_address("statsd", settings.statsd)
     if isinstance(settings, GatewaySettings | ControllerSettings):
-        yield from _address("listen", settings.listen)
-        yield from _address("platform.host_list", settings.platform.host_list)
+        yield from _check_address("listen", settings.listen)
+        yield from _check_address("platform.host_list", settings.platform.host_list)
         for n, address in enumerate(settings.platform.key_value):
-            yield from _address(f"platform.key_value[{n}]", address)
+            yield from _check_address(f"platform.key_value[{n}]", address)
         if settings.listen == (settings.inner_listen or settings.inner):
             yield f"listen: {settings.listen} is also the inner address"
     if isinstance(settings, GatewaySettings) and settings.forwards:
-        yield from _address("forwards", settings.forwards)
+        yield from _check_address("forwards", settings.forwards)
 
 
-def _address(path: str, address: str) -> Problems:
+def _check_address(path: str, address: str) -> Problems:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -58,7 +58,7 @@
         yield f"{path}: port of {address!r} is out of range: 1 to {MAX_PORT}"
 
 
-def _keys(settings: ProcessSettings) -> Problems:
+def _check_keys(settings: ProcessSettings) -> Problems:
     try:
         derived = zmq.curve_public(settings.keys.secret.encode()).decode()
     except (zmq.ZMQError, ValueError, UnicodeError):
@@ -68,7 +68,7 @@
         yield "keys.public: does not belong to keys.secret"
 
 
-def _liveness(settings: ProcessSettings) -> Problems:
+def _check_heartbeats(settings: ProcessSettings) -> Problems:
     if settings.suspect_after_s <= settings.heartbeat_s:
         yield (
             f"suspect_after_s: {settings.suspect_after_s} must be more than heartbeat_s "
@@ -76,27 +76,27 @@
         )
 
 
-def _own(settings: ProcessSettings) -> Problems:
+def _check_process(settings: ProcessSettings) -> Problems:
     for name in ("process", "entry_host", "zone"):
         if not getattr(settings, name):
             yield f"{name}: must not be empty"
     if settings.log_level not in LOG_LEVELS:
         yield f"log_level: {settings.log_level!r} is not one of {', '.join(LOG_LEVELS)}"
     if isinstance(settings, ControllerSettings):
-        yield from _operators(settings)
+        yield from _check_operators(settings)
 
 
-def _operators(settings: ControllerSettings) -> Problems:
+def _check_operators(settings: ControllerSettings) -> Problems:
     tokens = settings.operator_tokens_sha256
     if not tokens:
         yield "operator_tokens_sha256: names no operator, so no edit would be possible"
-    owner_by_digest: dict[str, str] = {}
+    operator_by_digest: dict[str, str] = {}
     for name, digest in tokens.items():
         path = f"operator_tokens_sha256.{name}"
         if not name:
             yield f"{path}: the name of the operator is empty"
         if not DIGEST_PATTERN.fullmatch(digest):
             yield f"{path}: must be a SHA-256 in 64 hex digits"
-        elif digest.lower() in owner_by_digest:
-            yield f"{path}: is the token of {owner_by_digest[digest.lower()]!r} as well"
-        owner_by_digest.setdefault(digest.lower(), name)
+        elif digest.lower() in operator_by_digest:
+            yield f"{path}: is the token of {operator_by_digest[digest.lower()]!r} as well"
+        operator_by_digest.setdefault(digest.lower(), name)
