--- a/src/lentilrill/telemetry/_events.py
+++ b/src/lentilrill/telemetry/_events.py
@@ -232,18 +232,18 @@
 
 def log(event: Event, **fields: object) -> None:
     """Log ``event`` with its number, name and fields on one line."""
-    shown = {name: _shown(value) for name, value in fields.items()}
+    encoded = {name: _loggable(value) for name, value in fields.items()}
     logging.log(
         _LEVELS[event.level],
         "E%d %s %s",
         event.number,
         event.name.lower(),
-        shown,
-        extra={"fields": {"id": event.number, "event": event.name.lower(), **shown}},
+        encoded,
+        extra={"fields": {"id": event.number, "event": event.name.lower(), **encoded}},
     )
 
 
-def _shown(value: object) -> object:
+def _loggable(value: object) -> object:
     if isinstance(value, tuple):
         return ".".join(str(part) for part in value)
     return value if isinstance(value, str | int | float | bool | None) else str(value)
--- a/src/lentilrill/telemetry/_guarded.py
+++ b/src/lentilrill/telemetry/_guarded.py
@@ -7,14 +7,14 @@
 __all__ = ["guarded"]
 
 
-def guarded(task: str, round_: Callable[[], object]) -> bool:
+def guarded(task: str, iteration: Callable[[], object]) -> bool:
     """Run one iteration of a task; return whether it ended without an exception.
 
     An exception is logged and the caller continues with the next iteration. Otherwise an
     unexpected error would silently end the thread, and the work of the task would stop for good.
     """
     try:
-        round_()
+        iteration()
     except Exception as error:
         log(Event.TASK_FAILED, task=task, error=repr(error))
         return False
--- a/src/lentilrill/telemetry/_lines.py
+++ b/src/lentilrill/telemetry/_lines.py
@@ -12,25 +12,25 @@
 
 __all__ = ["set_level", "setup"]
 
-MOST_WAITING = 10_000
+MAX_QUEUED_LINES = 10_000
 """Maximum number of lines queued for standard output. Further lines are counted and dropped,
 because a reader that stopped reading must not block requests."""
-GATHER_S = 0.05
+BATCH_INTERVAL_S = 0.05
 """Lines logged within this time are written with one system call."""
 
 
 class _BoundedHandler(QueueHandler):
     """Queues records for the writer thread and drops records when the queue is full."""
 
-    def __init__(self, lines: "queue.Queue[std_logging.LogRecord]") -> None:
-        super().__init__(lines)
-        self.lines = lines
+    def __init__(self, pending: "queue.Queue[std_logging.LogRecord]") -> None:
+        super().__init__(pending)
+        self.pending = pending
         self.dropped = 0
 
     def enqueue(self, record: std_logging.LogRecord) -> None:
         """Queue a record without blocking."""
         try:
-            self.lines.put_nowait(record)
+            self.pending.put_nowait(record)
         except queue.Full:
             self.dropped += 1
 
@@ -39,36 +39,36 @@
     def __init__(self, handler: _BoundedHandler) -> None:
         super().__init__(name="log-writer", daemon=True)
         self._handler = handler
-        self._told = 0
+        self._reported_drops = 0
 
     def run(self) -> None:
         """Write queued lines until the process ends."""
         while True:
-            self.write([self._handler.lines.get()])
-            time.sleep(GATHER_S)
+            self.write([self._handler.pending.get()])
+            time.sleep(BATCH_INTERVAL_S)
 
     def write(self, records: list[std_logging.LogRecord]) -> None:
         """Write ``records`` and all queued records."""
         while True:
             try:
-                records.append(self._handler.lines.get_nowait())
+                records.append(self._handler.pending.get_nowait())
             except queue.Empty:
                 break
-        lines = [_line(record) for record in records]
+        lines = [_encode_line(record) for record in records]
         dropped = self._handler.dropped
-        if dropped != self._told:
+        if dropped != self._reported_drops:
             lines.append(msgspec.json.encode({"event": "lines_dropped", "so_far": dropped}))
-            self._told = dropped
+            self._reported_drops = dropped
         sys.stdout.buffer.write(b"\n".join(lines) + b"\n")
         sys.stdout.buffer.flush()
 
 
-def _line(record: std_logging.LogRecord) -> bytes:
-    head = {"at": round(record.created, 3), "level": record.levelname.lower()}
+def _encode_line(record: std_logging.LogRecord) -> bytes:
+    common_fields = {"at": round(record.created, 3), "level": record.levelname.lower()}
     fields = getattr(record, "fields", None)
     if fields is None:
         fields = {"event": "line", "text": record.getMessage()}
-    return msgspec.json.encode(head | fields, enc_hook=str)
+    return msgspec.json.encode(common_fields | fields, enc_hook=str)
 
 
 def set_level(level: str) -> None:
@@ -84,7 +84,7 @@
     flags.FLAGS([sys.argv[0]])
     logging.use_absl_handler()
     set_level(level)
-    handler = _BoundedHandler(queue.Queue(MOST_WAITING))
+    handler = _BoundedHandler(queue.Queue(MAX_QUEUED_LINES))
     logger = logging.get_absl_logger()
     logger.handlers = [handler]
     logger.propagate = False
--- a/src/lentilrill/telemetry/_prometheus.py
+++ b/src/lentilrill/telemetry/_prometheus.py
@@ -7,7 +7,7 @@
 
 __all__ = ["ScrapedMetrics"]
 
-ODD = re.compile(r"[^a-zA-Z0-9_]")
+INVALID_NAME_CHARS = re.compile(r"[^a-zA-Z0-9_]")
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000)
 
 
@@ -28,7 +28,7 @@
             with self._lock:
                 counter = self._counters_by_name.get(stat)
                 if counter is None:
-                    counter = Counter(_name(stat), stat, registry=self._registry)
+                    counter = Counter(_metric_name(stat), stat, registry=self._registry)
                     self._counters_by_name[stat] = counter
         counter.inc(count)
 
@@ -37,7 +37,7 @@
         with self._lock:
             gauge = self._gauges_by_name.get(stat)
             if gauge is None:
-                gauge = Gauge(_name(stat), stat, registry=self._registry)
+                gauge = Gauge(_metric_name(stat), stat, registry=self._registry)
                 self._gauges_by_name[stat] = gauge
         gauge.set(value)
 
@@ -47,7 +47,7 @@
             histogram = self._histograms_by_name.get(stat)
             if histogram is None:
                 histogram = Histogram(
-                    _name(stat) + "_ms", stat, registry=self._registry, buckets=BUCKETS_MS
+                    _metric_name(stat) + "_ms", stat, registry=self._registry, buckets=BUCKETS_MS
                 )
                 self._histograms_by_name[stat] = histogram
         histogram.observe(delta)
@@ -57,5 +57,5 @@
         return generate_latest(self._registry)
 
 
-def _name(stat: str) -> str:
-    return "lentilrill_" + ODD.sub("_", stat)
+def _metric_name(stat: str) -> str:
+    return "lentilrill_" + INVALID_NAME_CHARS.sub("_", stat)
