--- a/src/lentilrill/store/__init__.py
+++ b/src/lentilrill/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service and host list, and this process's copy of the state keys."""
+"""Clients of the key-value service and the host list, and a local copy of the state keys."""
 
 from lentilrill.store._contract import (
     Compare,
--- a/src/lentilrill/store/_contract.py
+++ b/src/lentilrill/store/_contract.py
@@ -1,4 +1,4 @@
-"""What the system needs of the platform: a key-value service and a host list."""
+"""Interfaces to the platform: a key-value service and a host list."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -30,12 +30,12 @@
 
 
 class Priority(Enum):
-    """Who goes first when a process nears its call budget."""
+    """Priority of a call when the call budget of the process runs low."""
 
     FIRST = "first"
     """Configuration, withdrawals and claims."""
     LATER = "later"
-    """Everything that can wait."""
+    """All other calls."""
 
 
 class Item(msgspec.Struct, frozen=True):
@@ -50,21 +50,21 @@
 
 
 class RangeAnswer(msgspec.Struct, frozen=True):
-    """Items of a range read, and the store's revision at which it was read."""
+    """Items of a range read, and the store's revision at the time of the read."""
 
     items: tuple[Item, ...]
     revision: Revision
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """Condition of a transaction: the key's modification revision; 0 means absent."""
+    """Condition of a transaction: the key's modification revision; 0 means that it is absent."""
 
     key: str
     revision: Revision
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Write of a transaction; ``lease`` 0 means none."""
+    """Write of a transaction; ``lease`` is 0 if the key has no lease."""
 
     key: str
     value: bytes
@@ -72,16 +72,16 @@
 
 
 class DeleteRange(msgspec.Struct, frozen=True):
-    """Deletion of a transaction, from ``key`` up to but without ``end``; empty: just ``key``."""
+    """Deletion of the keys from ``key`` up to but not ``end``; just ``key`` if it is empty."""
 
     key: str
     end: str = ""
 
 
 class TxnAnswer(msgspec.Struct, frozen=True):
-    """Whether every comparison held, and the store's revision after the transaction.
+    """Whether all comparisons held, and the store's revision after the transaction.
 
-    :param found: if one did not hold, the compared items that exist, as far as the store says.
+    :param found: if a comparison failed, the compared items that exist, if the store returns them.
     """
 
     succeeded: bool
@@ -90,7 +90,7 @@
 
 
 class WatchBatch(msgspec.Struct, frozen=True):
-    """Changes in order; no change up to ``revision`` is missing after it.
+    """Changes in order; together with earlier batches they are complete up to ``revision``.
 
     A batch without items is a progress notice.
     """
@@ -100,17 +100,17 @@
 
 
 class WatchStream(Protocol):
-    """Changes in order, until a fault, which comes last."""
+    """Changes in order; a fault ends the stream and is its last element."""
 
     def __iter__(self) -> Iterator[Result[WatchBatch, Fault]]:
-        """Iterate over the changes, from one task."""
+        """Iterate over the changes; only one thread may do so."""
 
     def close(self) -> None:
-        """End the watch; any task may, also while another one waits for a change."""
+        """End the watch; any thread may call this, even while another one waits for a change."""
 
 
 class KeyValue(Protocol):
-    """The key-value service. Every call ends by its deadline with a result."""
+    """The key-value service. Every call returns a result by its deadline."""
 
     def read(self, prefix: str, priority: Priority = Priority.FIRST) -> Result[RangeAnswer, Fault]:
         """Read all items whose keys start with ``prefix``."""
@@ -121,7 +121,7 @@
     def newest(self, prefix: str, priority: Priority = Priority.LATER) -> Result[Revision, Fault]:
         """Return the highest modification revision of a present key below ``prefix``, or 0.
 
-        Cheap: keys only, one item, sorted by the service.
+        This is cheap: the service sorts and returns one item without its value.
         """
 
     def commit(
@@ -132,35 +132,35 @@
     ) -> Result[TxnAnswer, Fault]:
         """Apply ``writes`` if all ``compares`` hold.
 
-        A fault of kind ``AMBIGUOUS`` means that the writes may have taken effect.
+        A fault of kind ``AMBIGUOUS`` means that the writes may or may not have taken effect.
         """
 
     def watch(self, prefix: str, after: Revision) -> WatchStream:
-        """Yield changes below ``prefix`` later than ``after``, until a fault, which is yielded
-        last. Closing the iterator ends the watch. A silent watch yields a fault within its
-        progress interval. History that is no longer kept is a fault of kind ``CONFLICT``: read
-        again and watch from there.
+        """Yield changes below ``prefix`` after the revision ``after``, until a fault, which is
+        yielded last. Closing the iterator ends the watch. A silent watch yields a fault within
+        its progress interval. If the history is already compacted, the fault is of kind
+        ``CONFLICT``: the caller reads the prefix again and watches from that revision.
         """
 
     def lease(self, ttl_s: float) -> Result[int, Fault]:
         """Grant a lease and return its id."""
 
     def keep_alive(self, lease: int) -> Result[float, Fault]:
-        """Renew a lease and return its remaining seconds; a lapsed one is a ``CONFLICT``."""
+        """Renew a lease and return its remaining seconds; an expired one is a ``CONFLICT``."""
 
     def revoke(self, lease: int) -> Result[None, Fault]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
 
 class HostKind(Enum):
-    """What runs on a host."""
+    """Kind of a host: endpoint host or entry host."""
 
     WORKER = "worker"
     ENTRY = "entry"
 
 
 class HostState(Enum):
-    """What the platform's host list says of a host."""
+    """State of a host in the platform's host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -171,7 +171,7 @@
 
     :param address: ``ip:port`` of the endpoint on a worker.
     :param memory_gb: memory in gigabytes.
-    :param since: when the platform last started the host, in seconds since the epoch.
+    :param since: time when the platform last started the host, in seconds since the epoch.
     """
 
     id: HostId
@@ -187,9 +187,9 @@
 
 
 class HostListing(msgspec.Struct, frozen=True):
-    """The host list and how old it may be.
+    """The host list and its time stamp.
 
-    :param as_of: when the platform made the list, in seconds since the epoch.
+    :param as_of: time when the platform created the list, in seconds since the epoch.
     """
 
     hosts: tuple[HostInfo, ...]
@@ -197,7 +197,7 @@
 
 
 class HostList(Protocol):
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which may be out of date."""
 
     def hosts(self) -> Result[HostListing, Fault]:
         """Read the list."""
--- a/src/lentilrill/store/_etcd.py
+++ b/src/lentilrill/store/_etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service over etcd v3's HTTP/JSON gateway."""
+"""Client of the key-value service over the HTTP/JSON gateway of etcd v3."""
 
 import math
 import time
@@ -30,8 +30,8 @@
 
 MAX_VALUE_BYTES = 1_000_000
 WATCH_SILENCE_S = 900.0
-"""Longer than the service's usual ten minutes between progress notices. A connection that died
-is found much sooner by TCP; one that lives but says nothing, by the reader asking ``newest``."""
+"""Longer than the service's default of ten minutes between progress notices. TCP keep-alive finds a
+dead connection much sooner; the reader finds an open but silent one by calling ``newest``."""
 
 RANGE = "/v3/kv/range"
 TXN = "/v3/kv/txn"
@@ -69,12 +69,12 @@
 class EtcdKeyValue:
     """A :class:`~lentilrill.store.KeyValue` on etcd v3.
 
-    Keys are relative: the system's prefix is put in front of those that go out and taken off
-    those that come back.
+    Keys are relative: the client adds the prefix of the system to keys that it sends and removes
+    it from keys that it receives.
 
     :param budget: the process's call budget, if it is shared with other clients.
-    :param silence_s: silence after which a watch ends with a fault, in seconds. The service
-        must send progress notices more often than that.
+    :param silence_s: seconds of silence after which a watch ends with a fault. The service must
+        send progress notices more often.
     """
 
     def __init__(
@@ -132,7 +132,9 @@
         step = "platform.commit"
         for write in writes:
             if isinstance(write, Put) and len(write.value) > MAX_VALUE_BYTES:
-                reason = f"{write.key}: {len(write.value)} bytes are over {MAX_VALUE_BYTES}"
+                reason = (
+                    f"{write.key}: {len(write.value)} bytes exceed the limit of {MAX_VALUE_BYTES}"
+                )
                 return Failure(Fault(step, "", FaultKind.INVALID, reason))
         body = {
             "compare": [self._compare(compare) for compare in compares],
@@ -142,7 +144,7 @@
         return answer.map(lambda txn: TxnAnswer(txn.succeeded, Revision(txn.header.revision)))
 
     def watch(self, prefix: str, after: Revision) -> Watch:
-        """Watch changes below ``prefix`` later than ``after``; see the protocol's method."""
+        """Watch changes below ``prefix`` after ``after``; see :meth:`KeyValue.watch`."""
         start, end = self._range(prefix)
         create = {
             "key": start,
@@ -156,16 +158,16 @@
         )
 
     def lease(self, ttl_s: float) -> Result[int, Fault]:
-        """Grant a lease; the service keeps whole seconds, so ``ttl_s`` is rounded up."""
+        """Grant a lease; ``ttl_s`` is rounded up because the service uses whole seconds."""
         body = {"TTL": str(max(1, math.ceil(ttl_s)))}
-        # A grant done twice leaves a lease without keys, which lapses by itself.
+        # A repeated grant leaves a lease without keys, which expires by itself.
         answer = self._call(
             "platform.lease", Effect.REPEATABLE, Priority.FIRST, GRANT, body, _Lease
         )
         return answer.map(lambda lease: lease.id)
 
     def keep_alive(self, lease: int) -> Result[float, Fault]:
-        """Renew a lease and return its remaining seconds; a lapsed one is a ``CONFLICT``."""
+        """Renew a lease and return its remaining seconds; an expired one is a ``CONFLICT``."""
         step = "platform.keep_alive"
         body = {"ID": str(lease)}
         answer = self._call(step, Effect.REPEATABLE, Priority.FIRST, KEEP_ALIVE, body, _KeptAlive)
@@ -173,12 +175,12 @@
             return answer
         ttl_s = answer.unwrap().result.ttl_s
         if ttl_s <= 0:
-            reason = f"lease {lease} has lapsed"
+            reason = f"lease {lease} has expired"
             return Failure(Fault(step, self._transport.peer, FaultKind.CONFLICT, reason))
         return Success(float(ttl_s))
 
     def revoke(self, lease: int) -> Result[None, Fault]:
-        """End a lease and delete its keys; one that has ended already is no fault."""
+        """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         body = {"ID": str(lease)}
         answer = self._call(
             "platform.revoke", Effect.REPEATABLE, Priority.FIRST, REVOKE, body, _Revoked
@@ -210,7 +212,7 @@
         except ODD as error:
             ambiguous = effect is Effect.ONCE
             lost = FaultKind.AMBIGUOUS if ambiguous else FaultKind.UNAVAILABLE
-            return Failure(Fault(step, self._transport.peer, lost, f"odd answer: {error}"))
+            return Failure(Fault(step, self._transport.peer, lost, f"malformed answer: {error}"))
 
     def _range(self, prefix: str) -> tuple[bytes, bytes]:
         start = self._full(prefix)
--- a/src/lentilrill/store/_fenced.py
+++ b/src/lentilrill/store/_fenced.py
@@ -1,4 +1,4 @@
-"""A record that only the owner of a shard writes."""
+"""A record that only the owner of a shard can write."""
 
 from enum import Enum
 
@@ -13,23 +13,23 @@
 
 
 class Written(Enum):
-    """What became of a write."""
+    """Result of a write."""
 
     DONE = "done"
     FAILED = "failed"
-    """It may have taken effect, or may yet; nothing later than it is undone by it."""
+    """The write may have taken effect or may still do so; it cannot overwrite a later write."""
     NOT_OWNER = "not-owner"
-    """The store knows a newer owner."""
+    """The store has a newer owner."""
 
 
 class FencedRecord:
-    """One key, written under its owner's key.
+    """One key, written on the condition that the owner's key is unchanged.
 
-    Guard against a write that the store carries out late, over a newer one of the same owner: the
-    next owner would go by the older value. Each write compares the revision that it replaces, so
-    the late one fails; after a write without an answer that revision is read again.
+    The store may execute a write late, after a newer one of the same owner, and the next owner
+    would then load the older value. Each write therefore compares the revision that it replaces,
+    so that a late write fails. After a write without an answer, that revision is read again.
 
-    :param owner: the owner's key, at the revision that is its token.
+    :param owner: the owner's key and the revision that serves as its fencing token.
     """
 
     def __init__(self, kv: KeyValue, key: str, owner: Compare) -> None:
@@ -37,11 +37,11 @@
         self._key = key
         self._owner = owner
         self._revision: Revision | None = None
-        # One line for each outage, however often an owner tries anew meanwhile.
+        # One log line per outage, however often the owner retries meanwhile.
         self._stored = Dependency(f"record {key} in the store")
 
     def read(self) -> Result[Item | None, Fault]:
-        """Read the record; ``None`` if there is none."""
+        """Return the record; ``None`` if it does not exist."""
         read = self._kv.get(self._key)
         if not isinstance(read, Failure):
             item = read.unwrap()
@@ -62,7 +62,11 @@
             self._revision = result.unwrap().revision
             self._stored.succeeded()
             return Written.DONE
-        return self._failed("conditions") if self._is_owned() else Written.NOT_OWNER
+        return (
+            self._failed("the conditions of the transaction failed")
+            if self._is_owned()
+            else Written.NOT_OWNER
+        )
 
     def _known_revision(self) -> Result[Revision, Fault]:
         if self._revision is None and isinstance(read := self.read(), Failure):
@@ -70,7 +74,7 @@
         return Success(self._revision or Revision(0))
 
     def _is_owned(self) -> bool:
-        """Whether the shard is still this owner's, as far as the store can be read."""
+        """Return whether the shard still has this owner; assume so if the store can't be read."""
         held = self._kv.get(self._owner.key)
         if isinstance(held, Failure):
             self._stored.failed(held.failure().reason)
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -1,4 +1,4 @@
-"""Following all keys below a prefix: a full read, then the watch, and anew when it breaks."""
+"""Following all keys below a prefix: a full read, then a watch, with retries."""
 
 import random
 import threading
@@ -18,29 +18,29 @@
 
 FIRST_PAUSE_S = 0.1
 NEEDLESS_PAUSE_S = 1.0
-"""Pause between two looks whether anybody wants to know, if nobody says so at once."""
+"""Interval of checking whether the keys are needed again, unless the thread is woken earlier."""
 LONGEST_PAUSE_S = 1.0
-"""Bounds of the pause after a failed call, with full jitter: hosts that lost the store together
-must not call it together on its return."""
+"""Maximum pause after a failed call. Pauses have full jitter, so that hosts that lost the store at
+the same time do not all call it at the moment of its return."""
 
 
 class _Listener(Protocol):
     def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+        """Replace all known items by a full read."""
 
     def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes; a deleted key has no value."""
+        """Apply changes; a deleted key has no value."""
 
 
 class Follower(threading.Thread):
-    """Tells a listener of all keys below ``prefix``, from one task.
+    """Thread that passes the items below ``prefix`` and their changes to a listener.
 
-    Guard against changes that are never heard of: a watch that ends, for whatever reason, is
-    continued from the last revision; where history is no longer kept, all is read again.
+    No change is missed: a watch that ends for any reason is continued from the last revision,
+    and if the history is already compacted, all items are read again.
 
-    :param pause_s: least time between two watch calls, in seconds, so that a burst of changes
-        costs one call for each pause and not one for each change.
-    :param is_needed: whether anybody wants to know now; if not, nothing is read or watched.
+    :param pause_s: minimum seconds between two watch calls, so that a burst of changes costs one
+        call per pause instead of one per change.
+    :param is_needed: whether the items are needed now; if not, nothing is read or watched.
     """
 
     def __init__(
@@ -85,11 +85,11 @@
                 self._ended.wait(self._chance.uniform(0.0, bound))
 
     def hurry(self) -> None:
-        """Look at once whether anybody wants to know."""
+        """Check now whether the items are needed."""
         self._hurried.set()
 
     def close(self) -> None:
-        """End the task soon."""
+        """Stop the thread; do not wait for its end."""
         self._ended.set()
         self._hurried.set()
         if self._watch is not None:
@@ -107,7 +107,11 @@
         return answer.revision
 
     def _listen(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
-        """Return the revision to go on from, or ``None`` to read again, and failures in a row."""
+        """Watch until a fault.
+
+        :return: the revision to continue from, or ``None`` to read again, and the number of
+            consecutive failures.
+        """
         self._watch = self._kv.watch(self._prefix, after)
         for result in self._watch:
             if self._ended.is_set() or not self._is_needed():
@@ -125,7 +129,7 @@
         return after, failures
 
     def _note(self, fault: Fault, failures: int) -> None:
-        # One line for each outage, however long it lasts and however often it is tried anew.
+        # One log line per outage, however long it lasts and however often calls are retried.
         if failures:
             return
         log(Event.WATCH_BROKEN, prefix=self._prefix, kind=fault.kind.value, reason=fault.reason)
--- a/src/lentilrill/store/_guard.py
+++ b/src/lentilrill/store/_guard.py
@@ -1,4 +1,4 @@
-"""What stands in front of every platform call: budget, deadline, retries, circuit breaker."""
+"""Call budget, deadline, retries and circuit breaker of all platform calls."""
 
 import random
 import threading
@@ -18,7 +18,8 @@
 BURST_S = 1.0
 FAILURES_TO_OPEN = 5
 SILENCE_TO_OPEN_S = 0.5
-"""Time without any answer: calls go side by side, and some that fail in a row are no outage."""
+"""Minimum time without any answer: calls run concurrently, so some consecutive failures are not an
+outage."""
 FIRST_OPEN_S = 0.5
 LONGEST_OPEN_S = 2.0
 FIRST_BACKOFF_S = 0.05
@@ -34,19 +35,19 @@
     """Whether a call may be repeated."""
 
     REPEATABLE = "repeatable"
-    """Done twice it does no harm."""
+    """The call is idempotent."""
     ONCE = "once"
-    """To be repeated only if it surely did not reach the service."""
+    """The call may be repeated only if it certainly did not reach the service."""
 
 
 class CallBudget:
     """Token bucket of a process's platform calls.
 
-    Guard against a fleet that overruns the platform: without it a storm of some calls starves
-    the others at the service, and configuration waits behind statistics. Calls of
-    ``Priority.LATER`` leave half of the bucket alone, so there is always room for the first.
+    Without it, a burst of some calls would overload the platform and starve the others, and
+    configuration would wait behind statistics. Calls of ``Priority.LATER`` cannot use the last
+    half of the bucket, which is reserved for ``Priority.FIRST``.
 
-    :param calls_per_s: rate at which calls are allowed for long.
+    :param calls_per_s: sustained rate of calls.
     """
 
     def __init__(self, calls_per_s: float, clock: Clock = time.monotonic) -> None:
@@ -58,9 +59,9 @@
         self._lock = threading.Lock()
 
     def take(self, priority: Priority) -> float:
-        """Take one call.
+        """Take one token, if one is available to calls of ``priority``.
 
-        :return: 0 if it was taken, else the seconds after which it could be.
+        :return: 0 if a token was taken, else the seconds until one will be available.
         """
         kept = self._size / 2 if priority is Priority.LATER else 0.0
         with self._lock:
@@ -75,10 +76,10 @@
 
 
 class CircuitBreaker:
-    """Holds calls back while the service fails, but for one probe at a time.
+    """Circuit breaker: rejects calls while the service fails, except one probe at a time.
 
-    Guard against an outage that costs every caller its deadline: after some failures in a row
-    calls fail at once, and one probe now and then finds out when the service is back.
+    Without it, each caller would wait for its full deadline during an outage. After several
+    consecutive failures calls fail immediately, and periodic probes detect the recovery.
     """
 
     def __init__(self, peer: str, clock: Clock, chance: random.Random) -> None:
@@ -93,11 +94,11 @@
 
     @property
     def open(self) -> bool:
-        """Whether calls are held back."""
+        """Whether calls are rejected."""
         return self._open_until is not None
 
     def admit(self) -> float:
-        """Ask to call; an admitted call must be reported as succeeded or failed.
+        """Request permission for a call; the outcome of an admitted call must be reported.
 
         :return: 0 if admitted, else the seconds until the next probe.
         """
@@ -107,13 +108,13 @@
             now = self._clock()
             if now < self._open_until:
                 return self._open_until - now
-            # This call is the probe. The next one has to wait as if it had failed already, so
-            # that a probe whose caller dies blocks nobody for good.
+            # This call is the probe. The next probe is scheduled as if this one had failed, so
+            # that a probe whose caller dies does not keep the breaker open forever.
             self._open_until = now + self._open_s()
             return 0.0
 
     def succeeded(self) -> None:
-        """Report that the service answered."""
+        """Record that the service answered."""
         with self._lock:
             was_open = self._open_until is not None
             self._answered = self._clock()
@@ -124,7 +125,7 @@
             log(Event.PLATFORM_BACK, peer=self._peer)
 
     def failed(self) -> None:
-        """Report that the service did not answer."""
+        """Record that the service did not answer."""
         with self._lock:
             self._failures += 1
             if self._open_until is not None:
@@ -146,9 +147,9 @@
 class CallGuard:
     """Runs the calls to one service of the platform.
 
-    :param peer: the service, named in faults.
-    :param deadline_s: seconds after which a call ends with a result.
-    :param wait: sleeps for some seconds.
+    :param peer: name of the service in faults.
+    :param deadline_s: maximum duration of a call with its retries, in seconds.
+    :param wait: function that sleeps for the given seconds.
     """
 
     def __init__(
@@ -177,10 +178,10 @@
         priority: Priority,
         attempt: Callable[[float], Result[T, Fault]],
     ) -> Result[T, Fault]:
-        """Run ``attempt`` until it succeeds, fails for good, or the deadline leaves no time.
+        """Run ``attempt`` until it succeeds, fails permanently or the deadline is reached.
 
-        :param attempt: one exchange, given the seconds it may take. ``UNAVAILABLE`` of a
-            :attr:`Effect.ONCE` says that the request surely had no effect.
+        :param attempt: function that makes one exchange within the given seconds. For
+            :attr:`Effect.ONCE`, ``UNAVAILABLE`` means that the request certainly had no effect.
         """
         end = self._clock() + self._deadline_s
         for tried in range(1, MAX_ATTEMPTS + 1):
@@ -198,14 +199,14 @@
         return result
 
     def admit(self, step: str, priority: Priority) -> Fault | None:
-        """Ask for one exchange; an admitted one is counted and must be reported.
+        """Request permission for one exchange; an admitted one is counted and must be reported.
 
-        :return: the fault if it may not be made now.
+        :return: ``None`` if admitted, else the fault.
         """
         held_s = self.breaker.admit()
         if held_s > 0:
             self._metrics.incr("platform.held")
-            reason = "the service does not answer; calls are held back"
+            reason = "the service does not answer; the circuit breaker is open"
             return Fault(step, self._peer, FaultKind.UNAVAILABLE, reason, held_s)
         short_s = self._budget.take(priority)
         if short_s > 0:
@@ -229,7 +230,7 @@
         log(Event.PLATFORM_CALL_FAILED, step=step, peer=fault.peer, reason=fault.reason)
 
     def backoff_s(self, tried: int) -> float:
-        """Return a pause before another try: full jitter under a doubling bound, in seconds."""
+        """Return the seconds before the next attempt: exponential backoff with full jitter."""
         bound = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (tried - 1))
         return self._chance.uniform(0.0, bound)
 
@@ -239,7 +240,7 @@
         return False
     kind = result.failure().kind
     if kind is FaultKind.AMBIGUOUS:
-        # Guard against a write that happens twice: a lost answer of a write is the caller's to
-        # resolve, by reading back; only reads are repeated blindly.
+        # Repeating a write could execute it twice. After a lost answer the caller has to read
+        # the value back; only idempotent calls are repeated.
         return effect is Effect.REPEATABLE
     return kind is FaultKind.UNAVAILABLE
--- a/src/lentilrill/store/_hostlist.py
+++ b/src/lentilrill/store/_hostlist.py
@@ -1,4 +1,4 @@
-"""The platform's list of hosts, over HTTP."""
+"""Client of the platform's host list over HTTP."""
 
 import time
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class HttpHostList:
-    """A :class:`~lentilrill.store.HostList` read by GET from the platform.
+    """A :class:`~lentilrill.store.HostList` read from the platform by HTTP GET.
 
     :param budget: the process's call budget, if it is shared with other clients.
     """
@@ -37,7 +37,7 @@
         self._guard = CallGuard(settings.host_list, settings.deadline_s, budget, metrics, clock)
 
     def hosts(self) -> Result[HostListing, Fault]:
-        """Read the list. It can wait, so it may not use the last half of the call budget."""
+        """Read the list, with low priority: it may not use the last half of the call budget."""
         return self._guard.call(STEP, Effect.REPEATABLE, Priority.LATER, self._attempt)
 
     def _attempt(self, timeout_s: float) -> Result[HostListing, Fault]:
@@ -48,5 +48,5 @@
         try:
             return Success(msgspec.json.decode(data, type=HostListing))
         except ODD as error:
-            reason = f"odd list: {error}"
+            reason = f"malformed host list: {error}"
             return Failure(Fault(STEP, self._transport.peer, FaultKind.UNAVAILABLE, reason))
--- a/src/lentilrill/store/_mirror.py
+++ b/src/lentilrill/store/_mirror.py
@@ -1,4 +1,4 @@
-"""A process's copy of the platform's state keys, which only ever moves forward."""
+"""Local copy of the platform's state keys, which never returns to an older revision."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -12,14 +12,14 @@
 
 
 class Mirror:
-    """State keys by name, each at the newest revision seen.
+    """Items of the state keys, each at the newest revision received.
 
-    The mirror is *complete to* a revision: it holds the newest value of every state key as of
-    that revision or later. Items may be newer than that, for instance from the process's own
-    write, but never older.
+    The mirror is *complete to* a revision: it holds the value of every state key as of that
+    revision or later. Items may be newer, for instance after a write by this process, but never
+    older.
 
-    Guard against a configuration that reverts: a stale read or a late message offers an item
-    with a lower revision than the one held; it is dropped, so no process steps back.
+    A stale read or a late message may contain an item with a lower revision than the stored one.
+    Such items are ignored, so that the configuration of a process never reverts.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         return self._complete_to
 
     def get(self, key: str) -> Item | None:
-        """Return the newest known item of ``key``; ``None`` if absent or deleted."""
+        """Return the item of ``key``; ``None`` if it is absent or deleted."""
         item = self._items_by_key.get(key)
         return item if item is not None and item.value is not None else None
 
@@ -45,16 +45,16 @@
         return sorted((i for i in items if i.value is not None), key=lambda i: i.key)
 
     def after(self, revision: Revision) -> tuple[tuple[Item, ...], Revision]:
-        """Return items newer than ``revision``, deleted ones too, and ``complete_to``."""
+        """Return the items newer than ``revision``, including deleted ones, and ``complete_to``."""
         with self._lock:
             newer = tuple(i for i in self._items_by_key.values() if i.revision > revision)
             return newer, self._complete_to
 
     def offer(self, items: Iterable[Item], complete_to: Revision = NEVER) -> bool:
-        """Take over what is newer; listeners hear of the changed items.
+        """Merge the items that are newer than the stored ones and notify the listeners.
 
-        :param complete_to: revision to which the giver was complete, if ``items`` hold all of
-            its changes after this mirror's own ``complete_to``; 0 if they are just some items.
+        :param complete_to: revision to which the source was complete, if ``items`` contain all
+            changes after the ``complete_to`` of this mirror; 0 for a partial set of items.
         :return: whether anything changed.
         """
         with self._lock:
@@ -66,10 +66,10 @@
         return bool(changed)
 
     def replace(self, items: Iterable[Item], revision: Revision) -> bool:
-        """Take over a full read of the state at ``revision``.
+        """Merge a full read of the state at ``revision``.
 
-        A key that is held but not read was deleted in between; it is kept as a deletion, so
-        that an older value offered later can't bring it back.
+        A stored key that the read does not contain was deleted meanwhile. It is kept as a
+        deletion, so that an older value that arrives later does not restore it.
         """
         read = tuple(items)
         present = {item.key for item in read}
@@ -82,7 +82,7 @@
         return self.offer(read + vanished, revision)
 
     def subscribe(self, listener: Callable[[tuple[Item, ...]], None]) -> None:
-        """Call ``listener`` with the changed items after each change, outside the lock."""
+        """Call ``listener`` with the changed items after each change, without holding the lock."""
         self._listeners.append(listener)
 
     def _take(self, item: Item) -> bool:
--- a/src/lentilrill/store/_transport.py
+++ b/src/lentilrill/store/_transport.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges with one service of the platform, and what a failed one means."""
+"""HTTP exchanges with one service of the platform, and the mapping of failures to faults."""
 
 import socket
 import threading
@@ -23,25 +23,27 @@
 __all__ = ["ODD", "Transport", "shown"]
 
 ODD = (msgspec.MsgspecError, UnicodeDecodeError, OverflowError, RecursionError)
-"""What decoding an answer raises if it is not what it should be."""
+"""Exceptions that decoding a malformed answer may raise."""
 
 ENDLESS = "the answer did not end in time"
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 READ_BYTES = 64 * 1024
 LATE_READ_S = 0.02
-"""Longest wait for more of an answer whose time is over: what came in time is at hand."""
+"""Maximum wait for each further part of an answer after its deadline: parts that arrived in time
+are already in the buffer of the socket."""
 MOST_LATE_READS = 64
-"""Parts read after that, of up to 64 KiB, so that an answer can't trickle on for ever."""
+"""Maximum number of parts, of up to 64 KiB each, that are read after the deadline, so that a slow
+answer ends."""
 LONGEST_CONNECT_S = 0.5
 IDLE_CONNECTIONS = 16
-"""Connections kept for the next call: as many as entry hosts have tasks that call the store at once
-after an outage. One beyond it is closed after its call, and the next call pays for a new one."""
+"""Maximum idle connections: as many as an entry host has threads that call the store concurrently
+after an outage. Further connections are closed after their call and must be opened again."""
 FRESH_S = 1.0
 OK = 200
 HEADERS = {"Content-Type": "application/json", "Accept-Encoding": "gzip"}
 
-# A waiting watch sends nothing, so it would never learn that its connection died: TCP's own
-# probes find that out within seconds.
+# A waiting watch sends nothing and would not notice a dead connection; TCP keep-alive probes detect
+# it within seconds.
 SOCKET_OPTIONS = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -61,7 +63,7 @@
     16: FaultKind.REFUSED,
     7: FaultKind.REFUSED,
 }
-"""By gRPC status code; with any other code the call may have taken effect."""
+"""Fault kinds by gRPC status code; with any other code the call may have taken effect."""
 
 
 class _Refusal(msgspec.Struct):
@@ -70,10 +72,10 @@
 
 
 class Transport:
-    """Connections to the addresses of one service; the address in use changes on a failure.
+    """Connections to the addresses of one service, with failover to the next address.
 
     :param addresses: ``ip:port`` of each instance of the service, tried in turn.
-    :param headers: sent with each request, besides the usual ones.
+    :param headers: headers of each request, in addition to the default ones.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
 
     @property
     def peer(self) -> str:
-        """The address in use."""
+        """The current address."""
         return self._addresses[self._turn % len(self._addresses)]
 
     def exchange(
@@ -100,8 +102,8 @@
     ) -> Result[bytes, Fault]:
         """Send one request and return the body of its answer, within ``timeout_s`` seconds.
 
-        :return: a fault of kind ``AMBIGUOUS`` if a call of :attr:`Effect.ONCE` may have taken
-            effect; ``UNAVAILABLE`` if it surely did not, or if it may be repeated anyway.
+        :return: the body, or a fault: ``AMBIGUOUS`` if a call of :attr:`Effect.ONCE` may have
+            taken effect, ``UNAVAILABLE`` if it certainly did not or is repeatable.
         """
         answered = self.answer(step, effect, method, path, body, timeout_s)
         if isinstance(answered, Failure):
@@ -119,10 +121,10 @@
         timeout_s: float,
         whole_s: float = 0.0,
     ) -> Result[tuple[int, bytes, str], Fault]:
-        """Send one request and return its answer's status, body and peer, whatever the status.
+        """Send one request and return the status, the body and the peer, whatever the status.
 
-        :param whole_s: bound of the whole exchange, in seconds, if that is longer than
-            ``timeout_s``, which then bounds each silence.
+        :param whole_s: time-out of the whole exchange, in seconds, if it is longer than
+            ``timeout_s``, which then limits each period of silence.
         """
         end = self._clock() + max(timeout_s, whole_s)
         opened = self.open(step, effect, method, path, body, timeout_s, timeout_s)
@@ -132,8 +134,8 @@
         try:
             data = self._read_all(response, end)
         except (HTTPError, OSError) as error:
-            # Guard against answers that are mixed up: a connection whose exchange was given up
-            # may still carry the old answer, so it is closed and never used for another one.
+            # The rest of an abandoned answer may still arrive on this connection and be read as
+            # the answer to the next request, so the connection is closed.
             response.close()
             self.fail_over(peer)
             return Failure(Fault(step, peer, _lost(effect), shown(error)))
@@ -151,9 +153,9 @@
         connect_s: float,
         silence_s: float,
     ) -> Result[tuple[urllib3.BaseHTTPResponse, str], Fault]:
-        """Send a request and return its answer's head and the peer; the body is yet to be read.
+        """Send a request and return the response, with its body unread, and the peer.
 
-        :param silence_s: longest silence while reading, in seconds.
+        :param silence_s: read time-out, in seconds.
         """
         pool, peer = self._pool_for(effect)
         timeout = urllib3.Timeout(connect=min(connect_s, LONGEST_CONNECT_S), read=silence_s)
@@ -178,7 +180,7 @@
     def refusal(
         self, step: str, response: urllib3.BaseHTTPResponse, peer: str, timeout_s: float
     ) -> Fault:
-        """Return the fault that an opened answer with another status than 200 means."""
+        """Return the fault for an opened response whose status is not 200."""
         try:
             data = self._read_all(response, self._clock() + timeout_s)
         except (HTTPError, OSError):
@@ -187,10 +189,10 @@
         return self._refusal(step, Effect.REPEATABLE, peer, data).failure()
 
     def fail_over(self, peer: str) -> None:
-        """Give up on ``peer``: drop its idle connections and turn to the next address.
+        """Close the idle connections to ``peer`` and switch to the next address.
 
-        Guard against connections that something in between has forgotten: when one goes
-        silent, idle ones to the same peer are likely dead too, while new ones work.
+        A device on the path may drop the state of idle connections. If one connection is silent,
+        other idle ones to the same peer are probably dead as well, while new ones work.
         """
         with self._lock:
             if peer != self.peer:
@@ -199,15 +201,15 @@
             self._replace_pool()
 
     def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         with self._lock:
             self._pool.close()
 
     def _pool_for(self, effect: Effect) -> tuple[urllib3.HTTPConnectionPool, str]:
         with self._lock:
             idle = self._clock() - self._last_used > FRESH_S
-            # Guard against a write whose answer is lost because its connection died long ago:
-            # it goes on a connection that worked a moment ago, or on a new one.
+            # A write on a connection that died while idle would lose its answer, so it uses a
+            # recently used connection or a new one.
             if effect is Effect.ONCE and idle:
                 self._replace_pool()
             return self._pool, self.peer
@@ -237,7 +239,8 @@
                 raise HTTPError("the answer is too long")
             if self._clock() <= end or response.length_remaining == 0:
                 continue
-            # A whole answer counts: a host that is busy reads late what came in time.
+            # A complete answer is accepted after the deadline: an overloaded host may read late
+            # what arrived in time.
             late_reads += 1
             if late_reads > MOST_LATE_READS:
                 raise HTTPError(ENDLESS)
@@ -258,7 +261,7 @@
         try:
             refusal = msgspec.json.decode(data, type=_Refusal)
         except ODD:
-            refusal = _Refusal(message="the answer is no JSON object")
+            refusal = _Refusal(message="the answer is not a JSON object")
         kind = KIND_BY_CODE.get(refusal.code, _lost(effect))
         if kind in (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS):
             self.fail_over(peer)
@@ -270,11 +273,11 @@
 
 
 def shown(error: Exception) -> str:
-    """Return a failed exchange's reason for people."""
+    """Return a human-readable reason for a failed exchange."""
     if isinstance(error, NewConnectionError | ConnectTimeoutError):
         return "no connection"
     if isinstance(error, ReadTimeoutError | TimeoutError):
         return "no answer in time"
     if isinstance(error, ProtocolError | ConnectionError):
-        return "the connection ended without a whole answer"
+        return "the connection ended before the answer was complete"
     return str(error)
--- a/src/lentilrill/store/_watch.py
+++ b/src/lentilrill/store/_watch.py
@@ -1,4 +1,4 @@
-"""One watch: a streamed answer of the key-value service, read change by change."""
+"""A watch: a streamed answer of the key-value service."""
 
 import contextlib
 import threading
@@ -50,9 +50,9 @@
 
 
 class Watch(Iterator[Result[WatchBatch, Fault]]):
-    """Changes in order, until a fault, which comes last; an iterator for one task.
+    """Iterator over changes in order, for one thread; a fault ends it and is its last element.
 
-    :meth:`close` may be called by any task, and ends a wait.
+    :meth:`close` may be called by any thread and ends a pending wait.
     """
 
     def __init__(
@@ -77,11 +77,11 @@
         self._ended = False
 
     def __next__(self) -> Result[WatchBatch, Fault]:
-        """Wait for the next batch; a progress notice is one without items."""
+        """Wait for the next batch; a progress notice is a batch without items."""
         if self._ended:
             raise StopIteration
         result = self._next()
-        if self._ended:  # closed meanwhile
+        if self._ended:  # closed by another thread
             self._drop()
             raise StopIteration
         if isinstance(result, Failure):
@@ -107,11 +107,10 @@
             try:
                 line = self._line()
             except (HTTPError, OSError) as error:
-                # Guard against a connection that is open but silent for good: the service is
-                # to send progress notices, so their absence shows it, and the caller's next
-                # watch goes on a new connection.
+                # The service sends progress notices, so a read time-out means that the connection
+                # is open but dead. After the failover the next watch uses a new connection.
                 self._transport.fail_over(self._peer)
-                return self._lost(f"the watch broke off: {shown(error)}")
+                return self._lost(f"the watch failed: {shown(error)}")
             result = self._read(line)
             if result is not None:
                 return result
@@ -135,17 +134,22 @@
             self._response = response
             if not self._ended:
                 return None
-        return Fault(STEP, self._peer, FaultKind.UNAVAILABLE, "closed while it was opened")
+        return Fault(
+            STEP,
+            self._peer,
+            FaultKind.UNAVAILABLE,
+            "the watch was closed while it was being opened",
+        )
 
     def _line(self) -> bytes:
         assert self._response is not None
         while b"\n" not in self._unread:
             part = self._response.read1(READ_BYTES)
             if not part:
-                raise HTTPError("the service ended it")
+                raise HTTPError("the service ended the stream")
             self._unread += part
             if len(self._unread) > MAX_ANSWER_BYTES:
-                raise HTTPError("a message is too long")
+                raise HTTPError("a message exceeds the size limit")
         line, _, self._unread = self._unread.partition(b"\n")
         return line
 
@@ -153,7 +157,7 @@
         try:
             decoded = _DECODER.decode(line)
         except ODD as error:
-            return self._lost(f"odd message: {error}")
+            return self._lost(f"malformed message: {error}")
         result = decoded.result
         if result is None:
             return self._lost(decoded.error.message if decoded.error else "message without result")
@@ -166,16 +170,16 @@
 
     def _canceled(self, result: _Result) -> Result[WatchBatch, Fault]:
         if not result.compact_revision:
-            return self._lost(f"the service canceled it: {result.cancel_reason}")
-        reason = f"history before revision {result.compact_revision} is no longer kept"
+            return self._lost(f"the service canceled the watch: {result.cancel_reason}")
+        reason = f"the history before revision {result.compact_revision} is compacted"
         return Failure(Fault(STEP, self._peer, FaultKind.CONFLICT, reason))
 
     def _batch(self, result: _Result) -> WatchBatch:
         if not result.events:
             return WatchBatch((), Revision(result.header.revision))
         items = tuple(self._item(event) for event in result.events)
-        # The header tells the store's revision, but a watch that catches up gets its changes in
-        # several messages; only up to its last change is this one known to be complete.
+        # The header has the store's revision, but a watch that catches up gets its changes in
+        # several messages; each message is complete only up to its last change.
         return WatchBatch(items, max(item.revision for item in items))
 
     def _item(self, event: _Event) -> Item:
--- a/src/lentilrill/store/_wire.py
+++ b/src/lentilrill/store/_wire.py
@@ -1,4 +1,4 @@
-"""Parts of the key-value service's answers that several calls share."""
+"""Structs that several answers of the key-value service contain."""
 
 import msgspec
 
@@ -6,13 +6,13 @@
 
 
 class Header(msgspec.Struct):
-    """Where the store was as it answered."""
+    """Revision of the store at the time of the answer."""
 
     revision: int
 
 
 class StoredKey(msgspec.Struct):
-    """One key as the service stores it."""
+    """One key with its value and modification revision."""
 
     key: bytes
     mod_revision: int
--- a/tests/store/test_etcd.py
+++ b/tests/store/test_etcd.py
@@ -1,4 +1,4 @@
-"""The key-value client against the stand-in, healthy and with each fault."""
+"""The key-value client on the stand-in, with and without injected faults."""
 
 import itertools
 import threading
@@ -133,8 +133,8 @@
         self.assertFalse(rest.is_alive())
 
     def test_compacted_history_is_a_conflict(self) -> None:
-        # A controller was paused for long; the changes that it missed are gone from the
-        # service. A watch that went on regardless would leave it with an old configuration.
+        # After a long pause of a controller, the service has compacted the changes it missed. If
+        # the watch continued, the controller would keep an old configuration.
         for _ in range(5):
             self.put("k")
         self.platform.store.compact(5)
@@ -148,9 +148,9 @@
 
 class FaultTest(KeyValueTestCase):
     def test_a_lost_answer_is_ambiguous(self) -> None:
-        # An operator's edit takes effect, but the answer is lost on the way. Told "failed", the
-        # operator would repeat it over a colleague's newer edit; repeated by the client, a
-        # compare-and-swap would fail against its own first try.
+        # An edit takes effect but its answer is lost. If it were reported as failed, the operator
+        # would repeat it and overwrite a newer edit; if the client repeated it, its
+        # compare-and-swap would fail because of its own first attempt.
         self.platform.set_faults(lose_answers=1)
         result = self.kv.commit((Compare("k", Revision(0)),), (Put("k", b"1"),))
         self.assertEqual(FaultKind.AMBIGUOUS, self.kind_of(result))
@@ -159,8 +159,8 @@
         self.assertEqual(1, self.platform.calls()["by_kind"]["/v3/kv/txn"])
 
     def test_no_connection_is_no_effect(self) -> None:
-        # The service is restarted. A commit that surely did not reach it must not be reported
-        # as ambiguous, or a claim would be held for a job that may safely be tried again.
+        # During a restart of the service, a commit that certainly did not reach it must not be
+        # ambiguous, or a claim would be kept for a job that can safely be retried.
         self.platform.close()
         kv = self.a_client(deadline_s=SHORT_S)
         result = kv.commit((), (Put("k", b""),))
@@ -182,9 +182,9 @@
         self.assertEqual((), self.kv.read("").unwrap().items)
 
     def test_a_late_answer_reaches_nobody(self) -> None:
-        # The service is slow. The first read is given up at its deadline; its answer arrives
-        # later on the same connection. A second read on that connection would be told the
-        # first one's answer, so a connection is not used again after a lost exchange.
+        # A read is abandoned at its deadline and its answer arrives later on the same connection.
+        # A second read on that connection would get the first answer, so a connection is not
+        # reused after a failed exchange.
         self.put("a", b"a")
         self.put("b", b"b")
         kv = self.a_client(deadline_s=SHORT_S)
@@ -195,8 +195,8 @@
         self.assertEqual(["b"], [item.key for item in kv.read("b").unwrap().items])
 
     def test_a_cut_off_address_answers_nothing(self) -> None:
-        # A zone loses its way to the platform: packets vanish, so connections hang instead of
-        # being refused. Calls must end by their deadline, and a write may have arrived.
+        # Packets to the platform are dropped, so connections hang instead of being refused. Calls
+        # must end by their deadline, and a write may have arrived.
         cut = self.platform.addresses[1]
         kv = self.a_client(key_value=(cut,), deadline_s=SHORT_S)
         self.platform.set_faults(cut=[cut])
@@ -204,8 +204,8 @@
         self.assertTrue(self.kv.commit((), (Put("k", b""),)).unwrap().succeeded)
 
     def test_stale_reads_are_shown_with_their_revision(self) -> None:
-        # A read is answered by a lagging replica. Its revision tells, so that a reader which
-        # knows better keeps what it has.
+        # A lagging replica answers a read. The revision allows a reader to ignore the answer if
+        # its own data is newer.
         self.put("k", b"old")
         self.platform.set_faults(stale=True)
         revision = self.put("k", b"new")
@@ -214,9 +214,9 @@
         self.assertTrue(answer.revision < revision)
 
     def test_a_silent_watch_ends_with_a_fault(self) -> None:
-        # Something between the process and the platform forgets an open connection: the watch
-        # hears nothing for good and a new configuration never comes into force here. Missing
-        # progress notices show it, and the next watch goes on a new connection.
+        # A device on the path drops the state of an open connection: the watch would wait forever
+        # and miss a new configuration. Missing progress notices reveal it, and the next watch
+        # uses a new connection.
         kv = self.a_client(silence_s=SHORT_S)
         watch = kv.watch("", Revision(0))
         next(watch).unwrap()
--- a/tests/store/test_guard.py
+++ b/tests/store/test_guard.py
@@ -1,4 +1,4 @@
-"""Budget, retries and circuit breaker, on a clock of the test's own."""
+"""Call budget, retries and circuit breaker, with a fake clock."""
 
 import random
 
@@ -36,14 +36,14 @@
         self.attempts += 1
         if self.kind is None:
             return Success("done")
-        return Failure(Fault("platform.x", "kv", self.kind, "told to fail"))
+        return Failure(Fault("platform.x", "kv", self.kind, "injected fault"))
 
     def call(self, effect: Effect = Effect.REPEATABLE, priority: Priority = FIRST):
         return self.guard.call("platform.x", effect, priority, self.attempt)
 
     def test_what_can_wait_leaves_half_of_the_budget(self) -> None:
-        # Statistics and host lists use up a process's calls; an operator's withdrawal or a
-        # claim then waits behind them. The last half is kept for those.
+        # If statistics and host lists used up the call budget, withdrawals and claims would wait
+        # behind them. The last half of the budget is reserved for the latter.
         budget = CallBudget(10.0, self.clock)
         taken = sum(budget.take(LATER) == 0 for _ in range(20))
         self.assertEqual(5, taken)
@@ -60,7 +60,7 @@
         self.assertEqual((2, 0.0), (self.attempts, self.now))
 
     def test_only_harmless_calls_are_repeated(self) -> None:
-        # A write whose answer was lost took effect; repeating it blindly does it twice.
+        # A write whose answer was lost may have taken effect; a repeat would execute it twice.
         self.kind = FaultKind.AMBIGUOUS
         self.assertIsInstance(self.call(Effect.ONCE), Failure)
         self.assertEqual(1, self.attempts)
@@ -75,8 +75,8 @@
             self.assertEqual(1, self.attempts)
 
     def test_pauses_are_spread_and_grow(self) -> None:
-        # Many processes lose the platform at the same moment; without jitter they would all
-        # come back at the same moment, again and again.
+        # Many processes lose the platform at the same moment; without jitter they would all retry
+        # at the same moments.
         spread = {round(self.guard.backoff_s(3), 6) for _ in range(20)}
         self.assertThat(len(spread), GreaterThan(15))
         self.assertTrue(max(spread) <= 0.2)
@@ -88,8 +88,8 @@
         self.assertTrue(self.now <= 0.04)
 
     def test_an_outage_costs_one_probe_at_a_time(self) -> None:
-        # The platform is down for long. Without the breaker every request that needs it waits
-        # for its whole deadline and holds a thread; with it they are refused at once.
+        # In a long outage, without the breaker, every request that needs the platform would wait
+        # for its deadline and block a thread; with it, requests are refused immediately.
         self.kind = FaultKind.UNAVAILABLE
         while not self.guard.breaker.open:
             self.call(Effect.REPEATABLE)
@@ -118,7 +118,7 @@
         self.assertFalse(self.guard.breaker.open)
 
     def test_lost_answers_among_others_are_no_outage(self) -> None:
-        """A host refused all callers though the service had answered others a moment before."""
+        """Guards against an open breaker while the service still answers other calls."""
         self.call()
         self.kind = FaultKind.AMBIGUOUS
         for _ in range(2 * FAILURES_TO_OPEN):
--- a/tests/store/test_hostlist.py
+++ b/tests/store/test_hostlist.py
@@ -1,4 +1,4 @@
-"""The host list over HTTP, lagging and odd."""
+"""The host list over HTTP: lag, stale answers and outages."""
 
 from returns.result import Failure
 from testtools import TestCase
@@ -28,8 +28,8 @@
         self.assertEqual(((self.host,), 100.0), (listing.hosts, listing.as_of))
 
     def test_the_list_lags(self) -> None:
-        # A host was told to leave, but the list that says so is seconds old: it must tell its
-        # age, so that nobody takes a host for gone or for live on the strength of it alone.
+        # The list may be several seconds old. It includes its time stamp, so that no reader
+        # concludes from the list alone that a host is live or gone.
         self.platform.set_faults(host_list_lag_s=10.0)
         self.now = 105.0
         self.platform.change_host("h1", state="leaving")
--- a/tests/store/test_late_reader.py
+++ b/tests/store/test_late_reader.py
@@ -1,4 +1,4 @@
-"""Answers that were there in time, and are read late by a host short of processor time."""
+"""Answers that arrive in time but are read late by an overloaded host."""
 
 import socket
 import threading
@@ -14,7 +14,7 @@
 
 
 class LateReaderTest(TestCase):
-    """The clock says that each look at it comes later than the time-out."""
+    """The clock advances by more than the time-out at each call."""
 
     def late_answer(self, answer: bytes, then: bytes = b"") -> bytes:
         now = 0.0
@@ -42,14 +42,14 @@
         return exchanged.value_or(b"lost")
 
     def test_an_answer_in_chunks_counts_however_late_it_is_read(self) -> None:
-        """An overloaded host threw away answers that it had, as their end was yet to be read."""
+        """Guards against discarding a received answer because its last chunk is read late."""
         self.assertEqual(b"answer", self.late_answer(CHUNKED + b"6\r\nanswer\r\n0\r\n\r\n"))
 
     def test_a_long_answer_counts_however_late_it_is_read(self) -> None:
-        """An overloaded host threw away all that it had read of its jobs but the first part."""
+        """Guards against discarding a received answer of several parts that is read late."""
         head = HEAD.replace(b"6", str(len(LONG)).encode())
         self.assertEqual(LONG, self.late_answer(head + LONG))
 
     def test_a_late_reader_does_not_wait_for_the_rest(self) -> None:
-        """A caller waited on for an answer that came drop by drop."""
+        """Guards against a wait past the deadline for an answer that is still arriving."""
         self.assertEqual(b"lost", self.late_answer(HEAD + b"ans", b"wer"))
--- a/tests/store/test_mirror.py
+++ b/tests/store/test_mirror.py
@@ -1,4 +1,4 @@
-"""The mirror never steps back."""
+"""The mirror never returns to an older revision."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,8 +23,8 @@
     @settings(derandomize=True, max_examples=200, database=None)
     @given(changes, st.randoms(use_true_random=False))
     def test_any_order_ends_at_the_newest(self, steps, random) -> None:
-        # An operator's change is in force, then seems to revert: a message of an older
-        # revision, delayed on another path, arrives after the newer one and replaces it.
+        # A delayed message with an older revision may arrive after a newer one and must not
+        # replace it, or an operator's change would revert.
         items = history(steps)
         newest = {item.key: item for item in items}
         shuffled = items * 2
@@ -36,8 +36,8 @@
         self.assertEqual(present, mirror.below(""))
 
     def test_a_full_read_deletes_what_vanished(self) -> None:
-        # A pool is removed while this process is cut off. After the full read that follows, a
-        # late message with the old value must not bring the pool back.
+        # A pool is removed while this process is disconnected. After the following full read, a
+        # late message with the old value must not restore the pool.
         mirror = Mirror()
         old = Item("pools/a", b"1", Revision(3))
         mirror.replace((old,), Revision(3))
@@ -47,8 +47,8 @@
         self.assertEqual(9, mirror.complete_to)
 
     def test_a_stale_full_read_changes_nothing(self) -> None:
-        # The platform answers a read from a lagging replica; a configuration that is already
-        # in force here must not be replaced by the older one, nor a newer key be deleted.
+        # A read from a lagging replica must neither replace a newer configuration nor delete a
+        # newer key.
         mirror = Mirror()
         new = Item("state/document", b"new", Revision(9))
         mirror.replace((new,), Revision(9))
--- a/tests/store/test_odd_answers.py
+++ b/tests/store/test_odd_answers.py
@@ -1,4 +1,4 @@
-"""Whatever the service answers, a call ends with a result."""
+"""A call returns a result for every possible answer of the service."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -34,9 +34,9 @@
     @settings(derandomize=True, max_examples=150, database=None)
     @given(odd)
     def test_an_odd_answer_is_a_fault(self, data: bytes) -> None:
-        # A proxy in between answers with a page of its own, or someone puts a key that is no
-        # text below our prefix. An exception out of the client would end the watching task,
-        # and no later configuration would come into force there.
+        # A proxy may answer with its own page, and the prefix may contain a key that is not valid
+        # text. An exception from the client would end the watching thread, and the process
+        # would miss all later configurations.
         kv, hosts = EtcdKeyValue(SETTINGS, NoMetrics()), HttpHostList(SETTINGS, NoMetrics())
         kv._transport = hosts._transport = OddTransport(data)
         calls = (
--- a/tests/store/test_transport.py
+++ b/tests/store/test_transport.py
@@ -1,4 +1,4 @@
-"""Which connection an exchange goes on, against a server that is scripted byte by byte."""
+"""Choice of the connection and handling of partial answers, on a scripted server."""
 
 import contextlib
 import socket
@@ -19,7 +19,7 @@
 
 
 class ScriptedServer:
-    """Answers each request on each connection by ``script``; counts connections."""
+    """Server that calls ``script`` for each request and counts connections."""
 
     def __init__(self, script: Callable[[socket.socket, int], None]) -> None:
         self.connections = 0
@@ -70,8 +70,8 @@
         return transport.exchange("platform.x", effect, "POST", "/x", BODY, SHORT_S)
 
     def test_the_rest_of_an_abandoned_answer_reaches_nobody(self) -> None:
-        # The platform is slow: an answer stops half way and the call is given up. Its second
-        # half arrives later; a next call on that connection would be told a stranger's answer.
+        # A call is abandoned in the middle of a slow answer. The rest arrives later, and the next
+        # call on that connection would read the answer to another request.
         late = threading.Event()
 
         def script(connection: socket.socket, number: int) -> None:
@@ -91,8 +91,8 @@
         self.assertEqual(b"newnew", self.exchange(transport).unwrap())
 
     def test_an_answer_that_trickles_ends_by_its_deadline(self) -> None:
-        # Each byte of an answer comes before the socket's time limit, the last one never: a
-        # caller would wait for good. The deadline is that of the whole answer.
+        # Each byte of an answer arrives within the read time-out, but the answer never ends, so the
+        # deadline must apply to the whole answer.
         def script(connection: socket.socket, number: int) -> None:
             connection.sendall(HEAD + b"ol")
             self.now += 2 * SHORT_S
@@ -105,7 +105,7 @@
         self.assertEqual(FaultKind.UNAVAILABLE, result.failure().kind)
 
     def test_a_whole_answer_counts_however_late_it_is_read(self) -> None:
-        """An overloaded host threw away answers that it had, and asked for all of them again."""
+        """Guards against discarding a received answer and repeating its request."""
 
         def script(connection: socket.socket, number: int) -> None:
             self.now += 2 * SHORT_S
@@ -117,8 +117,8 @@
         self.assertEqual(1, self.server.connections)
 
     def test_a_write_avoids_a_connection_that_was_idle(self) -> None:
-        # Something in between forgets a connection that was idle, and it goes silent for good.
-        # A claim sent on it would be lost with its answer, and the job be refused needlessly.
+        # A device on the path drops the state of an idle connection. A claim sent on it would be
+        # lost without an answer, and the job would be refused needlessly.
         def script(connection: socket.socket, number: int) -> None:
             forgotten = number == 1 and self.now > 0
             if not forgotten:
@@ -132,8 +132,8 @@
         self.assertEqual(b"answer", self.exchange(transport, Effect.ONCE).unwrap())
 
     def test_idle_connections_go_with_a_silent_one(self) -> None:
-        # Two connections are idle when the way they take is forgotten. The first call on one
-        # of them is lost; the next one must not be lost on the other.
+        # Two idle connections die at the same time. The first call on one of them is lost; the
+        # next call must not use the other one.
         together = threading.Barrier(2)
 
         def script(connection: socket.socket, number: int) -> None:
