--- a/src/lentilrill/platform/__init__.py
+++ b/src/lentilrill/platform/__init__.py
@@ -1,6 +1,7 @@
-"""The users' platform: its wire, translated into the product's types and back.
+"""Clients and servers for the interfaces of the users' platform.
 
-Nothing outside this package knows a name of the wire.
+This package converts between the wire formats and the product's types; names of the wire formats
+are used nowhere else.
 """
 
 from lentilrill.platform._endpoints import HttpEndpoint
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -1,4 +1,4 @@
-"""What endpoints send and receive, decoded into the product's types."""
+"""Decoding of the answers of endpoints into the product's types."""
 
 from typing import Any
 
@@ -24,9 +24,9 @@
 
 
 class Clock(msgspec.Struct):
-    """Head of each answer.
+    """Fields that all answers have.
 
-    :param reason: why an order was refused.
+    :param reason: reason of a refused order.
     """
 
     clock_ms: int = 0
@@ -36,11 +36,11 @@
 
 class _Lists(msgspec.Struct):
     clock_ms: int = 0
-    # Start of the endpoint's life, in milliseconds since the epoch.
+    # Start time of the endpoint, in milliseconds since the epoch.
     born: int = 0
-    # Rows of task, run number, checkpoint, percent, and a rough load.
+    # Rows: task, run number, checkpoint, percent, approximate load.
     running: list[list[Any]] = []
-    # Rows of a cursor, task, run number, how it ended, checkpoint.
+    # Rows: cursor, task, run number, kind of end, checkpoint.
     ended: list[list[Any]] = []
 
 
@@ -55,7 +55,7 @@
 
 
 def decode_clock(data: bytes) -> Clock:
-    """Return the head of an answer; an empty one if there is none that can be read."""
+    """Return the common fields of an answer; defaults if it is malformed."""
     try:
         return msgspec.json.decode(data, type=Clock)
     except CHECKED:
@@ -63,7 +63,7 @@
 
 
 def refusal(status: int, data: bytes) -> Verdict:
-    """Return what an answer with an error status means."""
+    """Return the verdict for an answer with an error status."""
     if status == 409:
         return VERDICT_BY_REASON.get(decode_clock(data).reason, Verdict.INVALID)
     if status == 421:
@@ -74,17 +74,17 @@
 
 
 def decode_look(data: bytes) -> Look:
-    """Return what a look found; ``UNKNOWN`` if its body can't be read.
+    """Return the result of a poll; its verdict is ``UNKNOWN`` if the body is malformed.
 
-    Guard against rows that were cut or garbled: one that can't be read makes the whole look
-    worthless, since a run that is left out would count as ended.
+    One malformed row invalidates the whole result, because a run that is missing from the list
+    counts as ended.
     """
     try:
         lists = msgspec.json.decode(data, type=_Lists)
         running = tuple(_seen(row) for row in lists.running)
         ended = tuple(_end(row) for row in lists.ended)
     except CHECKED as error:
-        return Look(Verdict.UNKNOWN, reason=f"odd answer: {error}")
+        return Look(Verdict.UNKNOWN, reason=f"malformed answer: {error}")
     return Look(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
 
 
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -13,17 +13,17 @@
 
 OK = 200
 ORDER_S = 0.35
-"""Time-out of an order: an endpoint answers within milliseconds; a link that is cut, never. An
-order is sent again after it, which is no second order."""
+"""Time-out of an order: endpoints answer within milliseconds, over a broken link never. An order
+is sent again after it; orders are idempotent."""
 LOOK_SLACK_S = 0.7
-"""How much later than its wait a look may answer before its connection counts as silent."""
+"""Time that a poll may take beyond its wait before its connection counts as silent."""
 
 
 class _Start(msgspec.Struct, omit_defaults=True):
     task: str
     run_id: int
     spec: str
-    # End of the lease, on the endpoint's own clock.
+    # End of the run lease, on the clock of the endpoint.
     expires_ms: int
     fencing_token: int
     checkpoint: str = ""
@@ -45,17 +45,17 @@
 
 class _Hold(msgspec.Struct, omit_defaults=True):
     fencing_token: int
-    # Ends up to this one are stored and may be forgotten.
+    # Ends up to this cursor are stored; the endpoint may discard them.
     ack_cursor: int = msgspec.field(default=-1)
     expires_ms: int = 0
     wait_ms: int = 0
 
 
 class HttpEndpoint:
-    """Calls to one endpoint; looks and orders use connections of their own.
+    """Client of one endpoint, with separate connections for polls and orders.
 
-    Each call names the life of the endpoint that it means, so that another one that has taken
-    the address over refuses it.
+    Each call contains the id of the endpoint instance, so that another instance that now uses the
+    address refuses the call.
     """
 
     def __init__(self, entry: EndpointEntry, metrics: Metrics) -> None:
@@ -82,11 +82,11 @@
         return self._order("stop", "/run-stop", _Stop(task_name(task), number, token))
 
     def pace(self, task: TaskId, number: int, percent: int, token: int) -> OrderAnswer:
-        """Pace a run."""
+        """Set the pace of a run."""
         return self._order("pace", "/pace", _Pace(task_name(task), number, percent, token))
 
     def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
-        """Renew the lease, acknowledge ends, and return what runs and what ended."""
+        """Renew the run lease, acknowledge ends, and return the current runs and the new ends."""
         body = msgspec.json.encode(_Hold(token, acknowledged, expires_ms or 0, wait_ms))
         self._metrics.incr("endpoint.looks")
         timeout_s = wait_ms / 1000 + LOOK_SLACK_S
--- a/src/lentilrill/platform/_hosts.py
+++ b/src/lentilrill/platform/_hosts.py
@@ -22,7 +22,7 @@
     pool: str
     state: str
     zone: str = ""
-    # The endpoint that lives on it.
+    # Id of the endpoint on the host.
     id: str | None = None
 
 
@@ -32,9 +32,9 @@
 
 
 class PlatformHosts:
-    """A :class:`~lentilrill.upkeep.HostCalls` on the platform's interface.
+    """A :class:`~lentilrill.upkeep.HostCalls` on the platform's hosts interface.
 
-    :param address: where it is.
+    :param address: address of the interface.
     """
 
     def __init__(self, address: str) -> None:
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests for jobs over HTTP, translated for the product's intake."""
+"""HTTP server for job requests of callers, which passes them to the intake."""
 
 import re
 import time
@@ -29,15 +29,15 @@
 METRIC_BY_METHOD = {"GET": "get", "POST": "post", "DELETE": "delete"}
 MAX_HEADER_BYTES = 64 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""What the server takes at all, sixteen times the usual limits: it has to be told before there is a
-configuration. The configured limit of a body counts besides."""
+"""Hard limit of the server, sixteen times the default of the configuration: it must be set before a
+configuration is known. The configured limit of a body applies as well."""
 BACKLOG = 512
-"""Connections that may wait to be taken; beyond it the opening packet is dropped, and is sent
-again only seconds later."""
+"""Connections in the accept queue. Beyond it the kernel drops the SYN packet, which is sent again
+only seconds later."""
 IDLE_S = 15
-"""How long a kept connection may be idle: the limit for callers that is configured by default."""
+"""Idle time-out of keep-alive connections: the default of the configured limit."""
 UNAVAILABLE_RETRY_S = 1.0
-"""When to come back to a host that has no configuration or no news yet."""
+"""Retry time for callers of a host that has no configuration or no status of other hosts yet."""
 
 Start = Callable[[str, list[tuple[str, str]]], Any]
 Environ = dict[str, Any]
@@ -45,10 +45,10 @@
 
 
 class Ingress:
-    """Serves callers of jobs.
+    """HTTP server for callers of jobs.
 
-    :param configuration: the configuration in force; ``None`` if there is none yet.
-    :param leaving: whether connections are to be ended after their answers.
+    :param configuration: returns the configuration in effect; ``None`` if there is none yet.
+    :param leaving: returns whether connections are closed after their answers.
     """
 
     def __init__(
@@ -67,15 +67,15 @@
         self._server = _server(address, self._serve, threads)
 
     def prepare(self) -> None:
-        """Listen."""
+        """Bind the address and listen."""
         self._server.prepare()
 
     def serve(self) -> None:
-        """Serve until stopped."""
+        """Serve until :meth:`stop` is called."""
         self._server.serve()
 
     def stop(self) -> None:
-        """Stop listening and end."""
+        """Stop the server."""
         self._server.stop()
 
     def _serve(self, environ: Environ, start: Start) -> Iterable[bytes]:
@@ -87,7 +87,7 @@
         if self._leaving():
             headers.append(("Connection", "close"))
         start(status, headers)
-        # Callers choose the method's name, and each name would be a metric for ever.
+        # Callers can send any method name, and each name would create a permanent metric.
         method = METRIC_BY_METHOD.get(str(environ["REQUEST_METHOD"]), "other")
         self._metrics.incr(f"ingress.{method}.{status[:3]}")
         self._metrics.timing(f"ingress.{method}", (time.monotonic() - began) * 1000)
@@ -144,7 +144,7 @@
 
 
 def _wait_s(environ: Environ) -> float | None:
-    """Return the seconds for which a caller waits for its answer; ``None`` if it does not say."""
+    """Return how many seconds the caller waits for its answer; ``None`` if it is not specified."""
     told = str(environ.get("HTTP_DEADLINE_MS", ""))
     return int(told) / 1000 if WAIT_MS.match(told) else None
 
@@ -155,7 +155,10 @@
 
 
 def serve_plain(address: str, page: Callable[[str], tuple[int, bytes]]) -> wsgi.Server:
-    """Return a small server whose answers depend on the path alone, prepared to serve."""
+    """Return an HTTP server for plain-text pages, ready to serve.
+
+    :param page: returns the status and the body for a path.
+    """
 
     def serve(environ: Environ, start: Start) -> Iterable[bytes]:
         status, body = page(str(environ.get("PATH_INFO", "")))
--- a/src/lentilrill/platform/_job_wire.py
+++ b/src/lentilrill/platform/_job_wire.py
@@ -1,4 +1,4 @@
-"""Jobs as callers send them, and what callers are told."""
+"""Decoding of the jobs that callers send, and encoding of the answers."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -12,7 +12,7 @@
 
 MAX_TASKS = 20_000
 MAX_STEPS = 500
-"""Bounds of one job: a caller must not use up an entry host's memory with a few bytes."""
+"""Limits of one job: a small request must not be able to exhaust the memory of an entry host."""
 
 
 class _Step(msgspec.Struct):
@@ -25,18 +25,18 @@
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
-    # Label that the endpoint must have.
+    # Label that an endpoint must have.
     requires: str = ""
-    # Rack where the data is.
+    # Rack of the step's data.
     affinity: str = ""
-    # Most tasks of the step on one endpoint.
+    # Maximum number of tasks of the step on one endpoint.
     anti_affinity: int = 0
     speculative: bool = False
     long_running: bool = False
     image: str = ""
     target_ms: int = 0
     fills: bool = False
-    # How many tasks may be away at once by our doing.
+    # Maximum number of tasks that the system itself may interrupt at once.
     may_miss: int = 0
 
 
@@ -49,7 +49,7 @@
 
 
 def decode_job(job: JobId, queue: Queue, body: bytes, now_ms: int) -> Result[Job, Fault]:
-    """Return the job in a request's body, or an ``INVALID`` fault."""
+    """Return the job in the body of a request, or an ``INVALID`` fault."""
     try:
         raw = msgspec.json.decode(body, type=_Job)
     except ODD as error:
@@ -60,7 +60,7 @@
         if step.count < 1 or any(not 0 <= before < index for before in step.after):
             return _invalid(f"step {index}: count {step.count}, after {step.after}")
     if sum(step.count for step in raw.steps) * max(1, raw.repeat_count) > MAX_TASKS:
-        return _invalid("too many tasks")
+        return _invalid("the job has too many tasks")
     steps = tuple(_step(step) for step in raw.steps)
     return Success(
         Job(
@@ -100,12 +100,12 @@
 
 
 def encode_state(state: JobState) -> bytes:
-    """Return the answer to a question about a job."""
+    """Return the answer to a request for the state of a job."""
     return msgspec.json.encode({"state": state.value})
 
 
 def encode_pending(waiting: int) -> bytes:
-    """Return the answer to a question about a queue."""
+    """Return the answer to a request for the number of pending jobs of a queue."""
     return msgspec.json.encode({"pending": waiting})
 
 
--- a/src/lentilrill/platform/_kv.py
+++ b/src/lentilrill/platform/_kv.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store behind the product's :class:`~lentilrill.store.KeyValue`."""
+"""Client of the platform's key-value store."""
 
 import base64
 import threading
@@ -34,27 +34,26 @@
 
 OK, NOT_FOUND, GONE, PRECONDITION, TOO_MANY, BUSY = 200, 404, 410, 412, 429, 503
 NOTHING_DONE = frozenset({400, 403, NOT_FOUND, TOO_MANY, BUSY})
-"""Statuses with which the store says that a commit had no effect."""
+"""Statuses that mean that a commit had no effect."""
 ATTEMPT_S = 0.7
-"""Time-out of one call: almost three times what a slow store takes, 0.25 s."""
+"""Time-out of one call: almost three times the latency of a slow store, 0.25 s."""
 FIRST_ATTEMPT_S = 0.35
-"""Time-out of a commit that may be sent again without harm: a little over what a slow
-store takes."""
+"""Time-out of a commit that can safely be sent again: slightly above a slow store's latency."""
 WHOLE_PAGE_S = 5.0
-"""Time-out of a page that keeps arriving: one has up to 1 MB, and the slowest links of entry hosts
-take a second or two for it, longer if others arrive beside it."""
+"""Time-out of a page that keeps arriving: a page has up to 1 MB, which takes the slowest links of
+entry hosts one or two seconds, or longer if they are shared."""
 LEASE_ATTEMPTS_S = (0.15, 0.45)
-"""Time-outs of a lease's call and of its repeat. The second leaves room for a busy link, and
-together they are so short that another renewal still fits into a lease of 1.6 s."""
+"""Time-outs of the two attempts of a lease call. The second allows for a busy link, and their sum
+is short enough for another renewal within a lease of 1.6 s."""
 PACE_KEPT = 0.9
-"""How much of a slow answer is still expected after each one that was faster."""
+"""Factor by which the expected latency decays with each faster answer."""
 DEADLINE_S = 1.5
-"""Time-out of a call with its retries; callers of jobs wait 3 s for an answer."""
+"""Time-out of a call including its retries; callers of jobs wait 3 s for an answer."""
 WATCH_WAIT_MS = 1500
-"""How long a watch waits for a change. Half of the 3 s in which a connection that went silent has
-to be replaced; each wait is one priced call."""
+"""Time that a watch waits for a change: half of the 3 s within which a silent connection must be
+replaced. Shorter waits cost more calls, and calls are billed."""
 WATCH_SLACK_S = 0.7
-"""How much later than its wait a watch may answer before its connection counts as silent."""
+"""Time that a watch may take beyond its wait before its connection counts as silent."""
 
 A = TypeVar("A", bound=msgspec.Struct)
 
@@ -63,7 +62,7 @@
     key: str
     value: str = ""
     revision: int = 0
-    # The wire lists a deletion as an item with ``removed`` and without a value.
+    # A deletion is sent as an item with ``removed`` and without a value.
     removed: bool = False
 
     def decoded(self) -> Item:
@@ -97,7 +96,7 @@
 
 class _Precondition(msgspec.Struct):
     key: str
-    # Modification revision; 0 says that the key must be absent.
+    # Modification revision; 0 means that the key must be absent.
     revision: int
 
 
@@ -116,7 +115,7 @@
 class PlatformKeyValue:
     """A :class:`~lentilrill.store.KeyValue` on the platform's store.
 
-    :param settings: where it is and what this process may use of it.
+    :param settings: address of the store and call budget of this process.
     """
 
     def __init__(self, settings: StoreSettings, metrics: Metrics) -> None:
@@ -131,7 +130,7 @@
 
     @property
     def silent_s(self) -> float:
-        """Seconds since the store last answered a call or a watch with success."""
+        """Seconds since the store last answered a call or a watch successfully."""
         return time.monotonic() - self._answered
 
     def read(self, prefix: str, priority: Priority = Priority.FIRST) -> Result[RangeAnswer, Fault]:
@@ -145,7 +144,7 @@
             if isinstance(page, Failure):
                 return page
             found = page.unwrap()
-            # Pages are no snapshot: a watch begun at the first page's revision misses nothing.
+            # Pages are not a snapshot; a watch from the first page's revision misses no change.
             revision = revision or found.at_rev
             items.extend(item.decoded() for item in found.items)
             if not found.truncated or not found.items:
@@ -176,7 +175,7 @@
         body = _encoded(compares, writes)
         if not _takes_effect_once(compares, writes):
             return self._commit(body, priority, ATTEMPT_S)[0]
-        # Guard against a slow store that gets twice the calls: it is waited for as it answers.
+        # The time-out follows the latency, so that a slow store does not get each commit twice.
         first_s = min(ATTEMPT_S, max(FIRST_ATTEMPT_S, 2 * self._slow_s))
         first, was_answered = self._commit(body, priority, first_s)
         if was_answered or _kind_of(first) is not FaultKind.AMBIGUOUS:
@@ -193,7 +192,7 @@
     def _commit(
         self, body: bytes, priority: Priority, longest_s: float
     ) -> tuple[Result[TxnAnswer, Fault], bool]:
-        """Send a commit once; return what came of it, and whether the store answered it at all."""
+        """Send a commit once; return its result and whether the store answered."""
         was_answered = False
 
         def attempt(left_s: float) -> Result[TxnAnswer, Fault]:
@@ -212,8 +211,7 @@
                 return Success(TxnAnswer(False, Revision(0), _found(data)))
             decoded = self._decoded("store.commit", status, data, peer, _Committed)
             if isinstance(decoded, Failure) and (status == OK or status not in NOTHING_DONE):
-                # Guard against a refusal that is untrue: behind an error or an answer that can't
-                # be read the commit may have taken effect.
+                # The commit may have taken effect despite an error status or a malformed answer.
                 fault = decoded.failure()
                 return Failure(Fault(fault.step, peer, FaultKind.AMBIGUOUS, fault.reason))
             return decoded.map(lambda done: TxnAnswer(True, Revision(done.revision)))
@@ -231,12 +229,12 @@
         return self._lease_call("store.lease", "POST", "/kv-lease", body).map(lambda r: r.lease)
 
     def keep_alive(self, lease: int) -> Result[float, Fault]:
-        """Renew a lease and return its seconds, which count from the call's arrival."""
+        """Renew a lease and return its duration in seconds, which starts when the call arrives."""
         renewed = self._lease_call("store.keep_alive", "POST", f"/kv-keep/{lease}", b"{}")
         return renewed.map(lambda r: r.ttl_ms / 1000.0)
 
     def revoke(self, lease: int) -> Result[None, Fault]:
-        """End a lease and delete its keys; one that has ended already is no fault."""
+        """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         path = f"/kv-lease-end/{lease}"
         ended = self._leases.answer("store.revoke", Effect.REPEATABLE, "DELETE", path, b"", 0.5)
         if isinstance(ended, Failure):
@@ -247,16 +245,16 @@
         return Failure(_fault_of("store.revoke", status, peer))
 
     def answered(self) -> None:
-        """Note that the store has just answered."""
+        """Record that the store has just answered."""
         self._answered = time.monotonic()
 
     def _paced(self, began: float) -> None:
-        """Take note of how long an answer took."""
+        """Update the expected latency with the latency of an answer."""
         self._slow_s = max(time.monotonic() - began, self._slow_s * PACE_KEPT)
 
     def _lease_call(self, step: str, method: str, path: str, body: bytes) -> Result[_Lease, Fault]:
-        # Not behind the circuit breaker: while a lease can still be renewed in time, each try
-        # counts, and there is one caller only.
+        # The circuit breaker is bypassed: every attempt that can still renew the lease in time
+        # matters, and there is only one caller.
         is_slow = 2 * self._slow_s > LEASE_ATTEMPTS_S[0]
         for attempt_s in LEASE_ATTEMPTS_S[1:] if is_slow else LEASE_ATTEMPTS_S:
             self._metrics.incr(f"{step}.calls")
@@ -294,13 +292,13 @@
         try:
             answer = msgspec.json.decode(data, type=kind)
         except ODD as error:
-            return Failure(Fault(step, peer, FaultKind.INVALID, f"odd answer: {error}"))
+            return Failure(Fault(step, peer, FaultKind.INVALID, f"malformed answer: {error}"))
         self._answered = time.monotonic()
         return Success(answer)
 
 
 class PlatformWatch(Iterator[Result[WatchBatch, Fault]]):
-    """Changes below a prefix by long polls; a batch without items says that nothing changed."""
+    """Changes below a prefix by long polling; a batch without items means that nothing changed."""
 
     def __init__(self, kv: PlatformKeyValue, address: str, prefix: str, after: Revision) -> None:
         self._kv = kv
@@ -331,13 +329,13 @@
             items = tuple(item.decoded() for item in news.events)
         except (*ODD, ValueError) as error:
             self._ended.set()
-            return Failure(Fault(step, peer, FaultKind.CONFLICT, f"odd answer: {error}"))
+            return Failure(Fault(step, peer, FaultKind.CONFLICT, f"malformed answer: {error}"))
         self._kv.answered()
         self._after = Revision(max(self._after, news.at_rev))
         return Success(WatchBatch(items, self._after))
 
     def close(self) -> None:
-        """End the watch; a wait under way ends with its time-out at the latest."""
+        """End the watch; a pending wait ends with its time-out at the latest."""
         self._ended.set()
 
 
@@ -361,7 +359,7 @@
 def _takes_effect_once(
     compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
 ) -> bool:
-    """Return whether a transaction fails once it has taken effect: it changes what it compares."""
+    """Return whether a repeated transaction fails, because it writes only keys that it compares."""
     compared = {compare.key for compare in compares}
     return bool(writes) and all(
         isinstance(write, Put) and write.key in compared for write in writes
@@ -371,7 +369,7 @@
 def _revision_of(
     compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...], found: tuple[Item, ...]
 ) -> Revision:
-    """Return the revision at which all of ``writes`` were stored together; 0 if they were not."""
+    """Return the revision at which all ``writes`` were stored together; 0 if they were not."""
     item_by_key = {item.key: item for item in found}
     before_by_key = {compare.key: compare.revision for compare in compares}
     revisions = set()
@@ -386,7 +384,7 @@
 
 
 def _found(data: bytes) -> tuple[Item, ...]:
-    """Return the items that a failed precondition's answer shows; none if it can't be read."""
+    """Return the items in the answer to a failed precondition; none if it is malformed."""
     try:
         shown = msgspec.json.decode(data, type=_Found)
         present = [item for item in shown.items if item and item.revision and not item.removed]
@@ -397,9 +395,11 @@
 
 def _fault_of(step: str, status: int, peer: str) -> Fault:
     if status in (TOO_MANY, BUSY):
-        return Fault(step, peer, FaultKind.UNAVAILABLE, f"status {status}: nothing was done")
+        return Fault(
+            step, peer, FaultKind.UNAVAILABLE, f"status {status}: the request had no effect"
+        )
     if status == GONE:
-        return Fault(step, peer, FaultKind.CONFLICT, "the history is no longer kept")
+        return Fault(step, peer, FaultKind.CONFLICT, "the history is compacted")
     if status == NOT_FOUND:
-        return Fault(step, peer, FaultKind.INVALID, "there is no such item")
+        return Fault(step, peer, FaultKind.INVALID, "the item does not exist")
     return Fault(step, peer, FaultKind.INVALID, f"status {status}")
--- a/src/lentilrill/platform/_policy.py
+++ b/src/lentilrill/platform/_policy.py
@@ -1,4 +1,4 @@
-"""The platform's policy service: which endpoints may run a step."""
+"""Client of the platform's policy service, which decides where a step may run."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -14,26 +14,26 @@
 
 OK = 200
 TIMEOUT_S = 3.0
-"""Time-out of a call: the service answers a host's calls one after the other, and each takes about
-half a second for thirty endpoints, so a few of other pools' may go first."""
+"""Time-out of a call. The service processes the calls of a host one after the other, and each takes
+about half a second for thirty endpoints, so a call may wait for some calls of other pools."""
 
 
 class _Question(msgspec.Struct):
     step: str
-    # Endpoints, by their ids.
+    # Ids of endpoints.
     workers: list[EndpointId]
 
 
 class _Answer(msgspec.Struct):
-    # Rows of an endpoint and its ticket; endpoints that may not run the step are left out.
+    # Rows: endpoint id, ticket. Endpoints that may not run the step are omitted.
     good: list[tuple[EndpointId, str]]
     valid_ms: int = 0
 
 
 class PlatformPolicy:
-    """A :class:`~lentilrill.execution.PolicyCalls` on the platform's interface.
+    """A :class:`~lentilrill.execution.PolicyCalls` on the platform's policy service.
 
-    :param address: where it is.
+    :param address: address of the service.
     """
 
     def __init__(self, address: str, metrics: Metrics) -> None:
@@ -41,7 +41,7 @@
         self._metrics = metrics
 
     def ask(self, step: StepId, endpoints: tuple[EndpointId, ...]) -> Result[PolicyAnswer, Fault]:
-        """Return tickets for those of some endpoints that may run a step."""
+        """Return tickets for the endpoints among ``endpoints`` that may run a step."""
         name = f"{step.job}.{step.occurrence}.{step.step}"
         body = msgspec.json.encode(_Question(name, list(endpoints)))
         self._metrics.incr("policy.calls")
@@ -56,7 +56,7 @@
         try:
             answer = msgspec.json.decode(data, type=_Answer)
         except ODD as error:
-            return _failure(peer, FaultKind.INVALID, f"odd answer: {error}")
+            return _failure(peer, FaultKind.INVALID, f"malformed answer: {error}")
         return Success(PolicyAnswer(dict(answer.good), answer.valid_ms / 1000))
 
 
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -1,4 +1,4 @@
-"""Records that operators and endpoints keep in the store, decoded into the product's types."""
+"""Decoding of the records of operators and endpoints in the store."""
 
 import msgspec
 
@@ -37,7 +37,7 @@
 
 class _Advice(msgspec.Struct):
     decide_ms: int = 0
-    # Time added for each endpoint asked about.
+    # Additional time per endpoint in the request.
     period_ms: int = 0
     valid_ms: int = 0
 
@@ -46,7 +46,7 @@
     name: str
     host: str
     prefix: str
-    # The pool whose endpoints run the queue's tasks.
+    # Pool whose endpoints run the tasks of the queue.
     service: str
     priority: int = 0
     max_attempts: int = 1
@@ -58,7 +58,7 @@
 
 class _Service(msgspec.Struct):
     name: str
-    # Its endpoints refuse what does not fit.
+    # Whether its endpoints refuse tasks that exceed their capacity.
     rejects_overload: bool = False
     standby: bool = False
 
@@ -103,7 +103,7 @@
 
 
 def decode_configuration(value: bytes) -> Configuration | None:
-    """Return a configuration; ``None`` if it can't be read, which is logged."""
+    """Return a configuration; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Config)
     except ODD as error:
@@ -139,7 +139,7 @@
 
 
 def decode_endpoint(key: str, value: bytes) -> EndpointEntry | None:
-    """Return an endpoint's entry; ``None`` if it names none to use, which is logged."""
+    """Return the entry of an endpoint; log an error and return ``None`` if it is unusable."""
     try:
         raw = msgspec.json.decode(value, type=_Entry)
         host, _, port = raw.address.rpartition(":")
@@ -164,7 +164,7 @@
 
 
 def decode_wave(key: str, value: bytes) -> Wave | None:
-    """Return a wave; ``None`` if it can't be read, which is logged."""
+    """Return a wave; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Wave)
     except ODD as error:
@@ -175,10 +175,10 @@
 
 
 def wave_state_key(number: int) -> str:
-    """Return the key under which operators read a wave's state."""
+    """Return the key of a wave's state, which operators read."""
     return f"status/wave/{number}"
 
 
 def encode_wave_state(*, completed: bool) -> bytes:
-    """Return a wave's state for operators."""
+    """Return the encoded state of a wave."""
     return msgspec.json.encode({"state": "completed" if completed else "running"})
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -17,13 +17,13 @@
 __all__ = ["GRACE_S", "EntrySite"]
 
 GRACE_S = 20.0
-"""Well above the platform's grace, so that a slow machine is no verdict."""
+"""Well above the grace period of the platform, so that a slow machine does not fail a test."""
 OUTPUT_LINES = 60
 HOST = {"Host": "braille.example"}
 
 
 class EntrySite:
-    """Some entry hosts and what callers see of them."""
+    """Entry host processes and a client for their interfaces."""
 
     def __init__(self, platform: UsersPlatform, hosts: int) -> None:
         self.platform = platform
@@ -61,7 +61,7 @@
         return eventually(lambda: all(self.is_ready(name) for name in self.settings))
 
     def close(self) -> None:
-        """End the processes that were started here."""
+        """Kill the processes and delete the folder."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -79,20 +79,20 @@
         self.processes[name].wait()
 
     def end(self, name: str) -> int:
-        """Tell one entry host to end; return its exit code once it has."""
+        """Send SIGTERM to one entry host and return its exit code."""
         self.processes[name].send_signal(signal.SIGTERM)
         return self.processes[name].wait(timeout=GRACE_S)
 
     def is_ready(self, name: str) -> bool:
-        """Whether the balancer would send callers there."""
+        """Return whether the readiness endpoint of an entry host answers 200."""
         return self._status("GET", self.settings[name]["readiness"], "/readiness")[0] == 200
 
     def submit(self, name: str, path: str, job: dict[str, Any]) -> int:
-        """Hand a job in; return the status of the answer, 0 for none."""
+        """Submit a job; return the status of the answer, 0 if there is none."""
         return self._status("POST", self.settings[name]["callers"], path, json.dumps(job))[0]
 
     def state(self, name: str, path: str) -> str:
-        """Return a job's state as shown, or the status of the answer."""
+        """Return the state of a job, or the status of an answer other than 200."""
         status, body = self._status("GET", self.settings[name]["callers"], path)
         return str(json.loads(body)["state"]) if status == 200 else str(status)
 
--- a/tests/platform/test_ingress.py
+++ b/tests/platform/test_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests as the ingress hands them on."""
+"""Calls of the ingress to the intake."""
 
 import http.client
 import threading
@@ -49,7 +49,7 @@
         return connection.getresponse().status
 
     def test_the_intake_is_told_how_long_a_caller_waits(self) -> None:
-        """A caller who waits for a second was held for longer."""
+        """Guards against holding a caller beyond the deadline in its request."""
         for method in ("POST", "DELETE"):
             self.assertEqual(200, self.ask(method, Deadline_Ms="1400"))
             wait_s = self.intake.waits.pop()
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -1,4 +1,4 @@
-"""What an answer of the platform's store means, and what it does not."""
+"""Interpretation of answers of the platform's store, and retries."""
 
 import threading
 import time
@@ -17,7 +17,7 @@
 from standins._http import Call, Server
 
 Answered = Result[tuple[int, bytes, str], Fault]
-"""What became of one HTTP exchange."""
+"""Result of one HTTP exchange."""
 
 
 class AnswersTest(TestCase):
@@ -39,10 +39,10 @@
         return self.kv.commit(compares, (Put("in/notices/j/a", b"x"),))
 
     def test_an_error_or_an_odd_answer_may_hide_a_commit(self) -> None:
-        """A clerk was told that a job never runs, and it was embossed.
+        """Guards against reporting a committed job as refused.
 
-        The store had committed it, and something on the way turned the answer into a 500, or cut
-        its body; either was taken for a refusal.
+        A device on the path may turn the answer to a successful commit into a 500 or truncate
+        its body.
         """
         for status, body in ((500, b""), (502, b""), (504, b""), (200, b"{"), (200, b"[]")):
             result = self.commit(status, body)
@@ -59,7 +59,7 @@
             self.assertIs(FaultKind.INVALID, result.failure().kind)
 
     def test_a_failed_condition_shows_what_is_there(self) -> None:
-        """One stored job of a commit had each of the others committed by itself."""
+        """Guards against one commit per job when one job of a batch is stored already."""
         body = (
             b'{"items":[{"key":"in/notices/j/a","value":"eA==","revision":5},'
             b'{"key":"in/notices/j/b","revision":0},{"key":"c","revision":6,"removed":true},null]}'
@@ -85,7 +85,7 @@
             self.patch(transport, "answer", self.noting_waits(transport.answer))
 
     def noting_waits(self, answer: Callable[..., Answered]) -> Callable[..., Answered]:
-        """Return the call, which also notes for how long at most it waits for its answer."""
+        """Return a wrapper of the call that records its time-out."""
 
         def noted(
             step: str, effect: Effect, method: str, path: str, body: bytes, timeout_s: float
@@ -114,19 +114,19 @@
         return self.kv.commit((Compare(compared, Revision(4)),), (Put("a", b"x"),))
 
     def test_a_commit_without_an_answer_is_sent_again(self) -> None:
-        """A completed job was shown a second late, since its commit had one answer lost."""
+        """Guards against a delay of a second when one answer to a commit is lost."""
         done = self.commit(None, (200, b'{"revision":7}')).unwrap()
         self.assertLess(self.waits_s[0], 0.4)
         self.assertEqual(TxnAnswer(True, Revision(7)), done)
         self.assertEqual(1, len(set(self.bodies)))
 
     def test_a_commit_that_took_effect_is_known_by_what_it_wrote(self) -> None:
-        """The second try of a commit failed since the first had taken effect."""
+        """Guards against a failure of the second attempt because the first took effect."""
         there = b'{"items":[{"key":"a","value":"eA==","revision":5}]}'
         self.assertEqual(TxnAnswer(True, Revision(5)), self.commit(None, (412, there)).unwrap())
 
     def test_a_second_try_that_does_not_tell_settles_nothing(self) -> None:
-        """A write that may still happen was taken for one that never does."""
+        """Guards against reporting a write that may still take effect as failed."""
         other = b'{"items":[{"key":"a","value":"eQ==","revision":5}]}'
         before = b'{"items":[{"key":"a","value":"eA==","revision":4}]}'
         for answer in (
@@ -141,14 +141,14 @@
             self.assertIs(FaultKind.AMBIGUOUS, result.failure().kind, answer)
 
     def test_what_may_take_effect_twice_is_sent_once(self) -> None:
-        """A write whose condition held again after it was carried out a second time."""
+        """Guards against executing a write twice when its condition still holds afterwards."""
         result = self.commit(None, (200, b'{"revision":7}'), compared="b")
         assert isinstance(result, Failure)
         self.assertIs(FaultKind.AMBIGUOUS, result.failure().kind)
         self.assertEqual(1, len(self.bodies))
 
     def test_a_lost_renewal_is_sent_again_at_once(self) -> None:
-        """Two lost answers in a row cost a host its lease, and its pools their owner."""
+        """Guards against losing a lease, and the owned pools, to two consecutive lost answers."""
         for number in range(3):
             self.answers.extend([None, (200, b'{"ttl_ms":1600}')])
             self.waits_s.clear()
@@ -156,13 +156,13 @@
             self.assertLess(self.waits_s[0], 0.2)
 
     def test_a_renewal_that_gets_no_answer_ends_in_time_for_another(self) -> None:
-        """A host gave its pools up while a second renewal would still have kept its lease."""
+        """Guards against a renewal that leaves no time for another one within the lease."""
         self.answers.extend([None] * 4)
         self.assertIsInstance(self.kv.keep_alive(1), Failure)
         self.assertLess(sum(self.waits_s), 0.7)
 
     def test_a_slow_store_does_not_get_each_call_twice(self) -> None:
-        """A store that was slow got twice the calls, and each caller waited twice."""
+        """Guards against sending each call twice to a slow store."""
         self.delay_s = 0.4
         self.commit((200, b'{"revision":7}'), (200, b'{"revision":7}'))
         self.bodies.clear()
@@ -198,7 +198,7 @@
             call.cut()
 
     def test_a_page_that_keeps_arriving_is_read_to_its_end(self) -> None:
-        """A host on a slow link asked for the same long list again and again, and got none."""
+        """Guards against endless retries of a long read over a slow link."""
         item = b'{"key":"op/config","value":"eA==","revision":5}'
         self.parts = [b'{"items":[', *[item + b","] * 5, item, b'],"at_rev":6}']
         answer = self.kv.read("op/").unwrap()
@@ -206,7 +206,7 @@
         self.assertEqual(1, self.calls)
 
     def test_a_page_that_stops_arriving_is_given_up(self) -> None:
-        """A read was held by a connection that had gone silent."""
+        """Guards against a read that waits for a silent connection."""
         self.parts, self.missing = [b'{"items":['], 40
         began = time.monotonic()
         self.assertIsInstance(self.kv.read("op/"), Failure)
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -14,7 +14,7 @@
 
 class OrderTest(TestCase):
     def start_at(self, address: str) -> Verdict:
-        """Order a start at an endpoint; return what became of it."""
+        """Order a start at an endpoint; return the verdict."""
         entry = msgspec.structs.replace(an_endpoint("e1"), address=address)
         endpoint = HttpEndpoint(entry, NoMetrics())
         self.addCleanup(endpoint.close)
@@ -22,14 +22,14 @@
         return endpoint.start(StartOrder(task, 1, "text", 1000, 7)).verdict
 
     def test_a_start_that_found_no_connection_is_not_in_doubt(self) -> None:
-        """Each start that was refused a connection cost a stop and a look, as if it might run."""
+        """Guards against a needless stop and poll after a start that was never sent."""
         self.assertIsNot(Verdict.UNKNOWN, self.start_at(an_address()))
 
     def test_a_start_whose_connection_breaks_is_in_doubt(self) -> None:
-        """A task ran twice: its start was carried out, but its answer was lost."""
+        """Guards against a second start of a task whose first start lost its answer."""
         address = an_address()
         host, _, port = address.rpartition(":")
         listener = socket.create_server((host, int(port)))
         self.addCleanup(listener.close)
-        # Nobody answers there, though the connection is made.
+        # The kernel accepts the connection, but nothing answers.
         self.assertIs(Verdict.UNKNOWN, self.start_at(address))
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Jobs on real entry hosts, on a stand-in of the users' platform."""
+"""Jobs on entry host processes, with a stand-in of the users' platform."""
 
 import socket
 from collections import Counter
@@ -35,7 +35,7 @@
         self.addOnException(lambda _: self.add_outputs())
 
     def add_outputs(self) -> None:
-        """Show beside a failure what the entry hosts wrote."""
+        """Attach the output of the entry hosts to a failure."""
         for name in self.site.processes:
             self.addDetail(name, text_content(self.site.output(name)))
 
@@ -46,7 +46,7 @@
         return all(self.site.state(name, path(n)) == "completed" for n in range(jobs))
 
     def check_runs(self) -> None:
-        """Each task ran to its end once, and never twice at a time."""
+        """Check that each task completed exactly once and that its runs did not overlap."""
         done = Counter(r.task for r in self.platform.records if r.how == "done")
         self.assertEqual({1}, set(done.values()))
         runs_by_task: dict[str, list[Any]] = {}
@@ -77,10 +77,10 @@
         self.assertNotIn("brew", metrics)
 
     def test_a_queue_whose_policy_allows_only_some_endpoints(self) -> None:
-        """No task of a queue with a policy ever started: each start was refused for its ticket.
+        """Guards against starts without a valid ticket, which endpoints of such a queue refuse.
 
-        Its endpoints ask for a ticket of the policy service, which lasts a second and a half, so
-        that later steps need another one.
+        Tickets of the policy service expire after a second and a half, so later steps need new
+        ones.
         """
         self.begin(task_s=0.7, advised=True)
         barred = self.platform.endpoint_of(self.workers[0])
@@ -92,10 +92,10 @@
         self.assertNotIn(barred, {record.endpoint for record in self.platform.records})
 
     def test_a_killed_owner_costs_no_job(self) -> None:
-        """A ballot was lost when the host that ran its queue was killed.
+        """Guards against losing the jobs of a pool whose owner is killed.
 
-        Its tasks run on under their leases; another host takes the pool over, finds them by its
-        looks, and finishes the job. Nothing runs twice.
+        The tasks continue under their run leases. Another host takes the pool over, finds the
+        runs by polling the endpoints, and completes the jobs; nothing runs twice.
         """
         self.begin(task_s=1.0)
         for number in range(4):
@@ -109,7 +109,7 @@
         self.check_runs()
 
     def test_answers_that_are_lost_run_nothing_twice(self) -> None:
-        """A task was carried out and its answer was lost: it ran a second time, or never ended."""
+        """Guards against a second run, or a missing end, of a task whose answer was lost."""
         self.begin(task_s=0.3)
         self.platform.lost_every = 4
         for number in range(6):
@@ -118,10 +118,10 @@
         self.check_runs()
 
     def test_all_hosts_killed_at_once_lose_no_job(self) -> None:
-        """After all entry hosts had died together nobody knew what had been accepted.
+        """Guards against losing accepted jobs when all entry hosts die at the same time.
 
-        Twice, so that the second time their jobs were taken over once already; and while answers
-        of endpoints are lost.
+        The hosts are killed twice, so that the second time the jobs were already taken over
+        once, and answers of endpoints are lost meanwhile.
         """
         self.begin(task_s=0.6)
         self.platform.lost_every = 7
@@ -136,7 +136,7 @@
         self.check_runs()
 
     def test_a_pool_that_a_strong_host_takes_over_from_a_weak_one_loses_no_job(self) -> None:
-        """A weak host kept a pool that it could not carry, and its tasks were started too late."""
+        """Guards against late starts because a host without enough capacity keeps a pool."""
         self.prepare(task_s=2.0)
         self.site.settings["front-0"]["limits"] = {"cpu_share": 0.1}
         self.site.start("front-0")
@@ -151,10 +151,10 @@
         self.assertIn("shard_handed_over", self.site.output("front-0"))
 
     def test_a_stopped_host_ends_by_itself(self) -> None:
-        """Each entry host that was told to stop was killed at the end of its grace.
+        """Guards against a process that does not exit after SIGTERM and is killed after its grace.
 
-        It had handed over, finished and logged its end; but its readiness server was never stopped,
-        and that server's threads kept the process alive.
+        It had handed over its pools and logged its end, but its readiness server was not stopped,
+        and the threads of that server kept the process alive.
         """
         self.begin(task_s=0.5)
         self.assertEqual(200, self.site.submit("front-0", path(0), JOB))
@@ -163,7 +163,7 @@
         self.check_runs()
 
     def test_a_host_that_cannot_listen_ends(self) -> None:
-        """A host whose readiness port was taken owned a pool, heard no caller and never ended."""
+        """Guards against a host that owns a pool without a readiness port and never exits."""
         self.begin(task_s=0.1, hosts=1)
         self.assertEqual(0, self.site.end("front-0"))
         address, _, port = self.site.settings["front-0"]["readiness"].partition(":")
@@ -183,7 +183,7 @@
         self.assertTrue(eventually(lambda: self.site.state("front-0", path(1)) == "completed"))
 
     def test_while_the_store_is_away_jobs_are_refused_and_tasks_go_on(self) -> None:
-        """In an outage of the store every task was killed, and callers waited in vain."""
+        """Guards against killed tasks and waiting callers in an outage of the store."""
         self.begin(task_s=3.0)
         self.assertEqual(200, self.site.submit("front-0", path(1), JOB))
         self.assertTrue(eventually(lambda: len(self.platform.records) == 3))
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Records and bodies of the platform, whole and odd."""
+"""Decoding of well-formed and malformed records and bodies of the platform."""
 
 import msgspec
 from returns.result import Failure
@@ -69,7 +69,7 @@
         self.assertEqual([EndKind.DONE, EndKind.ODD], [end.kind for end in look.ended])
 
     def test_a_row_that_cannot_be_read_makes_the_look_worthless(self) -> None:
-        """A task was started twice since the row of its run was cut, and so it counted as gone."""
+        """Guards against a second start of a task because the row of its run was truncated."""
         for row in (["x"], ["a.b.c.d", 1, "", 0], "text", [None, 1, "", 0]):
             look = decode_look(encoded({"clock_ms": 7, "running": [row]}))
             self.assertIs(Verdict.UNKNOWN, look.verdict, row)
