--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -6,12 +6,12 @@
 
 from lentilrill.execution import EndKind, Look, RunEnd, RunSeen, Verdict
 from lentilrill.ids import JobId
-from lentilrill.store import ODD
+from lentilrill.store import DECODE_ERRORS
 from lentilrill.workloads import TaskId
 
 __all__ = ["Clock", "decode_clock", "decode_look", "refusal", "task_name"]
 
-CHECKED = (*ODD, ValueError, TypeError, IndexError)
+CHECKED = (*DECODE_ERRORS, ValueError, TypeError, IndexError)
 
 VERDICT_BY_REASON = {
     "fence": Verdict.FENCED,
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -90,7 +90,7 @@
         body = msgspec.json.encode(_Hold(token, acknowledged, expires_ms or 0, wait_ms))
         self._metrics.incr("endpoint.looks")
         timeout_s = wait_ms / 1000 + LOOK_SLACK_S
-        answered = self._looks.answer(
+        answered = self._looks.request(
             "endpoint.look", Effect.REPEATABLE, "POST", "/hold", body, timeout_s
         )
         if isinstance(answered, Failure):
@@ -106,7 +106,7 @@
     def _order(self, step: str, path: str, order: msgspec.Struct) -> OrderAnswer:
         body = msgspec.json.encode(order)
         self._metrics.incr(f"endpoint.orders.{step}")
-        answered = self._orders.answer(
+        answered = self._orders.request(
             f"endpoint.{step}", Effect.REPEATABLE, "POST", path, body, ORDER_S
         )
         if isinstance(answered, Failure):
--- a/src/lentilrill/platform/_hosts.py
+++ b/src/lentilrill/platform/_hosts.py
@@ -6,7 +6,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, ZoneId
 from lentilrill.platform._endpoint_wire import decode_clock
-from lentilrill.store import ODD, Effect, Transport
+from lentilrill.store import DECODE_ERRORS, Effect, Transport
 from lentilrill.upkeep import HostOrder, HostRow, HostState
 
 __all__ = ["PlatformHosts"]
@@ -47,7 +47,9 @@
         token = ""
         while True:
             path = "/machines" + (f"?page_token={token}" if token else "")
-            answered = self._lists.answer("hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_S)
+            answered = self._lists.request(
+                "hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_S
+            )
             if isinstance(answered, Failure):
                 return answered
             status, data, peer = answered.unwrap()
@@ -56,7 +58,7 @@
                 return Failure(Fault("hosts.list", peer, FaultKind.UNAVAILABLE, reason))
             try:
                 page = msgspec.json.decode(data, type=_Page)
-            except ODD as error:
+            except DECODE_ERRORS as error:
                 return Failure(Fault("hosts.list", peer, FaultKind.INVALID, str(error)))
             rows += [
                 HostRow(
@@ -86,7 +88,7 @@
     ) -> HostOrder:
         headers = {"Lease-Holder": str(holder), "Fencing-Token": str(token)}
         transport = Transport((self._address,), headers=headers)
-        answered = transport.answer(
+        answered = transport.request(
             "hosts.order", Effect.ONCE, "POST", path, msgspec.json.encode(body), CALL_S
         )
         transport.close()
--- a/src/lentilrill/platform/_job_wire.py
+++ b/src/lentilrill/platform/_job_wire.py
@@ -5,7 +5,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import JobId, RackId
-from lentilrill.store import ODD
+from lentilrill.store import DECODE_ERRORS
 from lentilrill.workloads import Job, JobState, Queue, Resources, Step
 
 __all__ = ["decode_job", "encode_pending", "encode_state"]
@@ -52,7 +52,7 @@
     """Return the job in the body of a request, or an ``INVALID`` fault."""
     try:
         raw = msgspec.json.decode(body, type=_Job)
-    except ODD as error:
+    except DECODE_ERRORS as error:
         return _invalid(str(error))
     if not raw.steps or len(raw.steps) > MAX_STEPS:
         return _invalid(f"{len(raw.steps)} steps")
--- a/src/lentilrill/platform/_kv.py
+++ b/src/lentilrill/platform/_kv.py
@@ -14,7 +14,7 @@
 from lentilrill.ids import Revision
 from lentilrill.settings import StoreSettings
 from lentilrill.store import (
-    ODD,
+    DECODE_ERRORS,
     CallBudget,
     CallGuard,
     Compare,
@@ -198,7 +198,7 @@
         def attempt(left_s: float) -> Result[TxnAnswer, Fault]:
             nonlocal was_answered
             began = time.monotonic()
-            answered = self._transport.answer(
+            answered = self._transport.request(
                 "store.commit", Effect.ONCE, "POST", "/kv-txn", body, min(longest_s, left_s)
             )
             was_answered = not isinstance(answered, Failure)
@@ -236,7 +236,7 @@
     def revoke(self, lease: int) -> Result[None, Fault]:
         """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         path = f"/kv-lease-end/{lease}"
-        ended = self._leases.answer("store.revoke", Effect.REPEATABLE, "DELETE", path, b"", 0.5)
+        ended = self._leases.request("store.revoke", Effect.REPEATABLE, "DELETE", path, b"", 0.5)
         if isinstance(ended, Failure):
             return ended
         status, _, peer = ended.unwrap()
@@ -259,7 +259,7 @@
         for attempt_s in LEASE_ATTEMPTS_S[1:] if is_slow else LEASE_ATTEMPTS_S:
             self._metrics.incr(f"{step}.calls")
             began = time.monotonic()
-            answered = self._leases.answer(step, Effect.REPEATABLE, method, path, body, attempt_s)
+            answered = self._leases.request(step, Effect.REPEATABLE, method, path, body, attempt_s)
             if not isinstance(answered, Failure):
                 self._paced(began)
                 break
@@ -274,7 +274,7 @@
         self, step: str, path: str, kind: type[A], priority: Priority, whole_s: float = 0.0
     ) -> Result[A, Fault]:
         def attempt(left_s: float) -> Result[A, Fault]:
-            answered = self._transport.answer(
+            answered = self._transport.request(
                 step, Effect.REPEATABLE, "GET", path, b"", min(ATTEMPT_S, left_s), whole_s
             )
             if isinstance(answered, Failure):
@@ -291,7 +291,7 @@
             return Failure(_fault_of(step, status, peer))
         try:
             answer = msgspec.json.decode(data, type=kind)
-        except ODD as error:
+        except DECODE_ERRORS as error:
             return Failure(Fault(step, peer, FaultKind.INVALID, f"malformed answer: {error}"))
         self._answered = time.monotonic()
         return Success(answer)
@@ -314,7 +314,7 @@
         path = f"/kv-watch?prefix={quote(self._prefix)}&after={self._after}&wait_ms={WATCH_WAIT_MS}"
         timeout_s = WATCH_WAIT_MS / 1000.0 + WATCH_SLACK_S
         whole_s = timeout_s + WHOLE_PAGE_S
-        answered = self._transport.answer(
+        answered = self._transport.request(
             step, Effect.REPEATABLE, "GET", path, b"", timeout_s, whole_s
         )
         if isinstance(answered, Failure):
@@ -327,7 +327,7 @@
         try:
             news = msgspec.json.decode(data, type=_Events)
             items = tuple(item.decoded() for item in news.events)
-        except (*ODD, ValueError) as error:
+        except (*DECODE_ERRORS, ValueError) as error:
             self._ended.set()
             return Failure(Fault(step, peer, FaultKind.CONFLICT, f"malformed answer: {error}"))
         self._kv.answered()
@@ -389,7 +389,7 @@
         shown = msgspec.json.decode(data, type=_Found)
         present = [item for item in shown.items if item and item.revision and not item.removed]
         return tuple(item.decoded() for item in present)
-    except (*ODD, ValueError):
+    except (*DECODE_ERRORS, ValueError):
         return ()
 
 
--- a/src/lentilrill/platform/_policy.py
+++ b/src/lentilrill/platform/_policy.py
@@ -6,7 +6,7 @@
 from lentilrill.execution import PolicyAnswer
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import EndpointId
-from lentilrill.store import ODD, Effect, Transport
+from lentilrill.store import DECODE_ERRORS, Effect, Transport
 from lentilrill.telemetry import Metrics
 from lentilrill.workloads import StepId
 
@@ -45,7 +45,7 @@
         name = f"{step.job}.{step.occurrence}.{step.step}"
         body = msgspec.json.encode(_Question(name, list(endpoints)))
         self._metrics.incr("policy.calls")
-        answered = self._transport.answer(
+        answered = self._transport.request(
             "policy.ask", Effect.REPEATABLE, "POST", "/advise", body, TIMEOUT_S
         )
         if isinstance(answered, Failure):
@@ -55,7 +55,7 @@
             return _failure(peer, FaultKind.UNAVAILABLE, f"status {status}")
         try:
             answer = msgspec.json.decode(data, type=_Answer)
-        except ODD as error:
+        except DECODE_ERRORS as error:
             return _failure(peer, FaultKind.INVALID, f"malformed answer: {error}")
         return Success(PolicyAnswer(dict(answer.good), answer.valid_ms / 1000))
 
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from lentilrill.ids import EndpointId, HostId, PoolId, QueueId, ZoneId
-from lentilrill.store import ODD
+from lentilrill.store import DECODE_ERRORS
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import (
     Advice,
@@ -106,7 +106,7 @@
     """Return a configuration; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Config)
-    except ODD as error:
+    except DECODE_ERRORS as error:
         log(Event.RECORD_ODD, key=CONFIGURATION_KEY, reason=str(error))
         return None
     queues = tuple(_queue(route) for route in raw.routes)
@@ -145,7 +145,7 @@
         host, _, port = raw.address.rpartition(":")
         if raw.state not in (READY, DRAINING) or not host or not 0 < int(port) < 65536:
             raise ValueError(f"state {raw.state!r}, address {raw.address!r}")
-    except (*ODD, ValueError) as error:
+    except (*DECODE_ERRORS, ValueError) as error:
         log(Event.RECORD_ODD, key=key, reason=str(error))
         return None
     room = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
@@ -167,7 +167,7 @@
     """Return a wave; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Wave)
-    except ODD as error:
+    except DECODE_ERRORS as error:
         log(Event.RECORD_ODD, key=key, reason=str(error))
         return None
     hosts = tuple(HostId(host) for host in raw.machines)
--- a/src/lentilrill/store/__init__.py
+++ b/src/lentilrill/store/__init__.py
@@ -23,11 +23,11 @@
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
 from lentilrill.store._hostlist import HttpHostList
 from lentilrill.store._mirror import Mirror
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 
 __all__ = [
+    "DECODE_ERRORS",
     "MAX_VALUE_BYTES",
-    "ODD",
     "CallBudget",
     "CallGuard",
     "Compare",
--- a/src/lentilrill/store/_etcd.py
+++ b/src/lentilrill/store/_etcd.py
@@ -21,7 +21,7 @@
     TxnAnswer,
 )
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 from lentilrill.store._watch import Watch
 from lentilrill.store._wire import Header, StoredKey
 from lentilrill.telemetry import Metrics
@@ -55,11 +55,11 @@
     ttl_s: int = msgspec.field(name="TTL", default=0)
 
 
-class _KeptAlive(msgspec.Struct):
+class _KeepAliveAnswer(msgspec.Struct):
     result: _Lease
 
 
-class _Revoked(msgspec.Struct):
+class _RevokeAnswer(msgspec.Struct):
     header: Header
 
 
@@ -170,7 +170,9 @@
         """Renew a lease and return its remaining seconds; an expired one is a ``CONFLICT``."""
         step = "platform.keep_alive"
         body = {"ID": str(lease)}
-        answer = self._call(step, Effect.REPEATABLE, Priority.FIRST, KEEP_ALIVE, body, _KeptAlive)
+        answer = self._call(
+            step, Effect.REPEATABLE, Priority.FIRST, KEEP_ALIVE, body, _KeepAliveAnswer
+        )
         if isinstance(answer, Failure):
             return answer
         ttl_s = answer.unwrap().result.ttl_s
@@ -183,7 +185,7 @@
         """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         body = {"ID": str(lease)}
         answer = self._call(
-            "platform.revoke", Effect.REPEATABLE, Priority.FIRST, REVOKE, body, _Revoked
+            "platform.revoke", Effect.REPEATABLE, Priority.FIRST, REVOKE, body, _RevokeAnswer
         )
         if isinstance(answer, Failure) and answer.failure().kind is not FaultKind.CONFLICT:
             return answer
@@ -202,30 +204,32 @@
 
         def attempt(timeout_s: float) -> Result[A, Fault]:
             answer = self._transport.exchange(step, effect, "POST", path, data, timeout_s)
-            return answer.bind(lambda found: self._decoded(step, effect, found, kind))
+            return answer.bind(lambda found: self._decode(step, effect, found, kind))
 
         return self._guard.call(step, effect, priority, attempt)
 
-    def _decoded(self, step: str, effect: Effect, data: bytes, kind: type[A]) -> Result[A, Fault]:
+    def _decode(self, step: str, effect: Effect, data: bytes, kind: type[A]) -> Result[A, Fault]:
         try:
             return Success(msgspec.json.decode(data, type=kind, strict=False))
-        except ODD as error:
+        except DECODE_ERRORS as error:
             ambiguous = effect is Effect.ONCE
-            lost = FaultKind.AMBIGUOUS if ambiguous else FaultKind.UNAVAILABLE
-            return Failure(Fault(step, self._transport.peer, lost, f"malformed answer: {error}"))
+            lost_kind = FaultKind.AMBIGUOUS if ambiguous else FaultKind.UNAVAILABLE
+            return Failure(
+                Fault(step, self._transport.peer, lost_kind, f"malformed answer: {error}")
+            )
 
     def _range(self, prefix: str) -> tuple[bytes, bytes]:
-        start = self._full(prefix)
+        start = self._full_key(prefix)
         if not start:
             return b"\0", b"\0"
         return start, start[:-1] + bytes([start[-1] + 1])
 
-    def _full(self, key: str) -> bytes:
+    def _full_key(self, key: str) -> bytes:
         return (self._prefix + key).encode()
 
     def _compare(self, compare: Compare) -> dict[str, Any]:
         return {
-            "key": self._full(compare.key),
+            "key": self._full_key(compare.key),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": str(compare.revision),
@@ -233,13 +237,13 @@
 
     def _write(self, write: Put | DeleteRange) -> dict[str, Any]:
         if isinstance(write, Put):
-            put: dict[str, Any] = {"key": self._full(write.key), "value": write.value}
+            put: dict[str, Any] = {"key": self._full_key(write.key), "value": write.value}
             if write.lease:
                 put["lease"] = str(write.lease)
             return {"request_put": put}
-        deletion: dict[str, Any] = {"key": self._full(write.key)}
+        deletion: dict[str, Any] = {"key": self._full_key(write.key)}
         if write.end:
-            deletion["range_end"] = self._full(write.end)
+            deletion["range_end"] = self._full_key(write.end)
         return {"request_delete_range": deletion}
 
     def _range_answer(self, answer: _Range) -> RangeAnswer:
--- a/src/lentilrill/store/_fenced.py
+++ b/src/lentilrill/store/_fenced.py
@@ -38,7 +38,7 @@
         self._owner = owner
         self._revision: Revision | None = None
         # One log line per outage, however often the owner retries meanwhile.
-        self._stored = Dependency(f"record {key} in the store")
+        self._store_dependency = Dependency(f"record {key} in the store")
 
     def read(self) -> Result[Item | None, Fault]:
         """Return the record; ``None`` if it does not exist."""
@@ -52,18 +52,18 @@
         """Write the record."""
         revision = self._known_revision()
         if isinstance(revision, Failure):
-            return self._failed(revision.failure().reason)
+            return self._record_failure(revision.failure().reason)
         compares = (self._owner, Compare(self._key, revision.unwrap()))
         result = self._kv.commit(compares, (Put(self._key, value),))
         self._revision = None
         if isinstance(result, Failure):
-            return self._failed(result.failure().reason)
+            return self._record_failure(result.failure().reason)
         if result.unwrap().succeeded:
             self._revision = result.unwrap().revision
-            self._stored.succeeded()
+            self._store_dependency.succeeded()
             return Written.DONE
         return (
-            self._failed("the conditions of the transaction failed")
+            self._record_failure("the conditions of the transaction failed")
             if self._is_owned()
             else Written.NOT_OWNER
         )
@@ -75,13 +75,13 @@
 
     def _is_owned(self) -> bool:
         """Return whether the shard still has this owner; assume so if the store can't be read."""
-        held = self._kv.get(self._owner.key)
-        if isinstance(held, Failure):
-            self._stored.failed(held.failure().reason)
+        current = self._kv.get(self._owner.key)
+        if isinstance(current, Failure):
+            self._store_dependency.failed(current.failure().reason)
             return True
-        item = held.unwrap()
+        item = current.unwrap()
         return item is not None and item.revision == self._owner.revision
 
-    def _failed(self, reason: str) -> Written:
-        self._stored.failed(reason)
+    def _record_failure(self, reason: str) -> Written:
+        self._store_dependency.failed(reason)
         return Written.FAILED
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -16,10 +16,10 @@
 
 __all__ = ["Follower"]
 
-FIRST_PAUSE_S = 0.1
-NEEDLESS_PAUSE_S = 1.0
+INITIAL_RETRY_PAUSE_S = 0.1
+NEED_CHECK_INTERVAL_S = 1.0
 """Interval of checking whether the keys are needed again, unless the thread is woken earlier."""
-LONGEST_PAUSE_S = 1.0
+MAX_RETRY_PAUSE_S = 1.0
 """Maximum pause after a failed call. Pauses have full jitter, so that hosts that lost the store at
 the same time do not all call it at the moment of its return."""
 
@@ -58,9 +58,9 @@
         self._pause_s = pause_s
         self._is_needed = is_needed
         self._ended = threading.Event()
-        self._hurried = threading.Event()
+        self._wake_event = threading.Event()
         self._watch: WatchStream | None = None
-        self._chance = random.Random()
+        self._random = random.Random()
         self.read_once = threading.Event()
         self.heard = time.monotonic()
 
@@ -71,34 +71,34 @@
         while not self._ended.is_set():
             if not self._is_needed():
                 revision = None
-                self._hurried.wait(NEEDLESS_PAUSE_S)
-                self._hurried.clear()
+                self._wake_event.wait(NEED_CHECK_INTERVAL_S)
+                self._wake_event.clear()
                 continue
             if revision is None:
                 revision = self._read(failures)
             if revision is not None:
-                revision, failures = self._listen(revision, failures)
+                revision, failures = self._follow_changes(revision, failures)
             else:
                 failures += 1
             if failures:
-                bound = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**failures)
-                self._ended.wait(self._chance.uniform(0.0, bound))
+                max_pause_s = min(MAX_RETRY_PAUSE_S, INITIAL_RETRY_PAUSE_S * 2.0**failures)
+                self._ended.wait(self._random.uniform(0.0, max_pause_s))
 
     def hurry(self) -> None:
         """Check now whether the items are needed."""
-        self._hurried.set()
+        self._wake_event.set()
 
     def close(self) -> None:
         """Stop the thread; do not wait for its end."""
         self._ended.set()
-        self._hurried.set()
+        self._wake_event.set()
         if self._watch is not None:
             self._watch.close()
 
     def _read(self, failures: int) -> Revision | None:
         result = self._kv.read(self._prefix)
         if isinstance(result, Failure):
-            self._note(result.failure(), failures)
+            self._log_fault(result.failure(), failures)
             return None
         answer = result.unwrap()
         guarded(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
@@ -106,7 +106,7 @@
         self.read_once.set()
         return answer.revision
 
-    def _listen(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
+    def _follow_changes(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
         """Watch until a fault.
 
         :return: the revision to continue from, or ``None`` to read again, and the number of
@@ -118,7 +118,7 @@
                 break
             if isinstance(result, Failure):
                 fault = result.failure()
-                self._note(fault, failures)
+                self._log_fault(fault, failures)
                 return (None if fault.kind is FaultKind.CONFLICT else after), failures + 1
             batch = result.unwrap()
             after, failures = batch.revision, 0
@@ -128,7 +128,7 @@
                 self._ended.wait(self._pause_s)
         return after, failures
 
-    def _note(self, fault: Fault, failures: int) -> None:
+    def _log_fault(self, fault: Fault, failures: int) -> None:
         # One log line per outage, however long it lasts and however often calls are retried.
         if failures:
             return
--- a/src/lentilrill/store/_guard.py
+++ b/src/lentilrill/store/_guard.py
@@ -17,15 +17,15 @@
 
 BURST_S = 1.0
 FAILURES_TO_OPEN = 5
-SILENCE_TO_OPEN_S = 0.5
+MIN_SILENCE_TO_OPEN_S = 0.5
 """Minimum time without any answer: calls run concurrently, so some consecutive failures are not an
 outage."""
-FIRST_OPEN_S = 0.5
-LONGEST_OPEN_S = 2.0
-FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 1.0
+INITIAL_OPEN_S = 0.5
+MAX_OPEN_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 MAX_ATTEMPTS = 4
-LEAST_ATTEMPT_S = 0.05
+MIN_ATTEMPT_S = 0.05
 
 T = TypeVar("T")
 Clock = Callable[[], float]
@@ -52,9 +52,9 @@
 
     def __init__(self, calls_per_s: float, clock: Clock = time.monotonic) -> None:
         self._rate = calls_per_s
-        self._size = max(2.0, calls_per_s * BURST_S)
-        self._tokens = self._size
-        self._filled = clock()
+        self._capacity = max(2.0, calls_per_s * BURST_S)
+        self._tokens = self._capacity
+        self._refilled = clock()
         self._clock = clock
         self._lock = threading.Lock()
 
@@ -63,12 +63,12 @@
 
         :return: 0 if a token was taken, else the seconds until one will be available.
         """
-        kept = self._size / 2 if priority is Priority.LATER else 0.0
+        reserved = self._capacity / 2 if priority is Priority.LATER else 0.0
         with self._lock:
             now = self._clock()
-            self._tokens = min(self._size, self._tokens + (now - self._filled) * self._rate)
-            self._filled = now
-            missing = kept + 1.0 - self._tokens
+            self._tokens = min(self._capacity, self._tokens + (now - self._refilled) * self._rate)
+            self._refilled = now
+            missing = reserved + 1.0 - self._tokens
             if missing > 0:
                 return missing / self._rate
             self._tokens -= 1.0
@@ -82,18 +82,18 @@
     consecutive failures calls fail immediately, and periodic probes detect the recovery.
     """
 
-    def __init__(self, peer: str, clock: Clock, chance: random.Random) -> None:
+    def __init__(self, peer: str, clock: Clock, rng: random.Random) -> None:
         self._peer = peer
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._lock = threading.Lock()
         self._failures = 0
-        self._probes_failed = 0
+        self._failed_probes = 0
         self._open_until: float | None = None
-        self._answered = float("-inf")
+        self._last_answer = float("-inf")
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether calls are rejected."""
         return self._open_until is not None
 
@@ -110,38 +110,38 @@
                 return self._open_until - now
             # This call is the probe. The next probe is scheduled as if this one had failed, so
             # that a probe whose caller dies does not keep the breaker open forever.
-            self._open_until = now + self._open_s()
+            self._open_until = now + self._open_duration_s()
             return 0.0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record that the service answered."""
         with self._lock:
             was_open = self._open_until is not None
-            self._answered = self._clock()
+            self._last_answer = self._clock()
             self._failures = 0
-            self._probes_failed = 0
+            self._failed_probes = 0
             self._open_until = None
         if was_open:
             log(Event.PLATFORM_BACK, peer=self._peer)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record that the service did not answer."""
         with self._lock:
             self._failures += 1
             if self._open_until is not None:
-                self._probes_failed += 1
-                self._open_until = self._clock() + self._open_s()
+                self._failed_probes += 1
+                self._open_until = self._clock() + self._open_duration_s()
                 return
             if self._failures < FAILURES_TO_OPEN:
                 return
-            if self._clock() - self._answered < SILENCE_TO_OPEN_S:
+            if self._clock() - self._last_answer < MIN_SILENCE_TO_OPEN_S:
                 return
-            self._open_until = self._clock() + self._open_s()
+            self._open_until = self._clock() + self._open_duration_s()
         log(Event.PLATFORM_LOST, peer=self._peer, failures=FAILURES_TO_OPEN)
 
-    def _open_s(self) -> float:
-        longest = min(LONGEST_OPEN_S, FIRST_OPEN_S * 2.0 ** min(self._probes_failed, 10))
-        return longest * (0.5 + self._chance.random() / 2)
+    def _open_duration_s(self) -> float:
+        max_open_s = min(MAX_OPEN_S, INITIAL_OPEN_S * 2.0 ** min(self._failed_probes, 10))
+        return max_open_s * (0.5 + self._rng.random() / 2)
 
 
 class CallGuard:
@@ -159,7 +159,7 @@
         budget: CallBudget,
         metrics: Metrics,
         clock: Clock = time.monotonic,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         wait: Callable[[float], None] = time.sleep,
     ) -> None:
         self._peer = peer
@@ -167,9 +167,9 @@
         self._budget = budget
         self._metrics = metrics
         self._clock = clock
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._wait = wait
-        self.breaker = CircuitBreaker(peer, clock, self._chance)
+        self.breaker = CircuitBreaker(peer, clock, self._rng)
 
     def call(
         self,
@@ -184,16 +184,16 @@
             :attr:`Effect.ONCE`, ``UNAVAILABLE`` means that the request certainly had no effect.
         """
         end = self._clock() + self._deadline_s
-        for tried in range(1, MAX_ATTEMPTS + 1):
-            refused = self.admit(step, priority)
-            if refused is not None:
-                return Failure(refused)
-            result = attempt(max(LEAST_ATTEMPT_S, end - self._clock()))
+        for attempts in range(1, MAX_ATTEMPTS + 1):
+            rejection = self.admit(step, priority)
+            if rejection is not None:
+                return Failure(rejection)
+            result = attempt(max(MIN_ATTEMPT_S, end - self._clock()))
             self.report(step, result)
-            if not _may_repeat(result, effect) or tried == MAX_ATTEMPTS:
+            if not _may_repeat(result, effect) or attempts == MAX_ATTEMPTS:
                 return result
-            pause_s = self.backoff_s(tried)
-            if self._clock() + pause_s + LEAST_ATTEMPT_S >= end:
+            pause_s = self.backoff_s(attempts)
+            if self._clock() + pause_s + MIN_ATTEMPT_S >= end:
                 return result
             self._wait(pause_s)
         return result
@@ -203,36 +203,36 @@
 
         :return: ``None`` if admitted, else the fault.
         """
-        held_s = self.breaker.admit()
-        if held_s > 0:
+        breaker_wait_s = self.breaker.admit()
+        if breaker_wait_s > 0:
             self._metrics.incr("platform.held")
             reason = "the service does not answer; the circuit breaker is open"
-            return Fault(step, self._peer, FaultKind.UNAVAILABLE, reason, held_s)
-        short_s = self._budget.take(priority)
-        if short_s > 0:
+            return Fault(step, self._peer, FaultKind.UNAVAILABLE, reason, breaker_wait_s)
+        budget_wait_s = self._budget.take(priority)
+        if budget_wait_s > 0:
             self._metrics.incr("platform.over_budget")
             reason = f"the call budget for priority {priority.value!r} is used up"
-            return Fault(step, self._peer, FaultKind.EXHAUSTED, reason, short_s)
+            return Fault(step, self._peer, FaultKind.EXHAUSTED, reason, budget_wait_s)
         self._metrics.incr(f"{step}.calls")
         return None
 
     def report(self, step: str, result: Result[T, Fault]) -> None:
         """Report the outcome of an admitted exchange."""
         if not isinstance(result, Failure):
-            self.breaker.succeeded()
+            self.breaker.record_success()
             return
         fault = result.failure()
         self._metrics.incr(f"{step}.failed.{fault.kind.value}")
         if fault.kind not in (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS):
-            self.breaker.succeeded()
+            self.breaker.record_success()
             return
-        self.breaker.failed()
+        self.breaker.record_failure()
         log(Event.PLATFORM_CALL_FAILED, step=step, peer=fault.peer, reason=fault.reason)
 
-    def backoff_s(self, tried: int) -> float:
+    def backoff_s(self, attempts: int) -> float:
         """Return the seconds before the next attempt: exponential backoff with full jitter."""
-        bound = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (tried - 1))
-        return self._chance.uniform(0.0, bound)
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** (attempts - 1))
+        return self._rng.uniform(0.0, max_backoff_s)
 
 
 def _may_repeat(result: Result[T, Fault], effect: Effect) -> bool:
--- a/src/lentilrill/store/_hostlist.py
+++ b/src/lentilrill/store/_hostlist.py
@@ -10,7 +10,7 @@
 from lentilrill.settings import PlatformSettings
 from lentilrill.store._contract import HostListing, Priority
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 from lentilrill.telemetry import Metrics
 
 __all__ = ["HttpHostList"]
@@ -47,6 +47,6 @@
     def _decoded(self, data: bytes) -> Result[HostListing, Fault]:
         try:
             return Success(msgspec.json.decode(data, type=HostListing))
-        except ODD as error:
+        except DECODE_ERRORS as error:
             reason = f"malformed host list: {error}"
             return Failure(Fault(STEP, self._transport.peer, FaultKind.UNAVAILABLE, reason))
--- a/src/lentilrill/store/_mirror.py
+++ b/src/lentilrill/store/_mirror.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Mirror"]
 
-NEVER = Revision(0)
+NO_REVISION = Revision(0)
 
 
 class Mirror:
@@ -50,7 +50,7 @@
             newer = tuple(i for i in self._items_by_key.values() if i.revision > revision)
             return newer, self._complete_to
 
-    def offer(self, items: Iterable[Item], complete_to: Revision = NEVER) -> bool:
+    def offer(self, items: Iterable[Item], complete_to: Revision = NO_REVISION) -> bool:
         """Merge the items that are newer than the stored ones and notify the listeners.
 
         :param complete_to: revision to which the source was complete, if ``items`` contain all
@@ -58,7 +58,7 @@
         :return: whether anything changed.
         """
         with self._lock:
-            changed = tuple(item for item in items if self._take(item))
+            changed = tuple(item for item in items if self._merge_item(item))
             self._complete_to = max(self._complete_to, complete_to)
         if changed:
             for listener in list(self._listeners):
@@ -74,20 +74,20 @@
         read = tuple(items)
         present = {item.key for item in read}
         with self._lock:
-            vanished = tuple(
+            deleted = tuple(
                 Item(key, None, revision)
-                for key, held in self._items_by_key.items()
-                if key not in present and held.value is not None and held.revision <= revision
+                for key, stored in self._items_by_key.items()
+                if key not in present and stored.value is not None and stored.revision <= revision
             )
-        return self.offer(read + vanished, revision)
+        return self.offer(read + deleted, revision)
 
     def subscribe(self, listener: Callable[[tuple[Item, ...]], None]) -> None:
         """Call ``listener`` with the changed items after each change, without holding the lock."""
         self._listeners.append(listener)
 
-    def _take(self, item: Item) -> bool:
-        held = self._items_by_key.get(item.key)
-        if held is not None and held.revision >= item.revision:
+    def _merge_item(self, item: Item) -> bool:
+        stored = self._items_by_key.get(item.key)
+        if stored is not None and stored.revision >= item.revision:
             return False
         self._items_by_key[item.key] = item
         return True
--- a/src/lentilrill/store/_transport.py
+++ b/src/lentilrill/store/_transport.py
@@ -20,25 +20,25 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.store._guard import Effect
 
-__all__ = ["ODD", "Transport", "shown"]
+__all__ = ["DECODE_ERRORS", "Transport", "failure_reason"]
 
-ODD = (msgspec.MsgspecError, UnicodeDecodeError, OverflowError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, OverflowError, RecursionError)
 """Exceptions that decoding a malformed answer may raise."""
 
-ENDLESS = "the answer did not end in time"
+ANSWER_TOO_SLOW = "the answer did not end in time"
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 READ_BYTES = 64 * 1024
-LATE_READ_S = 0.02
+LATE_READ_TIMEOUT_S = 0.02
 """Maximum wait for each further part of an answer after its deadline: parts that arrived in time
 are already in the buffer of the socket."""
-MOST_LATE_READS = 64
+MAX_LATE_READS = 64
 """Maximum number of parts, of up to 64 KiB each, that are read after the deadline, so that a slow
 answer ends."""
-LONGEST_CONNECT_S = 0.5
-IDLE_CONNECTIONS = 16
+MAX_CONNECT_S = 0.5
+MAX_IDLE_CONNECTIONS = 16
 """Maximum idle connections: as many as an entry host has threads that call the store concurrently
 after an outage. Further connections are closed after their call and must be opened again."""
-FRESH_S = 1.0
+MAX_WRITE_IDLE_S = 1.0
 OK = 200
 HEADERS = {"Content-Type": "application/json", "Accept-Encoding": "gzip"}
 
@@ -53,7 +53,7 @@
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 5000),
 ]
 
-KIND_BY_CODE = {
+FAULT_KIND_BY_GRPC_CODE = {
     3: FaultKind.INVALID,
     5: FaultKind.CONFLICT,
     8: FaultKind.UNAVAILABLE,
@@ -86,7 +86,7 @@
     ) -> None:
         self._addresses = addresses
         self._headers = {**HEADERS, **(headers or {})}
-        self._turn = 0
+        self._address_index = 0
         self._clock = clock
         self._lock = threading.Lock()
         self._pool = self._new_pool()
@@ -95,7 +95,7 @@
     @property
     def peer(self) -> str:
         """The current address."""
-        return self._addresses[self._turn % len(self._addresses)]
+        return self._addresses[self._address_index % len(self._addresses)]
 
     def exchange(
         self, step: str, effect: Effect, method: str, path: str, body: bytes, timeout_s: float
@@ -105,13 +105,13 @@
         :return: the body, or a fault: ``AMBIGUOUS`` if a call of :attr:`Effect.ONCE` may have
             taken effect, ``UNAVAILABLE`` if it certainly did not or is repeatable.
         """
-        answered = self.answer(step, effect, method, path, body, timeout_s)
-        if isinstance(answered, Failure):
-            return answered
-        status, data, peer = answered.unwrap()
-        return Success(data) if status == OK else self._refusal(step, effect, peer, data)
+        result = self.request(step, effect, method, path, body, timeout_s)
+        if isinstance(result, Failure):
+            return result
+        status, data, peer = result.unwrap()
+        return Success(data) if status == OK else self._fault_of_refusal(step, effect, peer, data)
 
-    def answer(
+    def request(
         self,
         step: str,
         effect: Effect,
@@ -119,26 +119,26 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        whole_s: float = 0.0,
+        total_timeout_s: float = 0.0,
     ) -> Result[tuple[int, bytes, str], Fault]:
         """Send one request and return the status, the body and the peer, whatever the status.
 
-        :param whole_s: time-out of the whole exchange, in seconds, if it is longer than
+        :param total_timeout_s: time-out of the whole exchange, in seconds, if it is longer than
             ``timeout_s``, which then limits each period of silence.
         """
-        end = self._clock() + max(timeout_s, whole_s)
-        opened = self.open(step, effect, method, path, body, timeout_s, timeout_s)
-        if isinstance(opened, Failure):
-            return opened
-        response, peer = opened.unwrap()
+        deadline = self._clock() + max(timeout_s, total_timeout_s)
+        result = self.open(step, effect, method, path, body, timeout_s, timeout_s)
+        if isinstance(result, Failure):
+            return result
+        response, peer = result.unwrap()
         try:
-            data = self._read_all(response, end)
+            data = self._read_all(response, deadline)
         except (HTTPError, OSError) as error:
             # The rest of an abandoned answer may still arrive on this connection and be read as
             # the answer to the next request, so the connection is closed.
             response.close()
             self.fail_over(peer)
-            return Failure(Fault(step, peer, _lost(effect), shown(error)))
+            return Failure(Fault(step, peer, _lost_answer_kind(effect), failure_reason(error)))
         response.release_conn()
         self._last_used = self._clock()
         return Success((response.status, data, peer))
@@ -151,14 +151,14 @@
         path: str,
         body: bytes,
         connect_s: float,
-        silence_s: float,
+        read_timeout_s: float,
     ) -> Result[tuple[urllib3.BaseHTTPResponse, str], Fault]:
         """Send a request and return the response, with its body unread, and the peer.
 
-        :param silence_s: read time-out, in seconds.
+        :param read_timeout_s: read time-out, in seconds.
         """
         pool, peer = self._pool_for(effect)
-        timeout = urllib3.Timeout(connect=min(connect_s, LONGEST_CONNECT_S), read=silence_s)
+        timeout = urllib3.Timeout(connect=min(connect_s, MAX_CONNECT_S), read=read_timeout_s)
         try:
             response = pool.urlopen(
                 method,
@@ -171,13 +171,15 @@
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
             self.fail_over(peer)
-            return Failure(Fault(step, peer, FaultKind.UNAVAILABLE, shown(error), unsent=True))
+            return Failure(
+                Fault(step, peer, FaultKind.UNAVAILABLE, failure_reason(error), unsent=True)
+            )
         except (HTTPError, OSError) as error:
             self.fail_over(peer)
-            return Failure(Fault(step, peer, _lost(effect), shown(error)))
+            return Failure(Fault(step, peer, _lost_answer_kind(effect), failure_reason(error)))
         return Success((response, peer))
 
-    def refusal(
+    def read_refusal(
         self, step: str, response: urllib3.BaseHTTPResponse, peer: str, timeout_s: float
     ) -> Fault:
         """Return the fault for an opened response whose status is not 200."""
@@ -186,7 +188,7 @@
         except (HTTPError, OSError):
             data = b""
         response.close()
-        return self._refusal(step, Effect.REPEATABLE, peer, data).failure()
+        return self._fault_of_refusal(step, Effect.REPEATABLE, peer, data).failure()
 
     def fail_over(self, peer: str) -> None:
         """Close the idle connections to ``peer`` and switch to the next address.
@@ -197,7 +199,7 @@
         with self._lock:
             if peer != self.peer:
                 return
-            self._turn += 1
+            self._address_index += 1
             self._replace_pool()
 
     def close(self) -> None:
@@ -207,10 +209,10 @@
 
     def _pool_for(self, effect: Effect) -> tuple[urllib3.HTTPConnectionPool, str]:
         with self._lock:
-            idle = self._clock() - self._last_used > FRESH_S
+            is_idle = self._clock() - self._last_used > MAX_WRITE_IDLE_S
             # A write on a connection that died while idle would lose its answer, so it uses a
             # recently used connection or a new one.
-            if effect is Effect.ONCE and idle:
+            if effect is Effect.ONCE and is_idle:
                 self._replace_pool()
             return self._pool, self.peer
 
@@ -224,55 +226,57 @@
         return urllib3.HTTPConnectionPool(
             host.strip("[]"),
             int(port),
-            maxsize=IDLE_CONNECTIONS,
+            maxsize=MAX_IDLE_CONNECTIONS,
             socket_options=SOCKET_OPTIONS,
         )
 
-    def _read_all(self, response: urllib3.BaseHTTPResponse, end: float) -> bytes:
+    def _read_all(self, response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
         parts: list[bytes] = []
         size = 0
         late_reads = 0
-        while part := self._part(response, is_late=late_reads > 0):
+        while part := self._read_part(response, is_late=late_reads > 0):
             parts.append(part)
             size += len(part)
             if size > MAX_ANSWER_BYTES:
                 raise HTTPError("the answer is too long")
-            if self._clock() <= end or response.length_remaining == 0:
+            if self._clock() <= deadline or response.length_remaining == 0:
                 continue
             # A complete answer is accepted after the deadline: an overloaded host may read late
             # what arrived in time.
             late_reads += 1
-            if late_reads > MOST_LATE_READS:
-                raise HTTPError(ENDLESS)
+            if late_reads > MAX_LATE_READS:
+                raise HTTPError(ANSWER_TOO_SLOW)
         return b"".join(parts)
 
-    def _part(self, response: urllib3.BaseHTTPResponse, *, is_late: bool) -> bytes:
+    def _read_part(self, response: urllib3.BaseHTTPResponse, *, is_late: bool) -> bytes:
         if not is_late:
             return response.read1(READ_BYTES)
         connection = response.connection
         if isinstance(connection, HTTPConnection) and connection.sock is not None:
-            connection.sock.settimeout(LATE_READ_S)
+            connection.sock.settimeout(LATE_READ_TIMEOUT_S)
         try:
             return response.read1(READ_BYTES)
         except ReadTimeoutError as error:
-            raise HTTPError(ENDLESS) from error
+            raise HTTPError(ANSWER_TOO_SLOW) from error
 
-    def _refusal(self, step: str, effect: Effect, peer: str, data: bytes) -> Failure[Fault]:
+    def _fault_of_refusal(
+        self, step: str, effect: Effect, peer: str, data: bytes
+    ) -> Failure[Fault]:
         try:
             refusal = msgspec.json.decode(data, type=_Refusal)
-        except ODD:
+        except DECODE_ERRORS:
             refusal = _Refusal(message="the answer is not a JSON object")
-        kind = KIND_BY_CODE.get(refusal.code, _lost(effect))
+        kind = FAULT_KIND_BY_GRPC_CODE.get(refusal.code, _lost_answer_kind(effect))
         if kind in (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS):
             self.fail_over(peer)
         return Failure(Fault(step, peer, kind, refusal.message or "refused"))
 
 
-def _lost(effect: Effect) -> FaultKind:
+def _lost_answer_kind(effect: Effect) -> FaultKind:
     return FaultKind.AMBIGUOUS if effect is Effect.ONCE else FaultKind.UNAVAILABLE
 
 
-def shown(error: Exception) -> str:
+def failure_reason(error: Exception) -> str:
     """Return a human-readable reason for a failed exchange."""
     if isinstance(error, NewConnectionError | ConnectTimeoutError):
         return "no connection"
--- a/src/lentilrill/store/_watch.py
+++ b/src/lentilrill/store/_watch.py
@@ -13,7 +13,14 @@
 from lentilrill.ids import Revision
 from lentilrill.store._contract import Item, Priority, WatchBatch
 from lentilrill.store._guard import CallGuard, Effect
-from lentilrill.store._transport import MAX_ANSWER_BYTES, ODD, OK, READ_BYTES, Transport, shown
+from lentilrill.store._transport import (
+    DECODE_ERRORS,
+    MAX_ANSWER_BYTES,
+    OK,
+    READ_BYTES,
+    Transport,
+    failure_reason,
+)
 from lentilrill.store._wire import Header, StoredKey
 
 __all__ = ["Watch"]
@@ -73,45 +80,45 @@
         self._lock = threading.Lock()
         self._response: urllib3.BaseHTTPResponse | None = None
         self._peer = ""
-        self._unread = b""
-        self._ended = False
+        self._buffer = b""
+        self._closed = False
 
     def __next__(self) -> Result[WatchBatch, Fault]:
         """Wait for the next batch; a progress notice is a batch without items."""
-        if self._ended:
+        if self._closed:
             raise StopIteration
-        result = self._next()
-        if self._ended:  # closed by another thread
-            self._drop()
+        result = self._next_result()
+        if self._closed:  # closed by another thread
+            self._close_response()
             raise StopIteration
         if isinstance(result, Failure):
             self.close()
-            self._drop()
+            self._close_response()
         return result
 
     def close(self) -> None:
         """End the watch."""
         with self._lock:
-            self._ended = True
+            self._closed = True
             response = self._response
         if response is not None:
             with contextlib.suppress(OSError, ValueError, RuntimeError):
                 response.shutdown()
 
-    def _next(self) -> Result[WatchBatch, Fault]:
+    def _next_result(self) -> Result[WatchBatch, Fault]:
         if self._response is None:
             fault = self._open()
             if fault is not None:
                 return Failure(fault)
         while True:
             try:
-                line = self._line()
+                line = self._read_line()
             except (HTTPError, OSError) as error:
                 # The service sends progress notices, so a read time-out means that the connection
                 # is open but dead. After the failover the next watch uses a new connection.
                 self._transport.fail_over(self._peer)
-                return self._lost(f"the watch failed: {shown(error)}")
-            result = self._read(line)
+                return self._unavailable(f"the watch failed: {failure_reason(error)}")
+            result = self._decode_line(line)
             if result is not None:
                 return result
 
@@ -127,12 +134,12 @@
             return self._with_retry(opened.failure())
         response, self._peer = opened.unwrap()
         if response.status != OK:
-            fault = self._transport.refusal(STEP, response, self._peer, self._connect_s)
+            fault = self._transport.read_refusal(STEP, response, self._peer, self._connect_s)
             self._guard.report(STEP, Failure(fault))
             return self._with_retry(fault)
         with self._lock:
             self._response = response
-            if not self._ended:
+            if not self._closed:
                 return None
         return Fault(
             STEP,
@@ -141,26 +148,28 @@
             "the watch was closed while it was being opened",
         )
 
-    def _line(self) -> bytes:
+    def _read_line(self) -> bytes:
         assert self._response is not None
-        while b"\n" not in self._unread:
+        while b"\n" not in self._buffer:
             part = self._response.read1(READ_BYTES)
             if not part:
                 raise HTTPError("the service ended the stream")
-            self._unread += part
-            if len(self._unread) > MAX_ANSWER_BYTES:
+            self._buffer += part
+            if len(self._buffer) > MAX_ANSWER_BYTES:
                 raise HTTPError("a message exceeds the size limit")
-        line, _, self._unread = self._unread.partition(b"\n")
+        line, _, self._buffer = self._buffer.partition(b"\n")
         return line
 
-    def _read(self, line: bytes) -> Result[WatchBatch, Fault] | None:
+    def _decode_line(self, line: bytes) -> Result[WatchBatch, Fault] | None:
         try:
             decoded = _DECODER.decode(line)
-        except ODD as error:
-            return self._lost(f"malformed message: {error}")
+        except DECODE_ERRORS as error:
+            return self._unavailable(f"malformed message: {error}")
         result = decoded.result
         if result is None:
-            return self._lost(decoded.error.message if decoded.error else "message without result")
+            return self._unavailable(
+                decoded.error.message if decoded.error else "message without result"
+            )
         if result.canceled:
             return self._canceled(result)
         self._guard.report(STEP, Success(None))
@@ -170,7 +179,7 @@
 
     def _canceled(self, result: _Result) -> Result[WatchBatch, Fault]:
         if not result.compact_revision:
-            return self._lost(f"the service canceled the watch: {result.cancel_reason}")
+            return self._unavailable(f"the service canceled the watch: {result.cancel_reason}")
         reason = f"the history before revision {result.compact_revision} is compacted"
         return Failure(Fault(STEP, self._peer, FaultKind.CONFLICT, reason))
 
@@ -187,7 +196,7 @@
         value = None if event.type == DELETE else event.kv.value
         return Item(key, value, Revision(event.kv.mod_revision))
 
-    def _lost(self, reason: str) -> Failure[Fault]:
+    def _unavailable(self, reason: str) -> Failure[Fault]:
         fault = Fault(STEP, self._peer, FaultKind.UNAVAILABLE, reason)
         self._guard.report(STEP, Failure(fault))
         return Failure(self._with_retry(fault))
@@ -197,7 +206,7 @@
             return fault
         return msgspec.structs.replace(fault, retry_after_s=self._guard.backoff_s(1))
 
-    def _drop(self) -> None:
+    def _close_response(self) -> None:
         if self._response is not None:
             self._response.close()
             self._response = None
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -82,7 +82,7 @@
         self.kv = PlatformKeyValue(StoreSettings(self.server.address), NoMetrics())
         self.waits_s: list[float] = []
         for transport in (self.kv._transport, self.kv._leases):
-            self.patch(transport, "answer", self.noting_waits(transport.answer))
+            self.patch(transport, "request", self.noting_waits(transport.request))
 
     def noting_waits(self, answer: Callable[..., Answered]) -> Callable[..., Answered]:
         """Return a wrapper of the call that records its time-out."""
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -107,18 +107,18 @@
             reason = self.reason(controller(operator_tokens_sha256=tokens), ControllerSettings)
             self.assertThat(reason, StartsWith(expected))
 
-    def test_all_of_them_at_once(self) -> None:
+    def test_all_errors_are_reported_at_once(self) -> None:
         reason = self.reason(gateway(log_level="loud", zone="", statsd="x"))
         self.assertEqual(3, len(reason.split("; ")))
 
 
 class StrengthTest(TestCase):
-    def test_a_slow_link_makes_a_host_weak(self) -> None:
+    def test_a_slow_link_reduces_the_strength_of_a_host(self) -> None:
         """Guards against ownership by a host whose slow link keeps it behind on its pool's jobs."""
         fast = EntryHostLimits(cpu_share=0.7, cores=3, link_mbps=100)
         slow = EntryHostLimits(cpu_share=0.7, cores=3, link_mbps=5)
         self.assertAlmostEqual(2.1, fast.strength)
         self.assertLess(slow.strength, 0.5)
 
-    def test_hosts_without_limits_are_alike(self) -> None:
+    def test_hosts_without_limits_have_equal_strength(self) -> None:
         self.assertEqual(1.0, EntryHostLimits().strength)
--- a/tests/store/test_etcd.py
+++ b/tests/store/test_etcd.py
@@ -62,7 +62,7 @@
         self.assertEqual(revision, answer.revision)
         self.assertEqual((), self.kv.read("a/b/").unwrap().items)
 
-    def test_the_newest_change_is_told_without_values(self) -> None:
+    def test_newest_returns_the_revision_without_values(self) -> None:
         self.assertEqual(0, self.kv.newest("state/").unwrap())
         for key in ("state/b", "state/a", "elsewhere"):
             self.put(key)
@@ -104,7 +104,7 @@
         self.assertEqual((), self.kv.read("").unwrap().items)
         self.assertEqual(FaultKind.CONFLICT, self.kind_of(self.kv.keep_alive(lease)))
 
-    def test_a_watch_tells_history_then_changes(self) -> None:
+    def test_a_watch_returns_history_then_changes(self) -> None:
         start = self.put("state/a", b"1")
         self.put("elsewhere")
         self.put("state/a", b"2")
@@ -123,14 +123,14 @@
 
     def test_closing_ends_a_wait(self) -> None:
         watch = self.kv.watch("", Revision(0))
-        rest = threading.Thread(target=lambda: list(watch))
+        reader = threading.Thread(target=lambda: list(watch))
         next(watch)
         self.platform.set_faults(silent_watch=True)
-        rest.start()
-        rest.join(SHORT_S)
+        reader.start()
+        reader.join(SHORT_S)
         watch.close()
-        rest.join(WAIT_S)
-        self.assertFalse(rest.is_alive())
+        reader.join(WAIT_S)
+        self.assertFalse(reader.is_alive())
 
     def test_compacted_history_is_a_conflict(self) -> None:
         # After a long pause of a controller, the service has compacted the changes it missed. If
@@ -173,7 +173,7 @@
         kv = self.a_client(key_value=("127.0.0.1:1", self.platform.address))
         self.assertTrue(kv.commit((), (Put("k", b""),)).unwrap().succeeded)
 
-    def test_down_is_over_by_the_deadline(self) -> None:
+    def test_calls_in_an_outage_end_by_their_deadline(self) -> None:
         self.platform.set_faults(down=True)
         kv = self.a_client(deadline_s=SHORT_S)
         self.assertEqual(FaultKind.UNAVAILABLE, self.kind_of(kv.read("")))
@@ -181,7 +181,7 @@
         self.platform.set_faults(down=False)
         self.assertEqual((), self.kv.read("").unwrap().items)
 
-    def test_a_late_answer_reaches_nobody(self) -> None:
+    def test_a_late_answer_is_discarded(self) -> None:
         # A read is abandoned at its deadline and its answer arrives later on the same connection.
         # A second read on that connection would get the first answer, so a connection is not
         # reused after a failed exchange.
--- a/tests/store/test_guard.py
+++ b/tests/store/test_guard.py
@@ -29,8 +29,8 @@
         self.now += seconds
 
     def a_guard(self, budget: CallBudget, deadline_s: float = 10.0) -> CallGuard:
-        chance = random.Random(4)
-        return CallGuard("kv", deadline_s, budget, NoMetrics(), self.clock, chance, self.wait)
+        rng = random.Random(4)
+        return CallGuard("kv", deadline_s, budget, NoMetrics(), self.clock, rng, self.wait)
 
     def attempt(self, timeout_s: float):
         self.attempts += 1
@@ -41,7 +41,7 @@
     def call(self, effect: Effect = Effect.REPEATABLE, priority: Priority = FIRST):
         return self.guard.call("platform.x", effect, priority, self.attempt)
 
-    def test_what_can_wait_leaves_half_of_the_budget(self) -> None:
+    def test_calls_of_later_priority_leave_half_of_the_budget(self) -> None:
         # If statistics and host lists used up the call budget, withdrawals and claims would wait
         # behind them. The last half of the budget is reserved for the latter.
         budget = CallBudget(10.0, self.clock)
@@ -52,14 +52,14 @@
         self.now += 0.1
         self.assertEqual(0.0, budget.take(FIRST))
 
-    def test_over_budget_is_told_at_once_with_a_time(self) -> None:
+    def test_a_call_over_budget_fails_at_once_with_a_retry_time(self) -> None:
         self.guard = self.a_guard(CallBudget(2.0, self.clock))
         results = [self.call() for _ in range(3)]
         fault = results[2].failure()
         self.assertEqual((FaultKind.EXHAUSTED, 0.5), (fault.kind, fault.retry_after_s))
         self.assertEqual((2, 0.0), (self.attempts, self.now))
 
-    def test_only_harmless_calls_are_repeated(self) -> None:
+    def test_only_repeatable_calls_are_repeated(self) -> None:
         # A write whose answer was lost may have taken effect; a repeat would execute it twice.
         self.kind = FaultKind.AMBIGUOUS
         self.assertIsInstance(self.call(Effect.ONCE), Failure)
@@ -68,7 +68,7 @@
         self.call(Effect.REPEATABLE)
         self.assertThat(self.attempts, GreaterThan(1))
 
-    def test_what_stays_wrong_is_not_repeated(self) -> None:
+    def test_permanent_failures_are_not_repeated(self) -> None:
         for kind in (FaultKind.INVALID, FaultKind.CONFLICT, FaultKind.REFUSED):
             self.kind, self.attempts = kind, 0
             self.call()
@@ -91,7 +91,7 @@
         # In a long outage, without the breaker, every request that needs the platform would wait
         # for its deadline and block a thread; with it, requests are refused immediately.
         self.kind = FaultKind.UNAVAILABLE
-        while not self.guard.breaker.open:
+        while not self.guard.breaker.is_open:
             self.call(Effect.REPEATABLE)
         self.assertEqual(FAILURES_TO_OPEN, self.attempts)
         held = self.call().failure()
@@ -104,18 +104,18 @@
 
     def test_the_first_answer_closes_the_breaker(self) -> None:
         self.kind = FaultKind.UNAVAILABLE
-        while not self.guard.breaker.open:
+        while not self.guard.breaker.is_open:
             self.call()
         self.kind = None
         self.now += 60.0
         self.assertEqual("done", self.call().unwrap())
-        self.assertFalse(self.guard.breaker.open)
+        self.assertFalse(self.guard.breaker.is_open)
 
     def test_a_refusal_of_the_service_is_an_answer(self) -> None:
         self.kind = FaultKind.CONFLICT
         for _ in range(3 * FAILURES_TO_OPEN):
             self.call()
-        self.assertFalse(self.guard.breaker.open)
+        self.assertFalse(self.guard.breaker.is_open)
 
     def test_lost_answers_among_others_are_no_outage(self) -> None:
         """Guards against an open breaker while the service still answers other calls."""
@@ -123,7 +123,7 @@
         self.kind = FaultKind.AMBIGUOUS
         for _ in range(2 * FAILURES_TO_OPEN):
             self.call(Effect.ONCE)
-        self.assertFalse(self.guard.breaker.open)
+        self.assertFalse(self.guard.breaker.is_open)
         self.now += 0.5
         self.call(Effect.ONCE)
-        self.assertTrue(self.guard.breaker.open)
+        self.assertTrue(self.guard.breaker.is_open)
--- a/tests/store/test_mirror.py
+++ b/tests/store/test_mirror.py
@@ -35,7 +35,7 @@
         present = sorted((i for i in newest.values() if i.value is not None), key=lambda i: i.key)
         self.assertEqual(present, mirror.below(""))
 
-    def test_a_full_read_deletes_what_vanished(self) -> None:
+    def test_a_full_read_deletes_missing_keys(self) -> None:
         # A pool is removed while this process is disconnected. After the following full read, a
         # late message with the old value must not restore the pool.
         mirror = Mirror()
--- a/tests/store/test_odd_answers.py
+++ b/tests/store/test_odd_answers.py
@@ -13,12 +13,12 @@
 SETTINGS = PlatformSettings(("127.0.0.1:1",), "127.0.0.1:1", deadline_s=0.05, calls_per_s=1e9)
 HEADER = b'{"header": {"revision": "3"}'
 FOREIGN_KEY = HEADER + b', "kvs": [{"key": "/w==", "mod_revision": "2"}]}'
-odd = st.binary(max_size=40) | st.sampled_from(
+malformed_answers = st.binary(max_size=40) | st.sampled_from(
     [FOREIGN_KEY, b"[" * 100_000, b"\xff", HEADER, HEADER + b"}", b'{"header": {"revision": "x"}}']
 )
 
 
-class OddTransport:
+class FixedAnswerTransport:
     """Answers each exchange with the same bytes."""
 
     peer = "odd"
@@ -30,15 +30,15 @@
         return Success(self.data)
 
 
-class OddAnswersTest(TestCase):
+class MalformedAnswersTest(TestCase):
     @settings(derandomize=True, max_examples=150, database=None)
-    @given(odd)
-    def test_an_odd_answer_is_a_fault(self, data: bytes) -> None:
+    @given(malformed_answers)
+    def test_a_malformed_answer_is_a_fault(self, data: bytes) -> None:
         # A proxy may answer with its own page, and the prefix may contain a key that is not valid
         # text. An exception from the client would end the watching thread, and the process
         # would miss all later configurations.
         kv, hosts = EtcdKeyValue(SETTINGS, NoMetrics()), HttpHostList(SETTINGS, NoMetrics())
-        kv._transport = hosts._transport = OddTransport(data)
+        kv._transport = hosts._transport = FixedAnswerTransport(data)
         calls = (
             lambda: kv.read(""),
             lambda: kv.newest(""),
@@ -51,4 +51,4 @@
         for call in calls:
             self.assertIsInstance(call(), Success | Failure)
         watch = kv.watch("", Revision(0))
-        self.assertIsInstance(watch._read(data) or Success(None), Success | Failure)
+        self.assertIsInstance(watch._decode_line(data) or Success(None), Success | Failure)
--- a/tests/store/test_transport.py
+++ b/tests/store/test_transport.py
@@ -10,7 +10,7 @@
 
 from lentilrill.faults import FaultKind
 from lentilrill.store._guard import Effect
-from lentilrill.store._transport import FRESH_S, Transport
+from lentilrill.store._transport import MAX_WRITE_IDLE_S, Transport
 
 WAIT_S = 20.0
 SHORT_S = 0.2
@@ -69,7 +69,7 @@
     def exchange(self, transport: Transport, effect: Effect = Effect.REPEATABLE):
         return transport.exchange("platform.x", effect, "POST", "/x", BODY, SHORT_S)
 
-    def test_the_rest_of_an_abandoned_answer_reaches_nobody(self) -> None:
+    def test_the_rest_of_an_abandoned_answer_is_discarded(self) -> None:
         # A call is abandoned in the middle of a slow answer. The rest arrives later, and the next
         # call on that connection would read the answer to another request.
         late = threading.Event()
@@ -128,10 +128,10 @@
         self.exchange(transport).unwrap()
         self.exchange(transport).unwrap()
         self.assertEqual(1, self.server.connections)
-        self.now = 2 * FRESH_S
+        self.now = 2 * MAX_WRITE_IDLE_S
         self.assertEqual(b"answer", self.exchange(transport, Effect.ONCE).unwrap())
 
-    def test_idle_connections_go_with_a_silent_one(self) -> None:
+    def test_idle_connections_are_closed_with_a_silent_one(self) -> None:
         # Two idle connections die at the same time. The first call on one of them is lost; the
         # next call must not use the other one.
         together = threading.Barrier(2)
--- a/tests/telemetry/test_lines.py
+++ b/tests/telemetry/test_lines.py
@@ -16,7 +16,7 @@
 
 
 class LinesTest(TestCase):
-    def test_what_a_library_logs_is_a_line_like_the_others(self) -> None:
+    def test_records_of_libraries_are_json_lines(self) -> None:
         """Guards against lines that are not JSON, which break programs that parse the log.
 
         An HTTP library logged through the root logger of the standard library, which used its
