--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -9,9 +9,9 @@
 from lentilrill.store import DECODE_ERRORS
 from lentilrill.workloads import TaskId
 
-__all__ = ["Clock", "decode_clock", "decode_look", "refusal", "task_name"]
+__all__ = ["AnswerHeader", "decode_header", "decode_poll", "encode_task", "refusal_verdict"]
 
-CHECKED = (*DECODE_ERRORS, ValueError, TypeError, IndexError)
+ANSWER_ERRORS = (*DECODE_ERRORS, ValueError, TypeError, IndexError)
 
 VERDICT_BY_REASON = {
     "fence": Verdict.FENCED,
@@ -20,10 +20,10 @@
     "room": Verdict.NO_ROOM,
     "ticket": Verdict.NO_TICKET,
 }
-KIND_BY_WORD = {kind.value: kind for kind in EndKind}
+END_KIND_BY_VALUE = {kind.value: kind for kind in EndKind}
 
 
-class Clock(msgspec.Struct):
+class AnswerHeader(msgspec.Struct):
     """Fields that all answers have.
 
     :param reason: reason of a refused order.
@@ -34,7 +34,7 @@
     reason: str = ""
 
 
-class _Lists(msgspec.Struct):
+class _PollAnswer(msgspec.Struct):
     clock_ms: int = 0
     # Start time of the endpoint, in milliseconds since the epoch.
     born: int = 0
@@ -44,28 +44,28 @@
     ended: list[list[Any]] = []
 
 
-def task_name(task: TaskId) -> str:
+def encode_task(task: TaskId) -> str:
     """Return a task's name on the wire."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.number}"
 
 
-def _task(name: object) -> TaskId:
+def _decode_task(name: object) -> TaskId:
     job, occurrence, step, index = str(name).split(".")
     return TaskId(JobId(job), int(occurrence), int(step), int(index))
 
 
-def decode_clock(data: bytes) -> Clock:
+def decode_header(data: bytes) -> AnswerHeader:
     """Return the common fields of an answer; defaults if it is malformed."""
     try:
-        return msgspec.json.decode(data, type=Clock)
-    except CHECKED:
-        return Clock()
+        return msgspec.json.decode(data, type=AnswerHeader)
+    except ANSWER_ERRORS:
+        return AnswerHeader()
 
 
-def refusal(status: int, data: bytes) -> Verdict:
+def refusal_verdict(status: int, data: bytes) -> Verdict:
     """Return the verdict for an answer with an error status."""
     if status == 409:
-        return VERDICT_BY_REASON.get(decode_clock(data).reason, Verdict.INVALID)
+        return VERDICT_BY_REASON.get(decode_header(data).reason, Verdict.INVALID)
     if status == 421:
         return Verdict.ELSEWHERE
     if status in (429, 503):
@@ -73,26 +73,26 @@
     return Verdict.INVALID if 400 <= status < 500 else Verdict.UNKNOWN
 
 
-def decode_look(data: bytes) -> Look:
+def decode_poll(data: bytes) -> Look:
     """Return the result of a poll; its verdict is ``UNKNOWN`` if the body is malformed.
 
     One malformed row invalidates the whole result, because a run that is missing from the list
     counts as ended.
     """
     try:
-        lists = msgspec.json.decode(data, type=_Lists)
-        running = tuple(_seen(row) for row in lists.running)
-        ended = tuple(_end(row) for row in lists.ended)
-    except CHECKED as error:
+        answer = msgspec.json.decode(data, type=_PollAnswer)
+        running = tuple(_decode_run(row) for row in answer.running)
+        ended = tuple(_decode_end(row) for row in answer.ended)
+    except ANSWER_ERRORS as error:
         return Look(Verdict.UNKNOWN, reason=f"malformed answer: {error}")
-    return Look(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
+    return Look(Verdict.DONE, answer.clock_ms, answer.born, running, ended)
 
 
-def _seen(row: list[Any]) -> RunSeen:
+def _decode_run(row: list[Any]) -> RunSeen:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
-    return RunSeen(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
+    return RunSeen(_decode_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
 
 
-def _end(row: list[Any]) -> RunEnd:
-    kind = KIND_BY_WORD.get(str(row[3]), EndKind.ODD)
-    return RunEnd(int(row[0]), _task(row[1]), int(row[2]), kind, str(row[4] or ""))
+def _decode_end(row: list[Any]) -> RunEnd:
+    kind = END_KIND_BY_VALUE.get(str(row[3]), EndKind.ODD)
+    return RunEnd(int(row[0]), _decode_task(row[1]), int(row[2]), kind, str(row[4] or ""))
--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -4,7 +4,12 @@
 from returns.result import Failure
 
 from lentilrill.execution import Look, OrderAnswer, StartOrder, Verdict
-from lentilrill.platform._endpoint_wire import decode_clock, decode_look, refusal, task_name
+from lentilrill.platform._endpoint_wire import (
+    decode_header,
+    decode_poll,
+    encode_task,
+    refusal_verdict,
+)
 from lentilrill.store import Effect, Transport
 from lentilrill.telemetry import Metrics
 from lentilrill.workloads import EndpointEntry, TaskId
@@ -12,14 +17,14 @@
 __all__ = ["HttpEndpoint"]
 
 OK = 200
-ORDER_S = 0.35
+ORDER_TIMEOUT_S = 0.35
 """Time-out of an order: endpoints answer within milliseconds, over a broken link never. An order
 is sent again after it; orders are idempotent."""
-LOOK_SLACK_S = 0.7
+POLL_SLACK_S = 0.7
 """Time that a poll may take beyond its wait before its connection counts as silent."""
 
 
-class _Start(msgspec.Struct, omit_defaults=True):
+class _StartBody(msgspec.Struct, omit_defaults=True):
     task: str
     run_id: int
     spec: str
@@ -30,20 +35,20 @@
     ticket: str = ""
 
 
-class _Stop(msgspec.Struct):
+class _StopBody(msgspec.Struct):
     task: str
     run_id: int
     fencing_token: int
 
 
-class _Pace(msgspec.Struct):
+class _PaceBody(msgspec.Struct):
     task: str
     run_id: int
     percent: int
     fencing_token: int
 
 
-class _Hold(msgspec.Struct, omit_defaults=True):
+class _PollBody(msgspec.Struct, omit_defaults=True):
     fencing_token: int
     # Ends up to this cursor are stored; the endpoint may discard them.
     ack_cursor: int = msgspec.field(default=-1)
@@ -60,14 +65,14 @@
 
     def __init__(self, entry: EndpointEntry, metrics: Metrics) -> None:
         self._headers = {"Expect-Instance": str(entry.id)}
-        self._looks = Transport((entry.address,), headers=self._headers)
-        self._orders = Transport((entry.address,), headers=self._headers)
+        self._poll_transport = Transport((entry.address,), headers=self._headers)
+        self._order_transport = Transport((entry.address,), headers=self._headers)
         self._metrics = metrics
 
     def start(self, order: StartOrder) -> OrderAnswer:
         """Start a run."""
-        body = _Start(
-            task_name(order.task),
+        body = _StartBody(
+            encode_task(order.task),
             order.number,
             order.spec,
             order.expires_ms,
@@ -75,45 +80,47 @@
             order.checkpoint,
             order.ticket,
         )
-        return self._order("start", "/run-start", body)
+        return self._send_order("start", "/run-start", body)
 
     def stop(self, task: TaskId, number: int, token: int) -> OrderAnswer:
         """Stop a run."""
-        return self._order("stop", "/run-stop", _Stop(task_name(task), number, token))
+        return self._send_order("stop", "/run-stop", _StopBody(encode_task(task), number, token))
 
     def pace(self, task: TaskId, number: int, percent: int, token: int) -> OrderAnswer:
         """Set the pace of a run."""
-        return self._order("pace", "/pace", _Pace(task_name(task), number, percent, token))
+        return self._send_order(
+            "pace", "/pace", _PaceBody(encode_task(task), number, percent, token)
+        )
 
     def look(self, token: int, acknowledged: int, expires_ms: int | None, wait_ms: int) -> Look:
         """Renew the run lease, acknowledge ends, and return the current runs and the new ends."""
-        body = msgspec.json.encode(_Hold(token, acknowledged, expires_ms or 0, wait_ms))
+        body = msgspec.json.encode(_PollBody(token, acknowledged, expires_ms or 0, wait_ms))
         self._metrics.incr("endpoint.looks")
-        timeout_s = wait_ms / 1000 + LOOK_SLACK_S
-        answered = self._looks.request(
+        timeout_s = wait_ms / 1000 + POLL_SLACK_S
+        result = self._poll_transport.request(
             "endpoint.look", Effect.REPEATABLE, "POST", "/hold", body, timeout_s
         )
-        if isinstance(answered, Failure):
-            return Look(Verdict.UNKNOWN, reason=answered.failure().reason)
-        status, data, _ = answered.unwrap()
-        return decode_look(data) if status == OK else Look(refusal(status, data))
+        if isinstance(result, Failure):
+            return Look(Verdict.UNKNOWN, reason=result.failure().reason)
+        status, data, _ = result.unwrap()
+        return decode_poll(data) if status == OK else Look(refusal_verdict(status, data))
 
     def close(self) -> None:
         """Close the connections."""
-        self._looks.close()
-        self._orders.close()
+        self._poll_transport.close()
+        self._order_transport.close()
 
-    def _order(self, step: str, path: str, order: msgspec.Struct) -> OrderAnswer:
+    def _send_order(self, step: str, path: str, order: msgspec.Struct) -> OrderAnswer:
         body = msgspec.json.encode(order)
         self._metrics.incr(f"endpoint.orders.{step}")
-        answered = self._orders.request(
-            f"endpoint.{step}", Effect.REPEATABLE, "POST", path, body, ORDER_S
+        result = self._order_transport.request(
+            f"endpoint.{step}", Effect.REPEATABLE, "POST", path, body, ORDER_TIMEOUT_S
         )
-        if isinstance(answered, Failure):
-            fault = answered.failure()
+        if isinstance(result, Failure):
+            fault = result.failure()
             verdict = Verdict.UNREACHED if fault.unsent else Verdict.UNKNOWN
             return OrderAnswer(verdict, reason=fault.reason)
-        status, data, _ = answered.unwrap()
-        clock = decode_clock(data)
-        verdict = Verdict.DONE if status == OK else refusal(status, data)
-        return OrderAnswer(verdict, clock.clock_ms, clock.born)
+        status, data, _ = result.unwrap()
+        header = decode_header(data)
+        verdict = Verdict.DONE if status == OK else refusal_verdict(status, data)
+        return OrderAnswer(verdict, header.clock_ms, header.born)
--- a/src/lentilrill/platform/_hosts.py
+++ b/src/lentilrill/platform/_hosts.py
@@ -5,16 +5,20 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, ZoneId
-from lentilrill.platform._endpoint_wire import decode_clock
+from lentilrill.platform._endpoint_wire import decode_header
 from lentilrill.store import DECODE_ERRORS, Effect, Transport
 from lentilrill.upkeep import HostOrder, HostRow, HostState
 
 __all__ = ["PlatformHosts"]
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 OK = 200
-STATE_BY_WORD = {state.value: state for state in HostState}
-ORDER_BY_REASON = {"fence": HostOrder.FENCED, "busy": HostOrder.BUSY, "wave": HostOrder.REFUSED}
+HOST_STATE_BY_VALUE = {state.value: state for state in HostState}
+HOST_ORDER_BY_REASON = {
+    "fence": HostOrder.FENCED,
+    "busy": HostOrder.BUSY,
+    "wave": HostOrder.REFUSED,
+}
 
 
 class _Host(msgspec.Struct):
@@ -39,7 +43,7 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._lists = Transport((address,))
+        self._list_transport = Transport((address,))
 
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
         """Read the whole list, page by page."""
@@ -47,12 +51,12 @@
         token = ""
         while True:
             path = "/machines" + (f"?page_token={token}" if token else "")
-            answered = self._lists.request(
-                "hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_S
+            result = self._list_transport.request(
+                "hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_TIMEOUT_S
             )
-            if isinstance(answered, Failure):
-                return answered
-            status, data, peer = answered.unwrap()
+            if isinstance(result, Failure):
+                return result
+            status, data, peer = result.unwrap()
             if status != OK:
                 reason = f"status {status}"
                 return Failure(Fault("hosts.list", peer, FaultKind.UNAVAILABLE, reason))
@@ -64,12 +68,12 @@
                 HostRow(
                     HostId(host.machine),
                     PoolId(host.pool),
-                    STATE_BY_WORD[host.state],
+                    HOST_STATE_BY_VALUE[host.state],
                     ZoneId(host.zone),
                     EndpointId(host.id or ""),
                 )
                 for host in page.machines
-                if host.state in STATE_BY_WORD
+                if host.state in HOST_STATE_BY_VALUE
             ]
             if not page.next_token:
                 return Success(tuple(rows))
@@ -77,29 +81,29 @@
 
     def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrder:
         """Move a host into another pool."""
-        return self._order("/machine-move", {"machine": host, "pool": pool}, holder, token)
+        return self._send_order("/machine-move", {"machine": host, "pool": pool}, holder, token)
 
     def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrder:
         """Send a host into upkeep."""
-        return self._order("/machine-upkeep", {"machine": host, "wave": wave}, holder, token)
+        return self._send_order("/machine-upkeep", {"machine": host, "wave": wave}, holder, token)
 
-    def _order(
+    def _send_order(
         self, path: str, body: dict[str, object], holder: ProcessId, token: int
     ) -> HostOrder:
         headers = {"Lease-Holder": str(holder), "Fencing-Token": str(token)}
         transport = Transport((self._address,), headers=headers)
-        answered = transport.request(
-            "hosts.order", Effect.ONCE, "POST", path, msgspec.json.encode(body), CALL_S
+        result = transport.request(
+            "hosts.order", Effect.ONCE, "POST", path, msgspec.json.encode(body), CALL_TIMEOUT_S
         )
         transport.close()
-        if isinstance(answered, Failure):
-            unsent = answered.failure().kind is FaultKind.UNAVAILABLE
+        if isinstance(result, Failure):
+            unsent = result.failure().kind is FaultKind.UNAVAILABLE
             return HostOrder.LATER if unsent else HostOrder.UNKNOWN
-        status, data, _ = answered.unwrap()
+        status, data, _ = result.unwrap()
         if status == OK:
             return HostOrder.DONE
         if status == 409:
-            return ORDER_BY_REASON.get(decode_clock(data).reason, HostOrder.REFUSED)
+            return HOST_ORDER_BY_REASON.get(decode_header(data).reason, HostOrder.REFUSED)
         if status in (429, 503):
             return HostOrder.LATER
         return HostOrder.REFUSED if 400 <= status < 500 else HostOrder.UNKNOWN
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -34,12 +34,12 @@
 BACKLOG = 512
 """Connections in the accept queue. Beyond it the kernel drops the SYN packet, which is sent again
 only seconds later."""
-IDLE_S = 15
+IDLE_TIMEOUT_S = 15
 """Idle time-out of keep-alive connections: the default of the configured limit."""
 UNAVAILABLE_RETRY_S = 1.0
 """Retry time for callers of a host that has no configuration or no status of other hosts yet."""
 
-Start = Callable[[str, list[tuple[str, str]]], Any]
+StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 Environ = dict[str, Any]
 Answer = tuple[str, bytes, float | None]
 
@@ -62,9 +62,9 @@
     ) -> None:
         self._intake = intake
         self._configuration = configuration
-        self._leaving = leaving
+        self._is_leaving = leaving
         self._metrics = metrics
-        self._server = _server(address, self._serve, threads)
+        self._server = _create_server(address, self._serve, threads)
 
     def prepare(self) -> None:
         """Bind the address and listen."""
@@ -78,23 +78,23 @@
         """Stop the server."""
         self._server.stop()
 
-    def _serve(self, environ: Environ, start: Start) -> Iterable[bytes]:
-        began = time.monotonic()
-        status, body, retry_s = self._answer(environ)
+    def _serve(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
+        started = time.monotonic()
+        status, body, retry_s = self._handle(environ)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         if retry_s is not None:
             headers.append(("Retry-After", str(max(1, round(retry_s)))))
-        if self._leaving():
+        if self._is_leaving():
             headers.append(("Connection", "close"))
-        start(status, headers)
+        start_response(status, headers)
         # Callers can send any method name, and each name would create a permanent metric.
         method = METRIC_BY_METHOD.get(str(environ["REQUEST_METHOD"]), "other")
         self._metrics.incr(f"ingress.{method}.{status[:3]}")
-        self._metrics.timing(f"ingress.{method}", (time.monotonic() - began) * 1000)
+        self._metrics.timing(f"ingress.{method}", (time.monotonic() - started) * 1000)
         return [body]
 
-    def _answer(self, environ: Environ) -> Answer:
-        began = time.monotonic()
+    def _handle(self, environ: Environ) -> Answer:
+        started = time.monotonic()
         configuration = self._configuration()
         if configuration is None:
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
@@ -114,13 +114,15 @@
         if method == "POST":
             if int(environ.get("CONTENT_LENGTH") or 0) > configuration.limits.body_bytes:
                 return "413 Content Too Large", b"{}", None
-            return self._submit(queue, job, environ, began)
+            return self._submit(queue, job, environ, started)
         if method == "GET":
             answer, state = self._intake.show(queue.pool, job)
             body = encode_state(state) if state is not None else b"{}"
-            return _shown(answer, body)
+            return _with_retry_time(answer, body)
         if method == "DELETE":
-            return _shown(self._intake.cancel(queue.pool, job, _wait_s(environ)), b"{}")
+            return _with_retry_time(
+                self._intake.cancel(queue.pool, job, _caller_wait_s(environ)), b"{}"
+            )
         return "405 Method Not Allowed", b"{}", None
 
     def _pending(self, queue: Queue) -> Answer:
@@ -129,27 +131,27 @@
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
         return "200 OK", encode_pending(waiting), None
 
-    def _submit(self, queue: Queue, job: JobId, environ: Environ, began: float) -> Answer:
+    def _submit(self, queue: Queue, job: JobId, environ: Environ, started: float) -> Answer:
         body = environ["wsgi.input"].read()
         decoded = decode_job(job, queue, body, int(time.time() * 1000))
         if isinstance(decoded, Failure):
             log(Event.JOB_ODD, job=job, queue=queue.id, reason=decoded.failure().reason)
             return "400 Bad Request", b"{}", None
-        wait_s = _wait_s(environ)
+        wait_s = _caller_wait_s(environ)
         if wait_s is not None:
-            wait_s = max(0.0, wait_s - (time.monotonic() - began))
+            wait_s = max(0.0, wait_s - (time.monotonic() - started))
         answer, retry_s = self._intake.submit(decoded.unwrap(), wait_s)
         refused = answer in (JobAnswer.OVERLOADED, JobAnswer.UNAVAILABLE)
         return STATUS_BY_ANSWER[answer], b"{}", retry_s if refused else None
 
 
-def _wait_s(environ: Environ) -> float | None:
+def _caller_wait_s(environ: Environ) -> float | None:
     """Return how many seconds the caller waits for its answer; ``None`` if it is not specified."""
-    told = str(environ.get("HTTP_DEADLINE_MS", ""))
-    return int(told) / 1000 if WAIT_MS.match(told) else None
+    header = str(environ.get("HTTP_DEADLINE_MS", ""))
+    return int(header) / 1000 if WAIT_MS.match(header) else None
 
 
-def _shown(answer: JobAnswer, body: bytes) -> Answer:
+def _with_retry_time(answer: JobAnswer, body: bytes) -> Answer:
     retry_s = UNAVAILABLE_RETRY_S if answer is JobAnswer.UNAVAILABLE else None
     return STATUS_BY_ANSWER[answer], body, retry_s
 
@@ -160,16 +162,18 @@
     :param page: returns the status and the body for a path.
     """
 
-    def serve(environ: Environ, start: Start) -> Iterable[bytes]:
+    def serve(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         status, body = page(str(environ.get("PATH_INFO", "")))
         text = "200 OK" if status == 200 else f"{status} Not Ready"
-        start(text, [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))])
+        start_response(text, [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))])
         return [body]
 
-    return _server(address, serve, 2)
+    return _create_server(address, serve, 2)
 
 
-def _server(address: str, app: Callable[[Environ, Start], Iterable[bytes]], threads: int) -> Any:
+def _create_server(
+    address: str, app: Callable[[Environ, StartResponse], Iterable[bytes]], threads: int
+) -> Any:
     host, _, port = address.rpartition(":")
     server = wsgi.Server(
         (host, int(port)),
@@ -177,7 +181,7 @@
         numthreads=threads,
         max=threads,
         request_queue_size=BACKLOG,
-        timeout=IDLE_S,
+        timeout=IDLE_TIMEOUT_S,
         shutdown_timeout=1,
     )
     server.max_request_header_size = MAX_HEADER_BYTES
--- a/src/lentilrill/platform/_job_wire.py
+++ b/src/lentilrill/platform/_job_wire.py
@@ -61,7 +61,7 @@
             return _invalid(f"step {index}: count {step.count}, after {step.after}")
     if sum(step.count for step in raw.steps) * max(1, raw.repeat_count) > MAX_TASKS:
         return _invalid("the job has too many tasks")
-    steps = tuple(_step(step) for step in raw.steps)
+    steps = tuple(_decode_step(step) for step in raw.steps)
     return Success(
         Job(
             job,
@@ -78,7 +78,7 @@
     )
 
 
-def _step(raw: _Step) -> Step:
+def _decode_step(raw: _Step) -> Step:
     return Step(
         raw.count,
         Resources(raw.cpu, raw.mem_mb, raw.gpu),
--- a/src/lentilrill/platform/_kv.py
+++ b/src/lentilrill/platform/_kv.py
@@ -32,20 +32,27 @@
 
 __all__ = ["PlatformKeyValue"]
 
-OK, NOT_FOUND, GONE, PRECONDITION, TOO_MANY, BUSY = 200, 404, 410, 412, 429, 503
-NOTHING_DONE = frozenset({400, 403, NOT_FOUND, TOO_MANY, BUSY})
+OK, NOT_FOUND, GONE, PRECONDITION_FAILED, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE = (
+    200,
+    404,
+    410,
+    412,
+    429,
+    503,
+)
+NO_EFFECT_STATUSES = frozenset({400, 403, NOT_FOUND, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE})
 """Statuses that mean that a commit had no effect."""
-ATTEMPT_S = 0.7
+CALL_TIMEOUT_S = 0.7
 """Time-out of one call: almost three times the latency of a slow store, 0.25 s."""
-FIRST_ATTEMPT_S = 0.35
+FIRST_COMMIT_TIMEOUT_S = 0.35
 """Time-out of a commit that can safely be sent again: slightly above a slow store's latency."""
-WHOLE_PAGE_S = 5.0
+PAGE_TIMEOUT_S = 5.0
 """Time-out of a page that keeps arriving: a page has up to 1 MB, which takes the slowest links of
 entry hosts one or two seconds, or longer if they are shared."""
-LEASE_ATTEMPTS_S = (0.15, 0.45)
+LEASE_TIMEOUTS_S = (0.15, 0.45)
 """Time-outs of the two attempts of a lease call. The second allows for a busy link, and their sum
 is short enough for another renewal within a lease of 1.6 s."""
-PACE_KEPT = 0.9
+LATENCY_DECAY = 0.9
 """Factor by which the expected latency decays with each faster answer."""
 DEADLINE_S = 1.5
 """Time-out of a call including its retries; callers of jobs wait 3 s for an answer."""
@@ -65,7 +72,7 @@
     # A deletion is sent as an item with ``removed`` and without a value.
     removed: bool = False
 
-    def decoded(self) -> Item:
+    def to_item(self) -> Item:
         value = None if self.removed else base64.b64decode(self.value)
         return Item(self.key, value, Revision(self.revision))
 
@@ -121,17 +128,17 @@
     def __init__(self, settings: StoreSettings, metrics: Metrics) -> None:
         self._address = settings.address
         self._transport = Transport((settings.address,))
-        self._leases = Transport((settings.address,))
+        self._lease_transport = Transport((settings.address,))
         budget = CallBudget(settings.calls_per_s)
         self._guard = CallGuard(settings.address, DEADLINE_S, budget, metrics)
         self._metrics = metrics
-        self._answered = time.monotonic()
-        self._slow_s = 0.0
+        self._last_answer = time.monotonic()
+        self._expected_latency_s = 0.0
 
     @property
     def silent_s(self) -> float:
         """Seconds since the store last answered a call or a watch successfully."""
-        return time.monotonic() - self._answered
+        return time.monotonic() - self._last_answer
 
     def read(self, prefix: str, priority: Priority = Priority.FIRST) -> Result[RangeAnswer, Fault]:
         """Read all items whose keys start with ``prefix``, page by page."""
@@ -140,13 +147,13 @@
         revision = 0
         while True:
             path = f"/kv-range?prefix={quote(prefix)}" + (f"&after={quote(after)}" if after else "")
-            page = self._get("store.read", path, _Range, priority, WHOLE_PAGE_S)
+            page = self._get("store.read", path, _Range, priority, PAGE_TIMEOUT_S)
             if isinstance(page, Failure):
                 return page
             found = page.unwrap()
             # Pages are not a snapshot; a watch from the first page's revision misses no change.
             revision = revision or found.at_rev
-            items.extend(item.decoded() for item in found.items)
+            items.extend(item.to_item() for item in found.items)
             if not found.truncated or not found.items:
                 return Success(RangeAnswer(tuple(items), Revision(revision)))
             after = found.items[-1].key
@@ -157,7 +164,7 @@
         if isinstance(found, Failure):
             absent = found.failure().kind is FaultKind.INVALID
             return Success(None) if absent else found
-        return Success(found.unwrap().decoded())
+        return Success(found.unwrap().to_item())
 
     def newest(self, prefix: str, priority: Priority = Priority.LATER) -> Result[Revision, Fault]:
         """Return the highest modification revision of a present key below ``prefix``, or 0."""
@@ -172,45 +179,47 @@
         priority: Priority = Priority.FIRST,
     ) -> Result[TxnAnswer, Fault]:
         """Apply ``writes`` if all ``compares`` hold; ``AMBIGUOUS`` if the answer was lost."""
-        body = _encoded(compares, writes)
-        if not _takes_effect_once(compares, writes):
-            return self._commit(body, priority, ATTEMPT_S)[0]
+        body = _encode_txn(compares, writes)
+        if not _fails_if_repeated(compares, writes):
+            return self._commit(body, priority, CALL_TIMEOUT_S)[0]
         # The time-out follows the latency, so that a slow store does not get each commit twice.
-        first_s = min(ATTEMPT_S, max(FIRST_ATTEMPT_S, 2 * self._slow_s))
-        first, was_answered = self._commit(body, priority, first_s)
-        if was_answered or _kind_of(first) is not FaultKind.AMBIGUOUS:
+        first_timeout_s = min(
+            CALL_TIMEOUT_S, max(FIRST_COMMIT_TIMEOUT_S, 2 * self._expected_latency_s)
+        )
+        first, was_answered = self._commit(body, priority, first_timeout_s)
+        if was_answered or _fault_kind(first) is not FaultKind.AMBIGUOUS:
             return first
-        again, _ = self._commit(body, priority, ATTEMPT_S)
+        again, _ = self._commit(body, priority, CALL_TIMEOUT_S)
         if isinstance(again, Failure):
             return first
         answer = again.unwrap()
         if answer.succeeded:
             return again
-        revision = _revision_of(compares, writes, answer.found)
+        revision = _stored_revision(compares, writes, answer.found)
         return Success(TxnAnswer(True, revision)) if revision else first
 
     def _commit(
-        self, body: bytes, priority: Priority, longest_s: float
+        self, body: bytes, priority: Priority, timeout_s: float
     ) -> tuple[Result[TxnAnswer, Fault], bool]:
         """Send a commit once; return its result and whether the store answered."""
         was_answered = False
 
-        def attempt(left_s: float) -> Result[TxnAnswer, Fault]:
+        def attempt(remaining_s: float) -> Result[TxnAnswer, Fault]:
             nonlocal was_answered
-            began = time.monotonic()
-            answered = self._transport.request(
-                "store.commit", Effect.ONCE, "POST", "/kv-txn", body, min(longest_s, left_s)
+            started = time.monotonic()
+            response = self._transport.request(
+                "store.commit", Effect.ONCE, "POST", "/kv-txn", body, min(timeout_s, remaining_s)
             )
-            was_answered = not isinstance(answered, Failure)
-            if isinstance(answered, Failure):
-                return answered
-            self._paced(began)
-            status, data, peer = answered.unwrap()
-            if status == PRECONDITION:
-                self._answered = time.monotonic()
-                return Success(TxnAnswer(False, Revision(0), _found(data)))
-            decoded = self._decoded("store.commit", status, data, peer, _Committed)
-            if isinstance(decoded, Failure) and (status == OK or status not in NOTHING_DONE):
+            was_answered = not isinstance(response, Failure)
+            if isinstance(response, Failure):
+                return response
+            self._record_latency(started)
+            status, data, peer = response.unwrap()
+            if status == PRECONDITION_FAILED:
+                self._last_answer = time.monotonic()
+                return Success(TxnAnswer(False, Revision(0), _decode_found(data)))
+            decoded = self._decode("store.commit", status, data, peer, _Committed)
+            if isinstance(decoded, Failure) and (status == OK or status not in NO_EFFECT_STATUSES):
                 # The commit may have taken effect despite an error status or a malformed answer.
                 fault = decoded.failure()
                 return Failure(Fault(fault.step, peer, FaultKind.AMBIGUOUS, fault.reason))
@@ -236,7 +245,9 @@
     def revoke(self, lease: int) -> Result[None, Fault]:
         """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         path = f"/kv-lease-end/{lease}"
-        ended = self._leases.request("store.revoke", Effect.REPEATABLE, "DELETE", path, b"", 0.5)
+        ended = self._lease_transport.request(
+            "store.revoke", Effect.REPEATABLE, "DELETE", path, b"", 0.5
+        )
         if isinstance(ended, Failure):
             return ended
         status, _, peer = ended.unwrap()
@@ -244,47 +255,57 @@
             return Success(None)
         return Failure(_fault_of("store.revoke", status, peer))
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Record that the store has just answered."""
-        self._answered = time.monotonic()
+        self._last_answer = time.monotonic()
 
-    def _paced(self, began: float) -> None:
+    def _record_latency(self, started: float) -> None:
         """Update the expected latency with the latency of an answer."""
-        self._slow_s = max(time.monotonic() - began, self._slow_s * PACE_KEPT)
+        self._expected_latency_s = max(
+            time.monotonic() - started, self._expected_latency_s * LATENCY_DECAY
+        )
 
     def _lease_call(self, step: str, method: str, path: str, body: bytes) -> Result[_Lease, Fault]:
         # The circuit breaker is bypassed: every attempt that can still renew the lease in time
         # matters, and there is only one caller.
-        is_slow = 2 * self._slow_s > LEASE_ATTEMPTS_S[0]
-        for attempt_s in LEASE_ATTEMPTS_S[1:] if is_slow else LEASE_ATTEMPTS_S:
+        is_slow = 2 * self._expected_latency_s > LEASE_TIMEOUTS_S[0]
+        for timeout_s in LEASE_TIMEOUTS_S[1:] if is_slow else LEASE_TIMEOUTS_S:
             self._metrics.incr(f"{step}.calls")
-            began = time.monotonic()
-            answered = self._leases.request(step, Effect.REPEATABLE, method, path, body, attempt_s)
-            if not isinstance(answered, Failure):
-                self._paced(began)
+            started = time.monotonic()
+            result = self._lease_transport.request(
+                step, Effect.REPEATABLE, method, path, body, timeout_s
+            )
+            if not isinstance(result, Failure):
+                self._record_latency(started)
                 break
-        if isinstance(answered, Failure):
-            return answered
-        status, data, peer = answered.unwrap()
+        if isinstance(result, Failure):
+            return result
+        status, data, peer = result.unwrap()
         if status == NOT_FOUND:
             return Failure(Fault(step, peer, FaultKind.CONFLICT, "the lease has ended"))
-        return self._decoded(step, status, data, peer, _Lease)
+        return self._decode(step, status, data, peer, _Lease)
 
     def _get(
-        self, step: str, path: str, kind: type[A], priority: Priority, whole_s: float = 0.0
+        self, step: str, path: str, kind: type[A], priority: Priority, total_timeout_s: float = 0.0
     ) -> Result[A, Fault]:
-        def attempt(left_s: float) -> Result[A, Fault]:
-            answered = self._transport.request(
-                step, Effect.REPEATABLE, "GET", path, b"", min(ATTEMPT_S, left_s), whole_s
+        def attempt(remaining_s: float) -> Result[A, Fault]:
+            result = self._transport.request(
+                step,
+                Effect.REPEATABLE,
+                "GET",
+                path,
+                b"",
+                min(CALL_TIMEOUT_S, remaining_s),
+                total_timeout_s,
             )
-            if isinstance(answered, Failure):
-                return answered
-            status, data, peer = answered.unwrap()
-            return self._decoded(step, status, data, peer, kind)
+            if isinstance(result, Failure):
+                return result
+            status, data, peer = result.unwrap()
+            return self._decode(step, status, data, peer, kind)
 
         return self._guard.call(step, Effect.REPEATABLE, priority, attempt)
 
-    def _decoded(
+    def _decode(
         self, step: str, status: int, data: bytes, peer: str, kind: type[A]
     ) -> Result[A, Fault]:
         if status != OK:
@@ -293,7 +314,7 @@
             answer = msgspec.json.decode(data, type=kind)
         except DECODE_ERRORS as error:
             return Failure(Fault(step, peer, FaultKind.INVALID, f"malformed answer: {error}"))
-        self._answered = time.monotonic()
+        self._last_answer = time.monotonic()
         return Success(answer)
 
 
@@ -305,41 +326,41 @@
         self._transport = Transport((address,))
         self._prefix = prefix
         self._after = after
-        self._ended = threading.Event()
+        self._closed = threading.Event()
 
     def __next__(self) -> Result[WatchBatch, Fault]:
-        if self._ended.is_set():
+        if self._closed.is_set():
             raise StopIteration
         step = "store.watch"
         path = f"/kv-watch?prefix={quote(self._prefix)}&after={self._after}&wait_ms={WATCH_WAIT_MS}"
         timeout_s = WATCH_WAIT_MS / 1000.0 + WATCH_SLACK_S
-        whole_s = timeout_s + WHOLE_PAGE_S
-        answered = self._transport.request(
-            step, Effect.REPEATABLE, "GET", path, b"", timeout_s, whole_s
+        total_timeout_s = timeout_s + PAGE_TIMEOUT_S
+        result = self._transport.request(
+            step, Effect.REPEATABLE, "GET", path, b"", timeout_s, total_timeout_s
         )
-        if isinstance(answered, Failure):
-            self._ended.set()
-            return answered
-        status, data, peer = answered.unwrap()
+        if isinstance(result, Failure):
+            self._closed.set()
+            return result
+        status, data, peer = result.unwrap()
         if status != OK:
-            self._ended.set()
+            self._closed.set()
             return Failure(_fault_of(step, status, peer))
         try:
-            news = msgspec.json.decode(data, type=_Events)
-            items = tuple(item.decoded() for item in news.events)
+            answer = msgspec.json.decode(data, type=_Events)
+            items = tuple(item.to_item() for item in answer.events)
         except (*DECODE_ERRORS, ValueError) as error:
-            self._ended.set()
+            self._closed.set()
             return Failure(Fault(step, peer, FaultKind.CONFLICT, f"malformed answer: {error}"))
-        self._kv.answered()
-        self._after = Revision(max(self._after, news.at_rev))
+        self._kv.record_answer()
+        self._after = Revision(max(self._after, answer.at_rev))
         return Success(WatchBatch(items, self._after))
 
     def close(self) -> None:
         """End the watch; a pending wait ends with its time-out at the latest."""
-        self._ended.set()
+        self._closed.set()
 
 
-def _encoded(compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]) -> bytes:
+def _encode_txn(compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]) -> bytes:
     txn = _Txn(
         [_Precondition(compare.key, compare.revision) for compare in compares],
         [
@@ -352,11 +373,11 @@
     return msgspec.json.encode(txn)
 
 
-def _kind_of(result: Result[A, Fault]) -> FaultKind | None:
+def _fault_kind(result: Result[A, Fault]) -> FaultKind | None:
     return result.failure().kind if isinstance(result, Failure) else None
 
 
-def _takes_effect_once(
+def _fails_if_repeated(
     compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
 ) -> bool:
     """Return whether a repeated transaction fails, because it writes only keys that it compares."""
@@ -366,7 +387,7 @@
     )
 
 
-def _revision_of(
+def _stored_revision(
     compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...], found: tuple[Item, ...]
 ) -> Revision:
     """Return the revision at which all ``writes`` were stored together; 0 if they were not."""
@@ -383,18 +404,18 @@
     return revisions.pop() if len(revisions) == 1 else Revision(0)
 
 
-def _found(data: bytes) -> tuple[Item, ...]:
+def _decode_found(data: bytes) -> tuple[Item, ...]:
     """Return the items in the answer to a failed precondition; none if it is malformed."""
     try:
-        shown = msgspec.json.decode(data, type=_Found)
-        present = [item for item in shown.items if item and item.revision and not item.removed]
-        return tuple(item.decoded() for item in present)
+        answer = msgspec.json.decode(data, type=_Found)
+        present = [item for item in answer.items if item and item.revision and not item.removed]
+        return tuple(item.to_item() for item in present)
     except (*DECODE_ERRORS, ValueError):
         return ()
 
 
 def _fault_of(step: str, status: int, peer: str) -> Fault:
-    if status in (TOO_MANY, BUSY):
+    if status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
         return Fault(
             step, peer, FaultKind.UNAVAILABLE, f"status {status}: the request had no effect"
         )
--- a/src/lentilrill/platform/_policy.py
+++ b/src/lentilrill/platform/_policy.py
@@ -13,18 +13,18 @@
 __all__ = ["PlatformPolicy"]
 
 OK = 200
-TIMEOUT_S = 3.0
+CALL_TIMEOUT_S = 3.0
 """Time-out of a call. The service processes the calls of a host one after the other, and each takes
 about half a second for thirty endpoints, so a call may wait for some calls of other pools."""
 
 
-class _Question(msgspec.Struct):
+class _Request(msgspec.Struct):
     step: str
     # Ids of endpoints.
     workers: list[EndpointId]
 
 
-class _Answer(msgspec.Struct):
+class _Response(msgspec.Struct):
     # Rows: endpoint id, ticket. Endpoints that may not run the step are omitted.
     good: list[tuple[EndpointId, str]]
     valid_ms: int = 0
@@ -43,18 +43,18 @@
     def ask(self, step: StepId, endpoints: tuple[EndpointId, ...]) -> Result[PolicyAnswer, Fault]:
         """Return tickets for the endpoints among ``endpoints`` that may run a step."""
         name = f"{step.job}.{step.occurrence}.{step.step}"
-        body = msgspec.json.encode(_Question(name, list(endpoints)))
+        body = msgspec.json.encode(_Request(name, list(endpoints)))
         self._metrics.incr("policy.calls")
-        answered = self._transport.request(
-            "policy.ask", Effect.REPEATABLE, "POST", "/advise", body, TIMEOUT_S
+        result = self._transport.request(
+            "policy.ask", Effect.REPEATABLE, "POST", "/advise", body, CALL_TIMEOUT_S
         )
-        if isinstance(answered, Failure):
-            return answered
-        status, data, peer = answered.unwrap()
+        if isinstance(result, Failure):
+            return result
+        status, data, peer = result.unwrap()
         if status != OK:
             return _failure(peer, FaultKind.UNAVAILABLE, f"status {status}")
         try:
-            answer = msgspec.json.decode(data, type=_Answer)
+            answer = msgspec.json.decode(data, type=_Response)
         except DECODE_ERRORS as error:
             return _failure(peer, FaultKind.INVALID, f"malformed answer: {error}")
         return Success(PolicyAnswer(dict(answer.good), answer.valid_ms / 1000))
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -109,7 +109,7 @@
     except DECODE_ERRORS as error:
         log(Event.RECORD_ODD, key=CONFIGURATION_KEY, reason=str(error))
         return None
-    queues = tuple(_queue(route) for route in raw.routes)
+    queues = tuple(_decode_queue(route) for route in raw.routes)
     pools = tuple(
         PoolEntry(PoolId(pool.name), pool.standby, pool.rejects_overload) for pool in raw.services
     )
@@ -122,7 +122,7 @@
     return Configuration(raw.version, queues, pools, limits)
 
 
-def _queue(route: _Route) -> Queue:
+def _decode_queue(route: _Route) -> Queue:
     advice = route.advice
     return Queue(
         QueueId(route.name),
@@ -148,13 +148,13 @@
     except (*DECODE_ERRORS, ValueError) as error:
         log(Event.RECORD_ODD, key=key, reason=str(error))
         return None
-    room = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
+    resources = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
     return EndpointEntry(
         EndpointId(key.removeprefix(ENDPOINTS)),
         PoolId(raw.service),
         raw.address,
         ZoneId(raw.zone),
-        room,
+        resources,
         tuple(raw.labels),
         raw.state == DRAINING,
         HostId(raw.machine),
--- a/tests/platform/test_ingress.py
+++ b/tests/platform/test_ingress.py
@@ -44,11 +44,14 @@
         host, _, port = self.address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=5)
         self.addCleanup(connection.close)
-        shown = {"Host": "braille.example", **{k.replace("_", "-"): v for k, v in headers.items()}}
-        connection.request(method, "/proofs/" + "a" * 16, BODY, shown)
+        all_headers = {
+            "Host": "braille.example",
+            **{k.replace("_", "-"): v for k, v in headers.items()},
+        }
+        connection.request(method, "/proofs/" + "a" * 16, BODY, all_headers)
         return connection.getresponse().status
 
-    def test_the_intake_is_told_how_long_a_caller_waits(self) -> None:
+    def test_the_intake_gets_the_deadline_of_a_caller(self) -> None:
         """Guards against holding a caller beyond the deadline in its request."""
         for method in ("POST", "DELETE"):
             self.assertEqual(200, self.ask(method, Deadline_Ms="1400"))
@@ -56,8 +59,8 @@
             assert wait_s is not None
             self.assertTrue(0.5 < wait_s <= 1.4, wait_s)
 
-    def test_an_odd_wait_is_none(self) -> None:
-        for odd in ("", "soon", "-5", "1e3", "9" * 30):
-            self.assertEqual(200, self.ask("POST", Deadline_Ms=odd))
+    def test_a_malformed_deadline_is_ignored(self) -> None:
+        for malformed in ("", "soon", "-5", "1e3", "9" * 30):
+            self.assertEqual(200, self.ask("POST", Deadline_Ms=malformed))
         self.assertEqual(200, self.ask("POST"))
         self.assertEqual([None] * 6, self.intake.waits)
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -16,7 +16,7 @@
 from lentilrill.telemetry import NoMetrics
 from standins._http import Call, Server
 
-Answered = Result[tuple[int, bytes, str], Fault]
+ExchangeResult = Result[tuple[int, bytes, str], Fault]
 """Result of one HTTP exchange."""
 
 
@@ -38,7 +38,7 @@
         compares = (Compare("in/notices/j/a", Revision(0)),)
         return self.kv.commit(compares, (Put("in/notices/j/a", b"x"),))
 
-    def test_an_error_or_an_odd_answer_may_hide_a_commit(self) -> None:
+    def test_an_error_or_a_malformed_answer_to_a_commit_is_ambiguous(self) -> None:
         """Guards against reporting a committed job as refused.
 
         A device on the path may turn the answer to a successful commit into a 500 or truncate
@@ -49,7 +49,7 @@
             assert isinstance(result, Failure)
             self.assertIs(FaultKind.AMBIGUOUS, result.failure().kind, (status, body))
 
-    def test_what_the_store_says_of_a_commit(self) -> None:
+    def test_answers_to_a_commit(self) -> None:
         self.assertEqual(TxnAnswer(True, Revision(7)), self.commit(200, b'{"revision":7}').unwrap())
         self.assertFalse(self.commit(412, b'{"items":[]}').unwrap().succeeded)
         self.assertEqual((), self.commit(412, b"{").unwrap().found)
@@ -58,7 +58,7 @@
             assert isinstance(result, Failure)
             self.assertIs(FaultKind.INVALID, result.failure().kind)
 
-    def test_a_failed_condition_shows_what_is_there(self) -> None:
+    def test_a_failed_condition_returns_the_stored_items(self) -> None:
         """Guards against one commit per job when one job of a batch is stored already."""
         body = (
             b'{"items":[{"key":"in/notices/j/a","value":"eA==","revision":5},'
@@ -71,29 +71,31 @@
 class LostAnswersTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.held = threading.Event()
+        self.released = threading.Event()
         self.answers: deque[tuple[int, bytes] | None] = deque()
         self.bodies: list[bytes] = []
         self.delay_s = 0.0
         self.server = Server("127.0.0.1:0", self.serve, 4)
         self.server.start()
         self.addCleanup(self.server.close)
-        self.addCleanup(self.held.set)
+        self.addCleanup(self.released.set)
         self.kv = PlatformKeyValue(StoreSettings(self.server.address), NoMetrics())
-        self.waits_s: list[float] = []
-        for transport in (self.kv._transport, self.kv._leases):
-            self.patch(transport, "request", self.noting_waits(transport.request))
+        self.timeouts_s: list[float] = []
+        for transport in (self.kv._transport, self.kv._lease_transport):
+            self.patch(transport, "request", self.recording_timeouts(transport.request))
 
-    def noting_waits(self, answer: Callable[..., Answered]) -> Callable[..., Answered]:
+    def recording_timeouts(
+        self, request: Callable[..., ExchangeResult]
+    ) -> Callable[..., ExchangeResult]:
         """Return a wrapper of the call that records its time-out."""
 
-        def noted(
+        def recorded(
             step: str, effect: Effect, method: str, path: str, body: bytes, timeout_s: float
-        ) -> Answered:
-            self.waits_s.append(timeout_s)
-            return answer(step, effect, method, path, body, timeout_s)
+        ) -> ExchangeResult:
+            self.timeouts_s.append(timeout_s)
+            return request(step, effect, method, path, body, timeout_s)
 
-        return noted
+        return recorded
 
     def serve(self, call: Call, address: str) -> None:
         del address
@@ -101,7 +103,7 @@
         answer = self.answers.popleft()
         time.sleep(self.delay_s)
         if answer is None:
-            call.hold_while(lambda: not self.held.is_set())
+            call.hold_while(lambda: not self.released.is_set())
             call.cut()
         else:
             call.answer(*answer)
@@ -116,16 +118,16 @@
     def test_a_commit_without_an_answer_is_sent_again(self) -> None:
         """Guards against a delay of a second when one answer to a commit is lost."""
         done = self.commit(None, (200, b'{"revision":7}')).unwrap()
-        self.assertLess(self.waits_s[0], 0.4)
+        self.assertLess(self.timeouts_s[0], 0.4)
         self.assertEqual(TxnAnswer(True, Revision(7)), done)
         self.assertEqual(1, len(set(self.bodies)))
 
     def test_a_commit_that_took_effect_is_known_by_what_it_wrote(self) -> None:
         """Guards against a failure of the second attempt because the first took effect."""
-        there = b'{"items":[{"key":"a","value":"eA==","revision":5}]}'
-        self.assertEqual(TxnAnswer(True, Revision(5)), self.commit(None, (412, there)).unwrap())
+        stored = b'{"items":[{"key":"a","value":"eA==","revision":5}]}'
+        self.assertEqual(TxnAnswer(True, Revision(5)), self.commit(None, (412, stored)).unwrap())
 
-    def test_a_second_try_that_does_not_tell_settles_nothing(self) -> None:
+    def test_an_inconclusive_second_attempt_stays_ambiguous(self) -> None:
         """Guards against reporting a write that may still take effect as failed."""
         other = b'{"items":[{"key":"a","value":"eQ==","revision":5}]}'
         before = b'{"items":[{"key":"a","value":"eA==","revision":4}]}'
@@ -151,15 +153,15 @@
         """Guards against losing a lease, and the owned pools, to two consecutive lost answers."""
         for number in range(3):
             self.answers.extend([None, (200, b'{"ttl_ms":1600}')])
-            self.waits_s.clear()
+            self.timeouts_s.clear()
             self.assertEqual(1.6, self.kv.keep_alive(number).unwrap())
-            self.assertLess(self.waits_s[0], 0.2)
+            self.assertLess(self.timeouts_s[0], 0.2)
 
     def test_a_renewal_that_gets_no_answer_ends_in_time_for_another(self) -> None:
         """Guards against a renewal that leaves no time for another one within the lease."""
         self.answers.extend([None] * 4)
         self.assertIsInstance(self.kv.keep_alive(1), Failure)
-        self.assertLess(sum(self.waits_s), 0.7)
+        self.assertLess(sum(self.timeouts_s), 0.7)
 
     def test_a_slow_store_does_not_get_each_call_twice(self) -> None:
         """Guards against sending each call twice to a slow store."""
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -25,7 +25,7 @@
         """Guards against a needless stop and poll after a start that was never sent."""
         self.assertIsNot(Verdict.UNKNOWN, self.start_at(an_address()))
 
-    def test_a_start_whose_connection_breaks_is_in_doubt(self) -> None:
+    def test_a_start_whose_connection_breaks_is_unknown(self) -> None:
         """Guards against a second start of a task whose first start lost its answer."""
         address = an_address()
         host, _, port = address.rpartition(":")
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -6,7 +6,7 @@
 
 from lentilrill.execution import EndKind, Verdict
 from lentilrill.ids import JobId
-from lentilrill.platform._endpoint_wire import decode_look, refusal
+from lentilrill.platform._endpoint_wire import decode_poll, refusal_verdict
 from lentilrill.platform._job_wire import decode_job
 from lentilrill.platform._records import decode_configuration, decode_endpoint, decode_wave
 from lentilrill.workloads import Resources
@@ -22,7 +22,7 @@
     "clock_ms": 5,
     "seq": 4,
 }
-ODD_ENTRIES = (
+MALFORMED_ENTRIES = (
     {"state": "resting"},
     {"state": 7},
     {"address": "nowhere"},
@@ -45,43 +45,43 @@
         self.assertEqual(Resources(16000, 32768), entry.room)
         self.assertFalse(entry.draining)
 
-    def test_odd_entries_name_no_endpoint(self) -> None:
-        for odd in ODD_ENTRIES:
-            self.assertIsNone(decode_endpoint("servers/i-1", encoded(ENTRY | odd)), odd)
+    def test_malformed_entries_are_ignored(self) -> None:
+        for malformed in MALFORMED_ENTRIES:
+            self.assertIsNone(decode_endpoint("servers/i-1", encoded(ENTRY | malformed)), malformed)
         for raw in (b"", b"\xff\xfe", b"[]", b"null", b'{"service":'):
             self.assertIsNone(decode_endpoint("servers/i-1", raw))
 
-    def test_odd_operator_records(self) -> None:
+    def test_malformed_operator_records_are_ignored(self) -> None:
         for raw in (b"", b"{}", b'{"version":"x"}', b"\xff"):
             self.assertIsNone(decode_configuration(raw))
             self.assertIsNone(decode_wave("op/wave/1", raw))
 
 
-class LookWireTest(TestCase):
+class PollWireTest(TestCase):
     def test_lists(self) -> None:
         raw = {
             "clock_ms": 7,
             "running": [["5c0e7a21d94b36f8.0.1.17", 2, "0bb8", 41, 12]],
             "ended": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""], [59, "a.0.0.0", 1, "new", ""]],
         }
-        look = decode_look(encoded(raw))
-        self.assertEqual((17, 2, 41), (look.running[0].task.number, look.running[0].number, 41))
-        self.assertEqual([EndKind.DONE, EndKind.ODD], [end.kind for end in look.ended])
+        poll = decode_poll(encoded(raw))
+        self.assertEqual((17, 2, 41), (poll.running[0].task.number, poll.running[0].number, 41))
+        self.assertEqual([EndKind.DONE, EndKind.ODD], [end.kind for end in poll.ended])
 
-    def test_a_row_that_cannot_be_read_makes_the_look_worthless(self) -> None:
+    def test_a_malformed_row_invalidates_the_poll(self) -> None:
         """Guards against a second start of a task because the row of its run was truncated."""
         for row in (["x"], ["a.b.c.d", 1, "", 0], "text", [None, 1, "", 0]):
-            look = decode_look(encoded({"clock_ms": 7, "running": [row]}))
-            self.assertIs(Verdict.UNKNOWN, look.verdict, row)
-        self.assertIs(Verdict.UNKNOWN, decode_look(b"{").verdict)
+            poll = decode_poll(encoded({"clock_ms": 7, "running": [row]}))
+            self.assertIs(Verdict.UNKNOWN, poll.verdict, row)
+        self.assertIs(Verdict.UNKNOWN, decode_poll(b"{").verdict)
 
     def test_refusals(self) -> None:
-        self.assertIs(Verdict.FENCED, refusal(409, b'{"reason":"fence"}'))
-        self.assertIs(Verdict.OUTDATED, refusal(409, b'{"reason":"old"}'))
-        self.assertIs(Verdict.INVALID, refusal(409, b"?"))
-        self.assertIs(Verdict.ELSEWHERE, refusal(421, b""))
-        self.assertIs(Verdict.BUSY, refusal(503, b""))
-        self.assertIs(Verdict.UNKNOWN, refusal(500, b""))
+        self.assertIs(Verdict.FENCED, refusal_verdict(409, b'{"reason":"fence"}'))
+        self.assertIs(Verdict.OUTDATED, refusal_verdict(409, b'{"reason":"old"}'))
+        self.assertIs(Verdict.INVALID, refusal_verdict(409, b"?"))
+        self.assertIs(Verdict.ELSEWHERE, refusal_verdict(421, b""))
+        self.assertIs(Verdict.BUSY, refusal_verdict(503, b""))
+        self.assertIs(Verdict.UNKNOWN, refusal_verdict(500, b""))
 
 
 class JobWireTest(TestCase):
@@ -96,7 +96,7 @@
         self.assertEqual(("proofs", "notices", 5), (job.queue, job.pool, job.accepted_ms))
         self.assertTrue(job.steps[1].lasting)
 
-    def test_odd_jobs_are_refused(self) -> None:
+    def test_malformed_jobs_are_refused(self) -> None:
         steps = [{"count": 1}]
         for body in (
             b"",
