--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -238,7 +238,7 @@
         with self._lock:
             former = self._pools_by_id.get(PoolId(shard))
             self._pools_by_id[PoolId(shard)] = owner
-        self._endpoint_follower.hurry()
+        self._endpoint_follower.wake()
         if former is not None:
             former.close()
         owner.start()
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -84,7 +84,7 @@
                 max_pause_s = min(MAX_RETRY_PAUSE_S, INITIAL_RETRY_PAUSE_S * 2.0**failures)
                 self._ended.wait(self._random.uniform(0.0, max_pause_s))
 
-    def hurry(self) -> None:
+    def wake(self) -> None:
         """Check now whether the items are needed."""
         self._wake_event.set()
 
