--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -146,7 +146,7 @@
     @property
     def registered(self) -> bool:
         """Whether the process holds a lease and has seen the other hosts."""
-        return bool(self._lease) and self._follower.read_once.is_set()
+        return bool(self._lease) and self._follower.initial_read_done.is_set()
 
     def leave(self) -> None:
         """Give all shards up and claim none any more; the process stays a member."""
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -61,7 +61,7 @@
         self._wake_event = threading.Event()
         self._watch: WatchStream | None = None
         self._random = random.Random()
-        self.read_once = threading.Event()
+        self.initial_read_done = threading.Event()
         self.heard = time.monotonic()
 
     def run(self) -> None:
@@ -103,7 +103,7 @@
         answer = result.unwrap()
         guarded(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
         self.heard = time.monotonic()
-        self.read_once.set()
+        self.initial_read_done.set()
         return answer.revision
 
     def _follow_changes(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
