--- a/bench/state.py
+++ b/bench/state.py
@@ -67,7 +67,7 @@
     first = max(revision, mirror.complete_to) + 1
     began = time.perf_counter()
     for n in range(first, first + CHANGES):
-        mirror.offer((Item(key, value, Revision(n)),), Revision(n))
+        mirror.merge((Item(key, value, Revision(n)),), Revision(n))
     return time.perf_counter() - began
 
 
--- a/src/lentilrill/fleet/_ledger.py
+++ b/src/lentilrill/fleet/_ledger.py
@@ -83,7 +83,7 @@
         if not answer.unwrap().succeeded:
             return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a record has moved"))
         del basis.records[pool]
-        self._mirror.offer((Item(key, None, answer.unwrap().revision),))
+        self._mirror.merge((Item(key, None, answer.unwrap().revision),))
         return Success(None)
 
     def apply(self, pool: PoolId, actions: list[Action], basis: Basis) -> Result[None, Fault]:
@@ -211,7 +211,7 @@
         for shard, assigned in shards.items():
             self._assigned_by_shard[shard] = (assigned, outcome.revision)
         basis.records.update({p: (r, outcome.revision) for p, r in records.items()})
-        self._mirror.offer(
+        self._mirror.merge(
             Item(put.key, put.value, outcome.revision)
             for put in puts
             if isinstance(put, Put) and put.key.startswith("state/")
--- a/src/lentilrill/gossip/_exchange.py
+++ b/src/lentilrill/gossip/_exchange.py
@@ -38,4 +38,4 @@
         # Items that start after this mirror's end leave a hole; were complete_to taken over with
         # it, the missed change would never be asked for again. So only the items are taken.
         whole = message.after <= self._mirror.complete_to
-        self._mirror.offer(message.items, message.complete_to if whole else Revision(0))
+        self._mirror.merge(message.items, message.complete_to if whole else Revision(0))
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -61,7 +61,7 @@
 
     def publish(self, items: tuple[Item, ...]) -> None:
         """Take over this process's own committed writes, and tell the zone at once."""
-        if self._mirror.offer(items):
+        if self._mirror.merge(items):
             self._tell(items, self._mirror.complete_to, self._mirror.complete_to)
 
     def _run(self) -> None:
@@ -125,7 +125,7 @@
         newest = max((item.revision for item in batch.items), default=before)
         # An item of this process's own write is no news here, but that nothing is missing up to
         # it is: the others would learn of it only by the next heartbeat.
-        if self._mirror.offer(batch.items, newest) or newest > before:
+        if self._mirror.merge(batch.items, newest) or newest > before:
             self._tell(batch.items, before, newest)
 
     def _tell(self, items: tuple[Item, ...], after: Revision, complete_to: Revision) -> None:
--- a/src/lentilrill/operators/_server.py
+++ b/src/lentilrill/operators/_server.py
@@ -84,7 +84,7 @@
     ) -> None:
         self._tokens_sha256 = settings.operator_tokens_sha256
         self._view = view
-        self._publish = publish or view.mirror.offer
+        self._publish = publish or view.mirror.merge
         self._metrics: Metrics = metrics or NoMetrics()
         self._audit = AuditTrail(kv)
         store = DocumentStore(kv, self._audit, settle_s=settle_s)
--- a/src/lentilrill/store/_mirror.py
+++ b/src/lentilrill/store/_mirror.py
@@ -50,7 +50,7 @@
             newer = tuple(i for i in self._items_by_key.values() if i.revision > revision)
             return newer, self._complete_to
 
-    def offer(self, items: Iterable[Item], complete_to: Revision = NO_REVISION) -> bool:
+    def merge(self, items: Iterable[Item], complete_to: Revision = NO_REVISION) -> bool:
         """Merge the items that are newer than the stored ones and notify the listeners.
 
         :param complete_to: revision to which the source was complete, if ``items`` contain all
@@ -79,7 +79,7 @@
                 for key, stored in self._items_by_key.items()
                 if key not in present and stored.value is not None and stored.revision <= revision
             )
-        return self.offer(read + deleted, revision)
+        return self.merge(read + deleted, revision)
 
     def subscribe(self, listener: Callable[[tuple[Item, ...]], None]) -> None:
         """Call ``listener`` with the changed items after each change, without holding the lock."""
--- a/tests/operators/test_server.py
+++ b/tests/operators/test_server.py
@@ -191,7 +191,7 @@
         self.assertEqual(200, self.served.ask("GET", "/healthz", token="")[0])
         self.assertEqual(503, self.served.ask("GET", "/readyz", token="")[0])
         self.served.kv.put("state/zones/z1", b"{}")
-        self.served.view.mirror.offer((), self.served.kv.revision)
+        self.served.view.mirror.merge((), self.served.kv.revision)
         self.assertEqual(200, self.served.ask("GET", "/readyz", token="")[0])
         self.served.server.drain()
         self.assertEqual(503, self.served.ask("GET", "/readyz", token="")[0])
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -64,7 +64,7 @@
 
     def put(self, key: str, value: object, revision: int) -> None:
         item = Item(key, msgspec.json.encode(value), Revision(revision))
-        self.view.mirror.offer((item,), Revision(revision))
+        self.view.mirror.merge((item,), Revision(revision))
 
     def zone(self, name: str, *members: Member) -> None:
         self.put(zone_key(ZoneId(name)), ZoneRecord(ZoneId(name), members), 4)
--- a/tests/routing/site.py
+++ b/tests/routing/site.py
@@ -113,7 +113,7 @@
         """Write one state key; all views are complete to it unless told otherwise."""
         self.revision = Revision(self.revision + 1)
         item = Item(key, msgspec.json.encode(value), self.revision)
-        self.mirror.offer((item,), self.revision if complete else Revision(0))
+        self.mirror.merge((item,), self.revision if complete else Revision(0))
         return self.revision
 
     def hosts(self, *entries: HostEntry, pool: str = "schools") -> Revision:
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -125,5 +125,5 @@
         ledger = SendLedger(self.fleet.view, newcomer, self.clock)
         registered = self.fleet.register(self.me, newcomer, complete=False)
         self.assertIsInstance(ledger.start(self.a_slot()), Failure)
-        self.fleet.mirror.offer((), registered)
+        self.fleet.mirror.merge((), registered)
         self.assertIsInstance(ledger.start(self.a_slot()), Success)
--- a/tests/store/test_mirror.py
+++ b/tests/store/test_mirror.py
@@ -31,7 +31,7 @@
         random.shuffle(shuffled)
         mirror = Mirror()
         for item in shuffled:
-            mirror.offer((item,))
+            mirror.merge((item,))
         present = sorted((i for i in newest.values() if i.value is not None), key=lambda i: i.key)
         self.assertEqual(present, mirror.below(""))
 
@@ -42,7 +42,7 @@
         old = Item("pools/a", b"1", Revision(3))
         mirror.replace((old,), Revision(3))
         mirror.replace((), Revision(9))
-        mirror.offer((old,))
+        mirror.merge((old,))
         self.assertIsNone(mirror.get("pools/a"))
         self.assertEqual(9, mirror.complete_to)
 
