--- a/src/lentilrill/gossip/_exchange.py
+++ b/src/lentilrill/gossip/_exchange.py
@@ -30,7 +30,7 @@
         self._node.send(address, StateAsk(self._mirror.complete_to))
 
     def _asked(self, batch: Batch, message: StateAsk) -> None:
-        items, complete_to = self._mirror.after(message.after)
+        items, complete_to = self._mirror.changes_since(message.after)
         self._node.send(batch.reply_to, StateItems(items, message.after, complete_to))
 
     def _told(self, batch: Batch, message: StateItems) -> None:
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -89,7 +89,7 @@
         answer = result.unwrap()
         before = self._mirror.complete_to
         if self._mirror.replace(answer.items, answer.revision):
-            items, complete_to = self._mirror.after(before)
+            items, complete_to = self._mirror.changes_since(before)
             self._tell(items, before, complete_to)
         return None
 
--- a/src/lentilrill/store/_mirror.py
+++ b/src/lentilrill/store/_mirror.py
@@ -44,7 +44,7 @@
             items = [i for k, i in self._items_by_key.items() if k.startswith(prefix)]
         return sorted((i for i in items if i.value is not None), key=lambda i: i.key)
 
-    def after(self, revision: Revision) -> tuple[tuple[Item, ...], Revision]:
+    def changes_since(self, revision: Revision) -> tuple[tuple[Item, ...], Revision]:
         """Return the items newer than ``revision``, including deleted ones, and ``complete_to``."""
         with self._lock:
             newer = tuple(i for i in self._items_by_key.values() if i.revision > revision)
