--- a/bench/state.py
+++ b/bench/state.py
@@ -63,7 +63,7 @@
 
 def change(mirror: Mirror, key: str, revision: int) -> float:
     """Write one key again and again; return the seconds that the mirror and the view took."""
-    value = next(item.value for item in mirror.below(key))
+    value = next(item.value for item in mirror.items_below(key))
     first = max(revision, mirror.complete_to) + 1
     began = time.perf_counter()
     for n in range(first, first + CHANGES):
--- a/src/lentilrill/store/_mirror.py
+++ b/src/lentilrill/store/_mirror.py
@@ -38,7 +38,7 @@
         item = self._items_by_key.get(key)
         return item if item is not None and item.value is not None else None
 
-    def below(self, prefix: str) -> list[Item]:
+    def items_below(self, prefix: str) -> list[Item]:
         """Return the present items whose keys start with ``prefix``, sorted by key."""
         with self._lock:
             items = [i for k, i in self._items_by_key.items() if k.startswith(prefix)]
--- a/tests/store/test_mirror.py
+++ b/tests/store/test_mirror.py
@@ -33,7 +33,7 @@
         for item in shuffled:
             mirror.merge((item,))
         present = sorted((i for i in newest.values() if i.value is not None), key=lambda i: i.key)
-        self.assertEqual(present, mirror.below(""))
+        self.assertEqual(present, mirror.items_below(""))
 
     def test_a_full_read_deletes_missing_keys(self) -> None:
         # A pool is removed while this process is disconnected. After the following full read, a
