--- a/src/lentilrill/entry/_news.py
+++ b/src/lentilrill/entry/_news.py
@@ -11,7 +11,7 @@
 from lentilrill.ids import Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews, Node, PoolPressure
 from lentilrill.ownership import MemberRecord, boottime
-from lentilrill.telemetry import guarded
+from lentilrill.telemetry import run_and_log_errors
 
 __all__ = ["NewsDesk"]
 
@@ -92,7 +92,7 @@
         pause_s = LOOK_EVERY_S
         while not self._ended.wait(pause_s):
             began = time.monotonic()
-            guarded("news", self._tell_if_due)
+            run_and_log_errors("news", self._tell_if_due)
             took_s = time.monotonic() - began
             # Only what the own pools need has to be told between two turns.
             least_s = LOOK_EVERY_S if self._is_owner() else TELL_EVERY_S
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -12,7 +12,7 @@
 from lentilrill.execution._book import Run
 from lentilrill.execution._contract import EndpointCalls, Look, OrderAnswer, StartOrder, Verdict
 from lentilrill.execution._senders import Senders
-from lentilrill.telemetry import guarded
+from lentilrill.telemetry import run_and_log_errors
 from lentilrill.workloads import EndpointEntry, TaskId
 
 __all__ = ["HOLD_S", "EndpointLink", "Order", "OrderKind"]
@@ -245,7 +245,7 @@
 
     def _look_on(self) -> None:
         while not self._ended.is_set():
-            if not guarded(f"look {self.entry.id}", self._look):
+            if not run_and_log_errors(f"look {self.entry.id}", self._look):
                 self._pause(RETRY_S)
         self._calls.close()
 
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -25,7 +25,7 @@
 from lentilrill.ids import EndpointId, JobId, PoolId, Revision
 from lentilrill.inner import PoolPressure, ReleaseState
 from lentilrill.store import Follower, KeyValue
-from lentilrill.telemetry import Event, Metrics, NoMetrics, guarded, log
+from lentilrill.telemetry import Event, Metrics, NoMetrics, log, run_and_log_errors
 from lentilrill.workloads import Configuration, EndpointEntry, JobState, Queue
 
 __all__ = ["PoolOwner"]
@@ -267,9 +267,9 @@
                 due_at, self._due_at = self._due_at, None
             began = time.monotonic()
             if self.may_order():
-                guarded(f"links of {self.pool}", self._refresh_links)
-                guarded(f"plan of {self.pool}", self._plan)
-                guarded(f"old jobs of {self.pool}", self._forget_old)
+                run_and_log_errors(f"links of {self.pool}", self._refresh_links)
+                run_and_log_errors(f"plan of {self.pool}", self._plan)
+                run_and_log_errors(f"old jobs of {self.pool}", self._forget_old)
             ended = time.monotonic()
             self._note_round(due_at, began, ended)
             self._ended.wait(pause_after(ended - began))
--- a/src/lentilrill/execution/_senders.py
+++ b/src/lentilrill/execution/_senders.py
@@ -5,7 +5,7 @@
 import threading
 from collections.abc import Callable
 
-from lentilrill.telemetry import guarded
+from lentilrill.telemetry import run_and_log_errors
 
 __all__ = ["Senders"]
 
@@ -55,7 +55,7 @@
 
     def _run(self) -> None:
         while (call := self._next()) is not None:
-            guarded(self._name, call)
+            run_and_log_errors(self._name, call)
 
     def _next(self) -> Callable[[], None] | None:
         """Return what is to be run next; ``None`` if this task is to end."""
--- a/src/lentilrill/execution/_tickets.py
+++ b/src/lentilrill/execution/_tickets.py
@@ -10,7 +10,7 @@
 
 from lentilrill.execution._contract import PolicyCalls
 from lentilrill.ids import EndpointId
-from lentilrill.telemetry import Dependency, Event, guarded, log
+from lentilrill.telemetry import Dependency, Event, log, run_and_log_errors
 from lentilrill.workloads import StepId
 
 __all__ = ["TicketOffice", "Want"]
@@ -117,7 +117,7 @@
             if want is None:
                 self._wake.wait()
                 self._wake.clear()
-            elif not guarded(f"tickets of {want.step}", partial(self._ask, want)):
+            elif not run_and_log_errors(f"tickets of {want.step}", partial(self._ask, want)):
                 self._ended.wait(RETRY_S)
 
     def _next(self) -> Want | None:
--- a/src/lentilrill/execution/_writer.py
+++ b/src/lentilrill/execution/_writer.py
@@ -11,7 +11,7 @@
 from lentilrill.faults import FaultKind
 from lentilrill.ids import EndpointId, JobId, Revision
 from lentilrill.store import Compare, KeyValue, Put
-from lentilrill.telemetry import Event, guarded, log
+from lentilrill.telemetry import Event, log, run_and_log_errors
 
 __all__ = ["ProgressWriter", "Snapshot", "progress_key"]
 
@@ -122,7 +122,7 @@
                 self._ended.wait(RETRY_S)
                 self.note(urgent=False)
                 continue
-            if not (guarded(f"writer of {self._pool}", self.flush) and self._flushed):
+            if not (run_and_log_errors(f"writer of {self._pool}", self.flush) and self._flushed):
                 self._ended.wait(RETRY_S)
                 self.note(urgent=True)
 
--- a/src/lentilrill/intake/_group.py
+++ b/src/lentilrill/intake/_group.py
@@ -11,7 +11,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
 from lentilrill.store import Compare, Item, KeyValue, Put
-from lentilrill.telemetry import Event, guarded, log
+from lentilrill.telemetry import Event, log, run_and_log_errors
 
 __all__ = ["LONGEST_S", "Committed", "GroupCommit"]
 
@@ -169,7 +169,7 @@
 
     def _run(self) -> None:
         while batch := self._next():
-            guarded("intake commit", partial(self._commit, batch))
+            run_and_log_errors("intake commit", partial(self._commit, batch))
             self._over(batch)
 
     def _next(self) -> list[_Create]:
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -15,7 +15,7 @@
 from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard, rank
 from lentilrill.ownership._pace import USUAL
 from lentilrill.store import Compare, DeleteRange, Follower, Item, KeyValue, Put
-from lentilrill.telemetry import Dependency, Event, guarded, log
+from lentilrill.telemetry import Dependency, Event, log, run_and_log_errors
 
 __all__ = ["OWNER_TTL_S", "Ownership"]
 
@@ -238,7 +238,7 @@
 
     def _renew(self) -> None:
         while not self._ended.is_set():
-            guarded("lease", self._keep if self._lease else self._register)
+            run_and_log_errors("lease", self._keep if self._lease else self._register)
             self._ended.wait(RENEW_S if self._lease else RENEW_S / 3)
 
     def _register(self) -> None:
@@ -319,10 +319,10 @@
                 continue
             if not self._leaving:
                 for shard in sorted(self._shards()):
-                    guarded("claim", partial(self._claim_if_due, shard))
-                guarded("hand-over", self._hand_over_if_due)
+                    run_and_log_errors("claim", partial(self._claim_if_due, shard))
+                run_and_log_errors("hand-over", self._hand_over_if_due)
             if not self._leaving or self._left:
-                guarded("release", self._release_unused)
+                run_and_log_errors("release", self._release_unused)
 
     def _has_claims(self) -> bool:
         """Whether this process owns shards or has keys of some, or any has no owner."""
--- a/src/lentilrill/ownership/_pace.py
+++ b/src/lentilrill/ownership/_pace.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from statistics import median
 
-from lentilrill.telemetry import Event, Metrics, NoMetrics, guarded, log
+from lentilrill.telemetry import Event, Metrics, NoMetrics, log, run_and_log_errors
 
 __all__ = ["USUAL", "Pace"]
 
@@ -87,7 +87,7 @@
     def run(self) -> None:
         """Take samples until closed."""
         while not self._ended.wait(self._pause_s()):
-            guarded("pace", self.sample)
+            run_and_log_errors("pace", self.sample)
 
     def _pause_s(self) -> float:
         knows_usual = len(self._usual_s) >= FIRST_SAMPLES
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -12,7 +12,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
 from lentilrill.store._contract import Item, KeyValue, WatchStream
-from lentilrill.telemetry import Event, guarded, log
+from lentilrill.telemetry import Event, log, run_and_log_errors
 
 __all__ = ["Follower"]
 
@@ -101,7 +101,7 @@
             self._log_fault(result.failure(), failures)
             return None
         answer = result.unwrap()
-        guarded(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
+        run_and_log_errors(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
         self.heard = time.monotonic()
         self.initial_read_done.set()
         return answer.revision
@@ -124,7 +124,9 @@
             after, failures = batch.revision, 0
             self.heard = time.monotonic()
             if batch.items:
-                guarded(f"follow {self._prefix}", partial(self._listener.changed, batch.items))
+                run_and_log_errors(
+                    f"follow {self._prefix}", partial(self._listener.changed, batch.items)
+                )
                 self._ended.wait(self._pause_s)
         return after, failures
 
--- a/src/lentilrill/telemetry/__init__.py
+++ b/src/lentilrill/telemetry/__init__.py
@@ -2,7 +2,7 @@
 
 from lentilrill.telemetry._dependency import Dependency
 from lentilrill.telemetry._events import Event, Level, log
-from lentilrill.telemetry._guarded import guarded
+from lentilrill.telemetry._guarded import run_and_log_errors
 from lentilrill.telemetry._lines import set_level, setup
 from lentilrill.telemetry._metrics import Metrics, NoMetrics, connect
 from lentilrill.telemetry._prometheus import ScrapedMetrics
@@ -15,8 +15,8 @@
     "NoMetrics",
     "ScrapedMetrics",
     "connect",
-    "guarded",
     "log",
+    "run_and_log_errors",
     "set_level",
     "setup",
 ]
--- a/src/lentilrill/telemetry/_guarded.py
+++ b/src/lentilrill/telemetry/_guarded.py
@@ -4,10 +4,10 @@
 
 from lentilrill.telemetry._events import Event, log
 
-__all__ = ["guarded"]
+__all__ = ["run_and_log_errors"]
 
 
-def guarded(task: str, iteration: Callable[[], object]) -> bool:
+def run_and_log_errors(task: str, iteration: Callable[[], object]) -> bool:
     """Run one iteration of a task; return whether it ended without an exception.
 
     An exception is logged and the caller continues with the next iteration. Otherwise an
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -9,7 +9,7 @@
 from lentilrill.ids import HostId
 from lentilrill.inner import ReleaseState, ReleaseTold
 from lentilrill.ownership import Shard
-from lentilrill.telemetry import Dependency, guarded
+from lentilrill.telemetry import Dependency, run_and_log_errors
 from lentilrill.upkeep._contract import HostCalls, HostRow
 from lentilrill.upkeep._emptying import Emptying
 from lentilrill.upkeep._moves import Mover
@@ -72,7 +72,7 @@
             self._ended.wait(ROUND_S)
         while not self._ended.is_set():
             if self._may_order():
-                guarded("fleet", self._round)
+                run_and_log_errors("fleet", self._round)
             self._early.clear()
             if self._early.wait(ROUND_S):
                 self._ended.wait(SHORTEST_ROUND_S)
