--- a/src/lentilrill/execution/_tickets.py
+++ b/src/lentilrill/execution/_tickets.py
@@ -93,7 +93,7 @@
             for step in old:
                 del self._answers_by_step[step]
         if wants and self._policy is None:
-            self._service.failed("no address in the settings")
+            self._service.record_failure("no address in the settings")
         elif wants and self._thread is None:
             self._thread = threading.Thread(target=self._ask_on, name="tickets", daemon=True)
             self._thread.start()
@@ -137,10 +137,10 @@
         asked = time.monotonic()
         result = self._policy.ask(want.step, want.endpoints)
         if isinstance(result, Failure):
-            self._service.failed(result.failure().reason)
+            self._service.record_failure(result.failure().reason)
             self._ended.wait(RETRY_S)
             return
-        self._service.succeeded()
+        self._service.record_success()
         told = result.unwrap()
         until = asked + told.valid_s - min(MARGIN_S, told.valid_s / 4)
         with self._lock:
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -246,12 +246,12 @@
         asked = self._clock()
         granted = self._kv.lease(OWNER_TTL_S)
         if isinstance(granted, Failure):
-            self._lease_calls.failed(granted.failure().reason)
+            self._lease_calls.record_failure(granted.failure().reason)
             return
         lease = granted.unwrap()
         if not self._tell_strength(lease):
             return
-        self._lease_calls.succeeded()
+        self._lease_calls.record_success()
         self._proved_until = asked + OWNER_TTL_S - SAFETY_S
         self._lease = lease
         log(Event.MEMBER_REGISTERED, lease=lease, process=self._process)
@@ -264,7 +264,7 @@
         )
         put = Put(MEMBERS + self._process, msgspec.json.encode(record), lease)
         if isinstance(written := self._kv.commit((), (put,)), Failure):
-            self._lease_calls.failed(written.failure().reason)
+            self._lease_calls.record_failure(written.failure().reason)
             return False
         self._told_strength = strength
         return True
@@ -277,7 +277,7 @@
         read = self._kv.read(MEMBERS + self._process)
         if isinstance(read, Failure):
             # Its shards come free with its lease, a second or two later.
-            self._lease_calls.failed(read.failure().reason)
+            self._lease_calls.record_failure(read.failure().reason)
             return
         for item in read.unwrap().items:
             if item.key != MEMBERS + self._process or item.value is None:
@@ -291,7 +291,7 @@
         asked = self._clock()
         kept = self._kv.keep_alive(self._lease)
         if not isinstance(kept, Failure):
-            self._lease_calls.succeeded()
+            self._lease_calls.record_success()
             self._kept_at = max(self._kept_at, asked)
             # The store may apply a shorter time than was asked for.
             ttl_s = min(OWNER_TTL_S, kept.unwrap())
@@ -299,7 +299,7 @@
             if self._told_strength != self._strength * self._pace():
                 self._tell_strength(self._lease)
             return
-        self._lease_calls.failed(kept.failure().reason)
+        self._lease_calls.record_failure(kept.failure().reason)
         if kept.failure().kind is FaultKind.CONFLICT:
             log(Event.LEASE_LAPSED, lease=self._lease, reason=kept.failure().reason)
             self._lease = 0
--- a/src/lentilrill/store/_fenced.py
+++ b/src/lentilrill/store/_fenced.py
@@ -60,7 +60,7 @@
             return self._record_failure(result.failure().reason)
         if result.unwrap().succeeded:
             self._revision = result.unwrap().revision
-            self._store_dependency.succeeded()
+            self._store_dependency.record_success()
             return Written.DONE
         return (
             self._record_failure("the conditions of the transaction failed")
@@ -77,11 +77,11 @@
         """Return whether the shard still has this owner; assume so if the store can't be read."""
         current = self._kv.get(self._owner.key)
         if isinstance(current, Failure):
-            self._store_dependency.failed(current.failure().reason)
+            self._store_dependency.record_failure(current.failure().reason)
             return True
         item = current.unwrap()
         return item is not None and item.revision == self._owner.revision
 
     def _record_failure(self, reason: str) -> Written:
-        self._store_dependency.failed(reason)
+        self._store_dependency.record_failure(reason)
         return Written.FAILED
--- a/src/lentilrill/telemetry/_dependency.py
+++ b/src/lentilrill/telemetry/_dependency.py
@@ -17,13 +17,13 @@
         self._name = name
         self._is_lost = False
 
-    def failed(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Record a failed call; log it if it is the first in a row."""
         if not self._is_lost:
             self._is_lost = True
             log(Event.DEPENDENCY_LOST, dependency=self._name, reason=reason)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Record a successful call; log it if it is the first after a failure."""
         if self._is_lost:
             self._is_lost = False
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -80,9 +80,9 @@
     def _round(self) -> None:
         listed = self._hosts.hosts()
         if isinstance(listed, Failure):
-            self._list.failed(listed.failure().reason)
+            self._list.record_failure(listed.failure().reason)
             return
-        self._list.succeeded()
+        self._list.record_success()
         rows: dict[HostId, HostRow] = {row.id: row for row in listed.unwrap()}
         for step in (partial(self._waves.round, rows), partial(self._move, rows)):
             if not self._ended.is_set() and self._may_order():
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -137,9 +137,9 @@
         """Read how far a former owner of the fleet came."""
         read = self._kv.read("w/")
         if isinstance(read, Failure):
-            self._records.failed(read.failure().reason)
+            self._records.record_failure(read.failure().reason)
             return False
-        self._records.succeeded()
+        self._records.record_success()
         for item in read.unwrap().items:
             if item.value is None:
                 continue
--- a/tests/telemetry/test_dependency.py
+++ b/tests/telemetry/test_dependency.py
@@ -15,12 +15,12 @@
         """
         with patch("lentilrill.telemetry._dependency.log") as log:
             lease = Dependency("lease")
-            lease.succeeded()
+            lease.record_success()
             for _ in range(3):
-                lease.failed("no answer in time")
-            lease.succeeded()
-            lease.succeeded()
-            lease.failed("refused")
+                lease.record_failure("no answer in time")
+            lease.record_success()
+            lease.record_success()
+            lease.record_failure("refused")
         self.assertEqual(
             [Event.DEPENDENCY_LOST, Event.DEPENDENCY_BACK, Event.DEPENDENCY_LOST],
             [call.args[0] for call in log.call_args_list],
