--- a/src/lentilrill/execution/_roster.py
+++ b/src/lentilrill/execution/_roster.py
@@ -4,7 +4,7 @@
 from returns.result import Failure
 
 from lentilrill.ids import EndpointId, PoolId, Revision
-from lentilrill.store import Compare, FencedRecord, KeyValue, Written
+from lentilrill.store import Compare, FencedRecord, KeyValue, WriteResult
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import EndpointEntry
 
@@ -43,6 +43,6 @@
         roster = {id: a for id, a in self.address_by_id.items() if id not in gone}
         roster.update({entry.id: entry.address for entry in new})
         written = self._record.write(msgspec.json.encode(roster))
-        if written is Written.DONE:
+        if written is WriteResult.DONE:
             self.address_by_id = roster
-        return written is not Written.NOT_OWNER
+        return written is not WriteResult.NOT_OWNER
--- a/src/lentilrill/store/__init__.py
+++ b/src/lentilrill/store/__init__.py
@@ -18,7 +18,7 @@
     WatchStream,
 )
 from lentilrill.store._etcd import MAX_VALUE_BYTES, EtcdKeyValue
-from lentilrill.store._fenced import FencedRecord, Written
+from lentilrill.store._fenced import FencedRecord, WriteResult
 from lentilrill.store._follow import Follower
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
 from lentilrill.store._hostlist import HttpHostList
@@ -52,5 +52,5 @@
     "TxnAnswer",
     "WatchBatch",
     "WatchStream",
-    "Written",
+    "WriteResult",
 ]
--- a/src/lentilrill/store/_fenced.py
+++ b/src/lentilrill/store/_fenced.py
@@ -9,10 +9,10 @@
 from lentilrill.store._contract import Compare, Item, KeyValue, Put
 from lentilrill.telemetry import Dependency
 
-__all__ = ["FencedRecord", "Written"]
+__all__ = ["FencedRecord", "WriteResult"]
 
 
-class Written(Enum):
+class WriteResult(Enum):
     """Result of a write."""
 
     DONE = "done"
@@ -48,7 +48,7 @@
             self._revision = item.revision if item is not None else Revision(0)
         return read
 
-    def write(self, value: bytes) -> Written:
+    def write(self, value: bytes) -> WriteResult:
         """Write the record."""
         revision = self._known_revision()
         if isinstance(revision, Failure):
@@ -61,11 +61,11 @@
         if result.unwrap().succeeded:
             self._revision = result.unwrap().revision
             self._store_dependency.record_success()
-            return Written.DONE
+            return WriteResult.DONE
         return (
             self._record_failure("the conditions of the transaction failed")
             if self._is_owned()
-            else Written.NOT_OWNER
+            else WriteResult.NOT_OWNER
         )
 
     def _known_revision(self) -> Result[Revision, Fault]:
@@ -82,6 +82,6 @@
         item = current.unwrap()
         return item is not None and item.revision == self._owner.revision
 
-    def _record_failure(self, reason: str) -> Written:
+    def _record_failure(self, reason: str) -> WriteResult:
         self._store_dependency.record_failure(reason)
-        return Written.FAILED
+        return WriteResult.FAILED
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision
-from lentilrill.store import Compare, FencedRecord, KeyValue, Written
+from lentilrill.store import Compare, FencedRecord, KeyValue, WriteResult
 from lentilrill.telemetry import Dependency, Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrder, HostRow, HostState
 from lentilrill.upkeep._emptying import FRESH_S, Emptying
@@ -348,9 +348,9 @@
         owner = Compare(self._owner_key, self._token)
         record = self._records_by_key.setdefault(key, FencedRecord(self._kv, key, owner))
         written = record.write(value)
-        if written is Written.NOT_OWNER:
+        if written is WriteResult.NOT_OWNER:
             self._refused("the store knows a newer owner of the fleet")
-        return written is Written.DONE
+        return written is WriteResult.DONE
 
 
 def _is_down(state: _HostInWave, row: HostRow | None) -> bool:
