--- a/src/lentilrill/entry/_books.py
+++ b/src/lentilrill/entry/_books.py
@@ -37,13 +37,13 @@
         """The version in force; -1 if there is none yet."""
         return self.current.version if self.current is not None else -1
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Take over a full read."""
         with self._lock:
             self.waves_by_number = {}
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Take over changes."""
         for item in items:
             if item.value is None:
@@ -80,13 +80,13 @@
         self._lock = threading.Lock()
         self._by_key: dict[str, EndpointEntry] = {}
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Take over a full read."""
         with self._lock:
             self._by_key = {}
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Take over changes."""
         with self._lock:
             for item in items:
--- a/src/lentilrill/execution/_jobs.py
+++ b/src/lentilrill/execution/_jobs.py
@@ -94,11 +94,11 @@
             # Not shown before it is stored: a later owner must not take it up again.
             return JobState.RUNNING
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Take over a full read of accepted jobs and cancellings."""
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Take over newly accepted jobs and cancellings."""
         for item in items:
             if item.value is None:
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -183,15 +183,15 @@
         if self._lease:
             self._kv.revoke(self._lease)
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Take over a full read of the records."""
         with self._lock:
             self._members_by_process = {}
             self._owners_by_shard = {}
-        self.changed(items)
+        self.on_changed(items)
         self._check_tokens()
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Take over changes of the records."""
         with self._lock:
             for item in items:
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -25,10 +25,10 @@
 
 
 class _Listener(Protocol):
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Replace all known items by a full read."""
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Apply changes; a deleted key has no value."""
 
 
@@ -101,7 +101,9 @@
             self._log_fault(result.failure(), failures)
             return None
         answer = result.unwrap()
-        run_and_log_errors(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
+        run_and_log_errors(
+            f"follow {self._prefix}", partial(self._listener.on_replaced, answer.items)
+        )
         self.heard = time.monotonic()
         self.initial_read_done.set()
         return answer.revision
@@ -125,7 +127,7 @@
             self.heard = time.monotonic()
             if batch.items:
                 run_and_log_errors(
-                    f"follow {self._prefix}", partial(self._listener.changed, batch.items)
+                    f"follow {self._prefix}", partial(self._listener.on_changed, batch.items)
                 )
                 self._ended.wait(self._pause_s)
         return after, failures
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -36,9 +36,9 @@
         """
         book = ConfigurationBook()
         book.offer(a_record(7, "/new/"))
-        book.replaced((an_item("op/config", a_record(3, "/old/")),))
+        book.on_replaced((an_item("op/config", a_record(3, "/old/")),))
         self.assertEqual(7, book.version)
-        book.changed((an_item("op/config", a_record(9, "/newest/")),))
+        book.on_changed((an_item("op/config", a_record(9, "/newest/")),))
         self.assertEqual(9, book.version)
 
     def test_odd_records_change_nothing(self) -> None:
@@ -62,9 +62,9 @@
     def test_an_entry_that_turns_odd_names_no_endpoint_any_more(self) -> None:
         book = EndpointBook()
         entry = {"service": "notices", "address": "10.0.0.1:1", "state": "ready"}
-        book.changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
+        book.on_changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
         self.assertEqual({EndpointId("i-1")}, set(book.of_pool(PoolId("notices"))))
-        book.changed((an_item("servers/i-1", b"\xff", 2),))
+        book.on_changed((an_item("servers/i-1", b"\xff", 2),))
         self.assertEqual({}, book.of_pool(PoolId("notices")))
 
 
