--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -25,7 +25,7 @@
 from lentilrill.ownership import Ownership, Pace, Shard
 from lentilrill.platform import (
     ENDPOINTS,
-    OPERATORS,
+    OPERATORS_PREFIX,
     HttpEndpoint,
     Ingress,
     PlatformHosts,
@@ -131,7 +131,7 @@
             is_needed=lambda: bool(self._pools_by_id),
         )
         self._followers = [
-            Follower(self._kv, OPERATORS, self._configuration),
+            Follower(self._kv, OPERATORS_PREFIX, self._configuration),
             self._endpoint_follower,
         ]
         self._node.on(JobAccepted, self._accepted)
--- a/src/lentilrill/platform/__init__.py
+++ b/src/lentilrill/platform/__init__.py
@@ -12,7 +12,7 @@
 from lentilrill.platform._records import (
     CONFIGURATION_KEY,
     ENDPOINTS,
-    OPERATORS,
+    OPERATORS_PREFIX,
     WAVES,
     decode_configuration,
     decode_endpoint,
@@ -24,7 +24,7 @@
 __all__ = [
     "CONFIGURATION_KEY",
     "ENDPOINTS",
-    "OPERATORS",
+    "OPERATORS_PREFIX",
     "WAVES",
     "HttpEndpoint",
     "Ingress",
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -19,7 +19,7 @@
 __all__ = [
     "CONFIGURATION_KEY",
     "ENDPOINTS",
-    "OPERATORS",
+    "OPERATORS_PREFIX",
     "WAVES",
     "decode_configuration",
     "decode_endpoint",
@@ -28,7 +28,7 @@
     "wave_state_key",
 ]
 
-OPERATORS = "op/"
+OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 WAVES = "op/wave/"
 ENDPOINTS = "servers/"
