--- a/src/lentilrill/entry/_books.py
+++ b/src/lentilrill/entry/_books.py
@@ -6,7 +6,7 @@
 from lentilrill.ids import EndpointId, PoolId
 from lentilrill.platform import (
     CONFIGURATION_KEY,
-    WAVES,
+    WAVES_PREFIX,
     decode_configuration,
     decode_endpoint,
     decode_wave,
@@ -50,7 +50,7 @@
                 continue
             if item.key == CONFIGURATION_KEY:
                 self.offer(item.value)
-            elif item.key.startswith(WAVES):
+            elif item.key.startswith(WAVES_PREFIX):
                 wave = decode_wave(item.key, item.value)
                 if wave is not None:
                     self.waves_by_number[wave.number] = wave
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -20,7 +20,7 @@
     "CONFIGURATION_KEY",
     "ENDPOINTS",
     "OPERATORS_PREFIX",
-    "WAVES",
+    "WAVES_PREFIX",
     "decode_configuration",
     "decode_endpoint",
     "decode_wave",
@@ -30,7 +30,7 @@
 
 OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
-WAVES = "op/wave/"
+WAVES_PREFIX = "op/wave/"
 ENDPOINTS = "servers/"
 READY, DRAINING = "ready", "draining"
 
