--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -24,7 +24,7 @@
 from lentilrill.intake import SILENT_STORE_S, Intake
 from lentilrill.ownership import Ownership, Pace, Shard
 from lentilrill.platform import (
-    ENDPOINTS,
+    ENDPOINTS_PREFIX,
     OPERATORS_PREFIX,
     HttpEndpoint,
     Ingress,
@@ -125,7 +125,7 @@
         ]
         self._endpoint_follower = Follower(
             self._kv,
-            ENDPOINTS,
+            ENDPOINTS_PREFIX,
             self._endpoints,
             pause_s=ENDPOINTS_PAUSE_S,
             is_needed=lambda: bool(self._pools_by_id),
--- a/src/lentilrill/platform/__init__.py
+++ b/src/lentilrill/platform/__init__.py
@@ -11,7 +11,7 @@
 from lentilrill.platform._policy import PlatformPolicy
 from lentilrill.platform._records import (
     CONFIGURATION_KEY,
-    ENDPOINTS,
+    ENDPOINTS_PREFIX,
     OPERATORS_PREFIX,
     WAVES_PREFIX,
     decode_configuration,
@@ -23,7 +23,7 @@
 
 __all__ = [
     "CONFIGURATION_KEY",
-    "ENDPOINTS",
+    "ENDPOINTS_PREFIX",
     "OPERATORS_PREFIX",
     "WAVES_PREFIX",
     "HttpEndpoint",
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "CONFIGURATION_KEY",
-    "ENDPOINTS",
+    "ENDPOINTS_PREFIX",
     "OPERATORS_PREFIX",
     "WAVES_PREFIX",
     "decode_configuration",
@@ -31,7 +31,7 @@
 OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 WAVES_PREFIX = "op/wave/"
-ENDPOINTS = "servers/"
+ENDPOINTS_PREFIX = "servers/"
 READY, DRAINING = "ready", "draining"
 
 
@@ -150,7 +150,7 @@
         return None
     resources = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
     return EndpointEntry(
-        EndpointId(key.removeprefix(ENDPOINTS)),
+        EndpointId(key.removeprefix(ENDPOINTS_PREFIX)),
         PoolId(raw.service),
         raw.address,
         ZoneId(raw.zone),
