--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -32,7 +32,7 @@
     PlatformKeyValue,
     PlatformPolicy,
     encode_wave_state,
-    serve_plain,
+    plain_text_server,
     wave_state_key,
 )
 from lentilrill.settings import EntrySettings
@@ -120,8 +120,8 @@
             self.metrics,
         )
         self._plain = [
-            serve_plain(settings.readiness, self._readiness),
-            serve_plain(settings.metrics, lambda path: (200, self.metrics.page())),
+            plain_text_server(settings.readiness, self._readiness),
+            plain_text_server(settings.metrics, lambda path: (200, self.metrics.page())),
         ]
         self._endpoint_follower = Follower(
             self._kv,
--- a/src/lentilrill/platform/__init__.py
+++ b/src/lentilrill/platform/__init__.py
@@ -6,7 +6,7 @@
 
 from lentilrill.platform._endpoints import HttpEndpoint
 from lentilrill.platform._hosts import PlatformHosts
-from lentilrill.platform._ingress import Ingress, serve_plain
+from lentilrill.platform._ingress import Ingress, plain_text_server
 from lentilrill.platform._kv import PlatformKeyValue
 from lentilrill.platform._policy import PlatformPolicy
 from lentilrill.platform._records import (
@@ -35,6 +35,6 @@
     "decode_endpoint",
     "decode_wave",
     "encode_wave_state",
-    "serve_plain",
+    "plain_text_server",
     "wave_state_key",
 ]
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -14,7 +14,7 @@
 from lentilrill.telemetry import Event, Metrics, log
 from lentilrill.workloads import Configuration, JobAnswer, Queue
 
-__all__ = ["Ingress", "serve_plain"]
+__all__ = ["Ingress", "plain_text_server"]
 
 JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 WAIT_MS = re.compile(r"[0-9]{1,9}\Z")
@@ -156,7 +156,7 @@
     return STATUS_BY_ANSWER[answer], body, retry_s
 
 
-def serve_plain(address: str, page: Callable[[str], tuple[int, bytes]]) -> wsgi.Server:
+def plain_text_server(address: str, page: Callable[[str], tuple[int, bytes]]) -> wsgi.Server:
     """Return an HTTP server for plain-text pages, ready to serve.
 
     :param page: returns the status and the body for a path.
