--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -121,7 +121,7 @@
         )
         self._plain = [
             plain_text_server(settings.readiness, self._readiness),
-            plain_text_server(settings.metrics, lambda path: (200, self.metrics.page())),
+            plain_text_server(settings.metrics, lambda path: (200, self.metrics.render())),
         ]
         self._endpoint_follower = Follower(
             self._kv,
--- a/src/lentilrill/telemetry/_prometheus.py
+++ b/src/lentilrill/telemetry/_prometheus.py
@@ -52,7 +52,7 @@
                 self._histograms_by_name[stat] = histogram
         histogram.observe(delta)
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the text format."""
         return generate_latest(self._registry)
 
