--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -62,7 +62,7 @@
         self._watch: WatchStream | None = None
         self._random = random.Random()
         self.initial_read_done = threading.Event()
-        self.heard = time.monotonic()
+        self.last_update = time.monotonic()
 
     def run(self) -> None:
         """Follow until closed."""
@@ -104,7 +104,7 @@
         run_and_log_errors(
             f"follow {self._prefix}", partial(self._listener.on_replaced, answer.items)
         )
-        self.heard = time.monotonic()
+        self.last_update = time.monotonic()
         self.initial_read_done.set()
         return answer.revision
 
@@ -124,7 +124,7 @@
                 return (None if fault.kind is FaultKind.CONFLICT else after), failures + 1
             batch = result.unwrap()
             after, failures = batch.revision, 0
-            self.heard = time.monotonic()
+            self.last_update = time.monotonic()
             if batch.items:
                 run_and_log_errors(
                     f"follow {self._prefix}", partial(self._listener.on_changed, batch.items)
