--- a/src/lentilrill/entry/_caches.py
+++ b/src/lentilrill/entry/_caches.py
@@ -6,7 +6,7 @@
 from lentilrill.ids import EndpointId, PoolId
 from lentilrill.platform import (
     CONFIGURATION_KEY,
-    WAVES,
+    WAVES_PREFIX,
     decode_configuration,
     decode_endpoint,
     decode_wave,
@@ -37,20 +37,20 @@
         """The version in force; -1 if there is none yet."""
         return self.current.version if self.current is not None else -1
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Replace the cached records by a full read."""
         with self._lock:
             self.waves_by_number = {}
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Apply changed records."""
         for item in items:
             if item.value is None:
                 continue
             if item.key == CONFIGURATION_KEY:
                 self.apply_if_newer(item.value)
-            elif item.key.startswith(WAVES):
+            elif item.key.startswith(WAVES_PREFIX):
                 wave = decode_wave(item.key, item.value)
                 if wave is not None:
                     self.waves_by_number[wave.number] = wave
@@ -80,13 +80,13 @@
         self._lock = threading.Lock()
         self._by_key: dict[str, EndpointEntry] = {}
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Replace the cached records by a full read."""
         with self._lock:
             self._by_key = {}
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Apply changed records."""
         with self._lock:
             for item in items:
--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -24,15 +24,15 @@
 from lentilrill.intake import MAX_STORE_SILENT_S, Intake
 from lentilrill.ownership import Ownership, PaceMonitor, Shard
 from lentilrill.platform import (
-    ENDPOINTS,
-    OPERATORS,
+    ENDPOINTS_PREFIX,
+    OPERATORS_PREFIX,
     HttpEndpoint,
     Ingress,
     PlatformHosts,
     PlatformKeyValue,
     PlatformPolicy,
     encode_wave_state,
-    serve_plain,
+    plain_text_server,
     wave_state_key,
 )
 from lentilrill.settings import EntrySettings
@@ -120,18 +120,18 @@
             self.metrics,
         )
         self._plain_servers = [
-            serve_plain(settings.readiness, self._readiness),
-            serve_plain(settings.metrics, lambda path: (200, self.metrics.page())),
+            plain_text_server(settings.readiness, self._readiness),
+            plain_text_server(settings.metrics, lambda path: (200, self.metrics.render())),
         ]
         self._endpoint_follower = Follower(
             self._kv,
-            ENDPOINTS,
+            ENDPOINTS_PREFIX,
             self._endpoint_directory,
             pause_s=ENDPOINT_WATCH_PAUSE_S,
             is_needed=lambda: bool(self._owners_by_pool),
         )
         self._followers = [
-            Follower(self._kv, OPERATORS, self._configuration),
+            Follower(self._kv, OPERATORS_PREFIX, self._configuration),
             self._endpoint_follower,
         ]
         self._node.on(JobAccepted, self._on_job_accepted)
@@ -238,7 +238,7 @@
         with self._lock:
             previous = self._owners_by_pool.get(PoolId(shard))
             self._owners_by_pool[PoolId(shard)] = owner
-        self._endpoint_follower.hurry()
+        self._endpoint_follower.wake()
         if previous is not None:
             previous.close()
         owner.start()
--- a/src/lentilrill/entry/_status_exchange.py
+++ b/src/lentilrill/entry/_status_exchange.py
@@ -11,7 +11,7 @@
 from lentilrill.ids import Incarnation, PoolId, ProcessId
 from lentilrill.inner import Batch, Configured, HostNews, Node, PoolPressure
 from lentilrill.ownership import MemberRecord, boottime
-from lentilrill.telemetry import guarded
+from lentilrill.telemetry import run_and_log_errors
 
 __all__ = ["StatusExchange"]
 
@@ -93,7 +93,7 @@
         pause_s = CHECK_INTERVAL_S
         while not self._ended.wait(pause_s):
             started_at = time.monotonic()
-            guarded("news", self._send_if_due)
+            run_and_log_errors("news", self._send_if_due)
             took_s = time.monotonic() - started_at
             # Only a risen need of own pools has to be sent between two regular sends.
             min_pause_s = CHECK_INTERVAL_S if self._is_owner() else SEND_INTERVAL_S
--- a/src/lentilrill/execution/_jobs.py
+++ b/src/lentilrill/execution/_jobs.py
@@ -95,11 +95,11 @@
             # A final state is shown only once stored, since a later owner would run the job again.
             return JobState.RUNNING
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Process a full read of accepted jobs and cancellations."""
-        self.changed(items)
+        self.on_changed(items)
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Process newly accepted jobs and cancellations."""
         for item in items:
             if item.value is None:
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -18,7 +18,7 @@
 )
 from lentilrill.execution._senders import Senders
 from lentilrill.execution._tracking import Run
-from lentilrill.telemetry import guarded
+from lentilrill.telemetry import run_and_log_errors
 from lentilrill.workloads import EndpointEntry, TaskId
 
 __all__ = ["RUN_LEASE_S", "EndpointLink", "Order", "OrderKind"]
@@ -257,7 +257,7 @@
 
     def _poll_loop(self) -> None:
         while not self._ended.is_set():
-            if not guarded(f"look {self.entry.id}", self._poll):
+            if not run_and_log_errors(f"look {self.entry.id}", self._poll):
                 self._pause(RETRY_S)
         self._calls.close()
 
--- a/src/lentilrill/execution/_tickets.py
+++ b/src/lentilrill/execution/_tickets.py
@@ -10,7 +10,7 @@
 
 from lentilrill.execution._contract import PolicyCalls
 from lentilrill.ids import EndpointId
-from lentilrill.telemetry import Dependency, Event, guarded, log
+from lentilrill.telemetry import Dependency, Event, log, run_and_log_errors
 from lentilrill.workloads import StepId
 
 __all__ = ["TicketCache", "TicketRequest"]
@@ -95,7 +95,7 @@
             for step in old:
                 del self._tickets_by_step[step]
         if requests and self._policy is None:
-            self._service.failed("no address in the settings")
+            self._service.record_failure("no address in the settings")
         elif requests and self._thread is None:
             self._thread = threading.Thread(target=self._request_loop, name="tickets", daemon=True)
             self._thread.start()
@@ -119,7 +119,9 @@
             if request is None:
                 self._wake.wait()
                 self._wake.clear()
-            elif not guarded(f"tickets of {request.step}", partial(self._call_service, request)):
+            elif not run_and_log_errors(
+                f"tickets of {request.step}", partial(self._call_service, request)
+            ):
                 self._ended.wait(RETRY_S)
 
     def _next(self) -> TicketRequest | None:
@@ -139,10 +141,10 @@
         called_at = time.monotonic()
         result = self._policy.request_tickets(request.step, request.endpoints)
         if isinstance(result, Failure):
-            self._service.failed(result.failure().reason)
+            self._service.record_failure(result.failure().reason)
             self._ended.wait(RETRY_S)
             return
-        self._service.succeeded()
+        self._service.record_success()
         answer = result.unwrap()
         until = called_at + answer.valid_s - min(EXPIRY_MARGIN_S, answer.valid_s / 4)
         with self._lock:
--- a/src/lentilrill/fleet/_record_store.py
+++ b/src/lentilrill/fleet/_record_store.py
@@ -84,7 +84,7 @@
         if not answer.unwrap().succeeded:
             return Failure(Fault(STEP, "", FaultKind.CONFLICT, "a compared record has changed"))
         del basis.records[pool]
-        self._mirror.offer((Item(key, None, answer.unwrap().revision),))
+        self._mirror.merge((Item(key, None, answer.unwrap().revision),))
         return Success(None)
 
     def apply(self, pool: PoolId, actions: list[Action], basis: Basis) -> Result[None, Fault]:
@@ -212,7 +212,7 @@
         for shard, assigned in shards.items():
             self._assigned_by_shard[shard] = (assigned, outcome.revision)
         basis.records.update({p: (r, outcome.revision) for p, r in records.items()})
-        self._mirror.offer(
+        self._mirror.merge(
             Item(put.key, put.value, outcome.revision)
             for put in puts
             if isinstance(put, Put) and put.key.startswith("state/")
--- a/src/lentilrill/gossip/_exchange.py
+++ b/src/lentilrill/gossip/_exchange.py
@@ -30,7 +30,7 @@
         self._node.send(address, StateAsk(self._mirror.complete_to))
 
     def _asked(self, batch: Batch, message: StateAsk) -> None:
-        items, complete_to = self._mirror.after(message.after)
+        items, complete_to = self._mirror.changes_since(message.after)
         self._node.send(batch.reply_to, StateItems(items, message.after, complete_to))
 
     def _told(self, batch: Batch, message: StateItems) -> None:
@@ -38,4 +38,4 @@
         # Items that start after this mirror's end leave a hole; were complete_to taken over with
         # it, the missed change would never be asked for again. So only the items are taken.
         whole = message.after <= self._mirror.complete_to
-        self._mirror.offer(message.items, message.complete_to if whole else Revision(0))
+        self._mirror.merge(message.items, message.complete_to if whole else Revision(0))
--- a/src/lentilrill/intake/_group.py
+++ b/src/lentilrill/intake/_group.py
@@ -11,7 +11,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
 from lentilrill.store import Compare, Item, KeyValue, Put
-from lentilrill.telemetry import Event, guarded, log
+from lentilrill.telemetry import Event, log, run_and_log_errors
 
 __all__ = ["MAX_WAIT_S", "CommitResult", "GroupCommit"]
 
@@ -179,7 +179,7 @@
 
     def _run(self) -> None:
         while batch := self._next_batch():
-            guarded("intake commit", partial(self._commit, batch))
+            run_and_log_errors("intake commit", partial(self._commit, batch))
             self._finish_batch(batch)
 
     def _next_batch(self) -> list[_PendingCreate]:
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -15,7 +15,7 @@
 from lentilrill.ownership._members import MemberRecord, OwnerRecord, Shard, claim_rank
 from lentilrill.ownership._pace import NORMAL_PACE
 from lentilrill.store import Compare, DeleteRange, Follower, Item, KeyValue, Put
-from lentilrill.telemetry import Dependency, Event, guarded, log
+from lentilrill.telemetry import Dependency, Event, log, run_and_log_errors
 
 __all__ = ["LEASE_TTL_S", "Ownership"]
 
@@ -152,7 +152,7 @@
     @property
     def registered(self) -> bool:
         """Whether this process holds a lease and has read the records of the other hosts."""
-        return bool(self._lease) and self._follower.read_once.is_set()
+        return bool(self._lease) and self._follower.initial_read_done.is_set()
 
     def leave(self) -> None:
         """Release all shards and stop claiming; the process stays a member."""
@@ -189,15 +189,15 @@
         if self._lease:
             self._kv.revoke(self._lease)
 
-    def replaced(self, items: tuple[Item, ...]) -> None:
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
         """Replace the cached records by a full read."""
         with self._lock:
             self._members_by_process = {}
             self._owners_by_shard = {}
-        self.changed(items)
+        self.on_changed(items)
         self._drop_lost_shards()
 
-    def changed(self, items: tuple[Item, ...]) -> None:
+    def on_changed(self, items: tuple[Item, ...]) -> None:
         """Apply changes of the records."""
         with self._lock:
             for item in items:
@@ -244,7 +244,7 @@
 
     def _renew_loop(self) -> None:
         while not self._ended.is_set():
-            guarded("lease", self._renew_lease if self._lease else self._register)
+            run_and_log_errors("lease", self._renew_lease if self._lease else self._register)
             self._ended.wait(RENEW_INTERVAL_S if self._lease else RENEW_INTERVAL_S / 3)
 
     def _register(self) -> None:
@@ -252,12 +252,12 @@
         requested_at = self._clock()
         granted = self._kv.lease(LEASE_TTL_S)
         if isinstance(granted, Failure):
-            self._lease_calls.failed(granted.failure().reason)
+            self._lease_calls.record_failure(granted.failure().reason)
             return
         lease = granted.unwrap()
         if not self._write_member_record(lease):
             return
-        self._lease_calls.succeeded()
+        self._lease_calls.record_success()
         self._lease_valid_until = requested_at + LEASE_TTL_S - LEASE_MARGIN_S
         self._lease = lease
         log(Event.MEMBER_REGISTERED, lease=lease, process=self._process)
@@ -270,7 +270,7 @@
         )
         put = Put(MEMBER_PREFIX + self._process, msgspec.json.encode(record), lease)
         if isinstance(written := self._kv.commit((), (put,)), Failure):
-            self._lease_calls.failed(written.failure().reason)
+            self._lease_calls.record_failure(written.failure().reason)
             return False
         self._stored_strength = strength
         return True
@@ -283,7 +283,7 @@
         read = self._kv.read(MEMBER_PREFIX + self._process)
         if isinstance(read, Failure):
             # Its shards become free when the lease expires, a second or two later.
-            self._lease_calls.failed(read.failure().reason)
+            self._lease_calls.record_failure(read.failure().reason)
             return
         for item in read.unwrap().items:
             if item.key != MEMBER_PREFIX + self._process or item.value is None:
@@ -297,7 +297,7 @@
         requested_at = self._clock()
         renewed = self._kv.keep_alive(self._lease)
         if not isinstance(renewed, Failure):
-            self._lease_calls.succeeded()
+            self._lease_calls.record_success()
             self._renewed_at = max(self._renewed_at, requested_at)
             # The store may grant a shorter time to live than requested.
             ttl_s = min(LEASE_TTL_S, renewed.unwrap())
@@ -307,7 +307,7 @@
             if self._stored_strength != self._strength * self._pace():
                 self._write_member_record(self._lease)
             return
-        self._lease_calls.failed(renewed.failure().reason)
+        self._lease_calls.record_failure(renewed.failure().reason)
         if renewed.failure().kind is FaultKind.CONFLICT:
             log(Event.LEASE_LAPSED, lease=self._lease, reason=renewed.failure().reason)
             self._lease = 0
@@ -327,10 +327,10 @@
                 continue
             if not self._leaving:
                 for shard in sorted(self._shards()):
-                    guarded("claim", partial(self._claim_if_due, shard))
-                guarded("hand-over", self._hand_over_if_due)
+                    run_and_log_errors("claim", partial(self._claim_if_due, shard))
+                run_and_log_errors("hand-over", self._hand_over_if_due)
             if not self._leaving or self._has_left:
-                guarded("release", self._release_unused)
+                run_and_log_errors("release", self._release_unused)
 
     def _needs_claim_round(self) -> bool:
         """Whether this process owns shards or holds keys of any, or some shard has no owner."""
--- a/src/lentilrill/ownership/_pace.py
+++ b/src/lentilrill/ownership/_pace.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from statistics import median
 
-from lentilrill.telemetry import Event, Metrics, NoMetrics, guarded, log
+from lentilrill.telemetry import Event, Metrics, NoMetrics, log, run_and_log_errors
 
 __all__ = ["NORMAL_PACE", "PaceMonitor"]
 
@@ -87,7 +87,7 @@
     def run(self) -> None:
         """Take samples until closed."""
         while not self._ended.wait(self._pause_s()):
-            guarded("pace", self.sample)
+            run_and_log_errors("pace", self.sample)
 
     def _pause_s(self) -> float:
         has_baseline = len(self._baseline_s) >= MIN_BASELINE_SAMPLES
--- a/src/lentilrill/platform/__init__.py
+++ b/src/lentilrill/platform/__init__.py
@@ -1,18 +1,19 @@
-"""The users' platform: its wire, translated into the product's types and back.
+"""Clients and servers for the interfaces of the users' platform.
 
-Nothing outside this package knows a name of the wire.
+This package converts between the wire formats and the product's types; names of the wire formats
+are used nowhere else.
 """
 
 from lentilrill.platform._endpoints import HttpEndpoint
 from lentilrill.platform._hosts import PlatformHosts
-from lentilrill.platform._ingress import Ingress, serve_plain
+from lentilrill.platform._ingress import Ingress, plain_text_server
 from lentilrill.platform._kv import PlatformKeyValue
 from lentilrill.platform._policy import PlatformPolicy
 from lentilrill.platform._records import (
     CONFIGURATION_KEY,
-    ENDPOINTS,
-    OPERATORS,
-    WAVES,
+    ENDPOINTS_PREFIX,
+    OPERATORS_PREFIX,
+    WAVES_PREFIX,
     decode_configuration,
     decode_endpoint,
     decode_wave,
@@ -22,9 +23,9 @@
 
 __all__ = [
     "CONFIGURATION_KEY",
-    "ENDPOINTS",
-    "OPERATORS",
-    "WAVES",
+    "ENDPOINTS_PREFIX",
+    "OPERATORS_PREFIX",
+    "WAVES_PREFIX",
     "HttpEndpoint",
     "Ingress",
     "PlatformHosts",
@@ -34,6 +35,6 @@
     "decode_endpoint",
     "decode_wave",
     "encode_wave_state",
-    "serve_plain",
+    "plain_text_server",
     "wave_state_key",
 ]
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -1,4 +1,4 @@
-"""What endpoints send and receive, decoded into the product's types."""
+"""Decoding of the answers of endpoints into the product's types."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 
 from lentilrill.execution import EndKind, PollResult, ReportedRun, RunEnd, Verdict
 from lentilrill.ids import JobId
-from lentilrill.store import ODD
+from lentilrill.store import DECODE_ERRORS
 from lentilrill.workloads import TaskId
 
-__all__ = ["Clock", "decode_clock", "decode_look", "refusal", "task_name"]
+__all__ = ["AnswerHeader", "decode_header", "decode_poll", "encode_task", "refusal_verdict"]
 
-CHECKED = (*ODD, ValueError, TypeError, IndexError)
+ANSWER_ERRORS = (*DECODE_ERRORS, ValueError, TypeError, IndexError)
 
 VERDICT_BY_REASON = {
     "fence": Verdict.FENCED,
@@ -20,13 +20,13 @@
     "room": Verdict.NO_ROOM,
     "ticket": Verdict.NO_TICKET,
 }
-KIND_BY_WORD = {kind.value: kind for kind in EndKind}
+END_KIND_BY_VALUE = {kind.value: kind for kind in EndKind}
 
 
-class Clock(msgspec.Struct):
-    """Head of each answer.
+class AnswerHeader(msgspec.Struct):
+    """Fields that all answers have.
 
-    :param reason: why an order was refused.
+    :param reason: reason of a refused order.
     """
 
     clock_ms: int = 0
@@ -34,38 +34,38 @@
     reason: str = ""
 
 
-class _Lists(msgspec.Struct):
+class _PollAnswer(msgspec.Struct):
     clock_ms: int = 0
-    # Start of the endpoint's life, in milliseconds since the epoch.
+    # Start time of the endpoint, in milliseconds since the epoch.
     born: int = 0
-    # Rows of task, run number, checkpoint, percent, and a rough load.
+    # Rows: task, run number, checkpoint, percent, approximate load.
     running: list[list[Any]] = []
-    # Rows of a cursor, task, run number, how it ended, checkpoint.
+    # Rows: cursor, task, run number, kind of end, checkpoint.
     ended: list[list[Any]] = []
 
 
-def task_name(task: TaskId) -> str:
+def encode_task(task: TaskId) -> str:
     """Return a task's name on the wire."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.number}"
 
 
-def _task(name: object) -> TaskId:
+def _decode_task(name: object) -> TaskId:
     job, occurrence, step, index = str(name).split(".")
     return TaskId(JobId(job), int(occurrence), int(step), int(index))
 
 
-def decode_clock(data: bytes) -> Clock:
-    """Return the head of an answer; an empty one if there is none that can be read."""
+def decode_header(data: bytes) -> AnswerHeader:
+    """Return the common fields of an answer; defaults if it is malformed."""
     try:
-        return msgspec.json.decode(data, type=Clock)
-    except CHECKED:
-        return Clock()
+        return msgspec.json.decode(data, type=AnswerHeader)
+    except ANSWER_ERRORS:
+        return AnswerHeader()
 
 
-def refusal(status: int, data: bytes) -> Verdict:
-    """Return what an answer with an error status means."""
+def refusal_verdict(status: int, data: bytes) -> Verdict:
+    """Return the verdict for an answer with an error status."""
     if status == 409:
-        return VERDICT_BY_REASON.get(decode_clock(data).reason, Verdict.INVALID)
+        return VERDICT_BY_REASON.get(decode_header(data).reason, Verdict.INVALID)
     if status == 421:
         return Verdict.WRONG_INSTANCE
     if status in (429, 503):
@@ -73,26 +73,26 @@
     return Verdict.INVALID if 400 <= status < 500 else Verdict.UNKNOWN
 
 
-def decode_look(data: bytes) -> PollResult:
-    """Return what a look found; ``UNKNOWN`` if its body can't be read.
+def decode_poll(data: bytes) -> PollResult:
+    """Return the result of a poll; its verdict is ``UNKNOWN`` if the body is malformed.
 
-    Guard against rows that were cut or garbled: one that can't be read makes the whole look
-    worthless, since a run that is left out would count as ended.
+    One malformed row invalidates the whole result, because a run that is missing from the list
+    counts as ended.
     """
     try:
-        lists = msgspec.json.decode(data, type=_Lists)
-        running = tuple(_seen(row) for row in lists.running)
-        ended = tuple(_end(row) for row in lists.ended)
-    except CHECKED as error:
-        return PollResult(Verdict.UNKNOWN, reason=f"odd answer: {error}")
-    return PollResult(Verdict.DONE, lists.clock_ms, lists.born, running, ended)
+        answer = msgspec.json.decode(data, type=_PollAnswer)
+        running = tuple(_decode_run(row) for row in answer.running)
+        ended = tuple(_decode_end(row) for row in answer.ended)
+    except ANSWER_ERRORS as error:
+        return PollResult(Verdict.UNKNOWN, reason=f"malformed answer: {error}")
+    return PollResult(Verdict.DONE, answer.clock_ms, answer.born, running, ended)
 
 
-def _seen(row: list[Any]) -> ReportedRun:
+def _decode_run(row: list[Any]) -> ReportedRun:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else 0.0
-    return ReportedRun(_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
+    return ReportedRun(_decode_task(row[0]), int(row[1]), str(row[2] or ""), int(row[3]), load)
 
 
-def _end(row: list[Any]) -> RunEnd:
-    kind = KIND_BY_WORD.get(str(row[3]), EndKind.UNEXPECTED)
-    return RunEnd(int(row[0]), _task(row[1]), int(row[2]), kind, str(row[4] or ""))
+def _decode_end(row: list[Any]) -> RunEnd:
+    kind = END_KIND_BY_VALUE.get(str(row[3]), EndKind.UNEXPECTED)
+    return RunEnd(int(row[0]), _decode_task(row[1]), int(row[2]), kind, str(row[4] or ""))
--- a/src/lentilrill/platform/_hosts.py
+++ b/src/lentilrill/platform/_hosts.py
@@ -5,16 +5,16 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, ZoneId
-from lentilrill.platform._endpoint_wire import decode_clock
-from lentilrill.store import ODD, Effect, Transport
+from lentilrill.platform._endpoint_wire import decode_header
+from lentilrill.store import DECODE_ERRORS, Effect, Transport
 from lentilrill.upkeep import HostOrderResult, HostRow, HostState
 
 __all__ = ["PlatformHosts"]
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 OK = 200
-STATE_BY_WORD = {state.value: state for state in HostState}
-ORDER_BY_REASON = {
+HOST_STATE_BY_VALUE = {state.value: state for state in HostState}
+HOST_ORDER_BY_REASON = {
     "fence": HostOrderResult.FENCED,
     "busy": HostOrderResult.BUSY,
     "wave": HostOrderResult.REFUSED,
@@ -26,7 +26,7 @@
     pool: str
     state: str
     zone: str = ""
-    # The endpoint that lives on it.
+    # Id of the endpoint on the host.
     id: str | None = None
 
 
@@ -36,14 +36,14 @@
 
 
 class PlatformHosts:
-    """A :class:`~lentilrill.upkeep.HostCalls` on the platform's interface.
+    """A :class:`~lentilrill.upkeep.HostCalls` on the platform's hosts interface.
 
-    :param address: where it is.
+    :param address: address of the interface.
     """
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._lists = Transport((address,))
+        self._list_transport = Transport((address,))
 
     def hosts(self) -> Result[tuple[HostRow, ...], Fault]:
         """Read the whole list, page by page."""
@@ -51,27 +51,29 @@
         token = ""
         while True:
             path = "/machines" + (f"?page_token={token}" if token else "")
-            answered = self._lists.answer("hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_S)
-            if isinstance(answered, Failure):
-                return answered
-            status, data, peer = answered.unwrap()
+            result = self._list_transport.request(
+                "hosts.list", Effect.REPEATABLE, "GET", path, b"", CALL_TIMEOUT_S
+            )
+            if isinstance(result, Failure):
+                return result
+            status, data, peer = result.unwrap()
             if status != OK:
                 reason = f"status {status}"
                 return Failure(Fault("hosts.list", peer, FaultKind.UNAVAILABLE, reason))
             try:
                 page = msgspec.json.decode(data, type=_Page)
-            except ODD as error:
+            except DECODE_ERRORS as error:
                 return Failure(Fault("hosts.list", peer, FaultKind.INVALID, str(error)))
             rows += [
                 HostRow(
                     HostId(host.machine),
                     PoolId(host.pool),
-                    STATE_BY_WORD[host.state],
+                    HOST_STATE_BY_VALUE[host.state],
                     ZoneId(host.zone),
                     EndpointId(host.id or ""),
                 )
                 for host in page.machines
-                if host.state in STATE_BY_WORD
+                if host.state in HOST_STATE_BY_VALUE
             ]
             if not page.next_token:
                 return Success(tuple(rows))
@@ -79,29 +81,29 @@
 
     def move(self, host: HostId, pool: PoolId, holder: ProcessId, token: int) -> HostOrderResult:
         """Move a host into another pool."""
-        return self._order("/machine-move", {"machine": host, "pool": pool}, holder, token)
+        return self._send_order("/machine-move", {"machine": host, "pool": pool}, holder, token)
 
     def upkeep(self, host: HostId, wave: int, holder: ProcessId, token: int) -> HostOrderResult:
         """Send a host into upkeep."""
-        return self._order("/machine-upkeep", {"machine": host, "wave": wave}, holder, token)
+        return self._send_order("/machine-upkeep", {"machine": host, "wave": wave}, holder, token)
 
-    def _order(
+    def _send_order(
         self, path: str, body: dict[str, object], holder: ProcessId, token: int
     ) -> HostOrderResult:
         headers = {"Lease-Holder": str(holder), "Fencing-Token": str(token)}
         transport = Transport((self._address,), headers=headers)
-        answered = transport.answer(
-            "hosts.order", Effect.ONCE, "POST", path, msgspec.json.encode(body), CALL_S
+        result = transport.request(
+            "hosts.order", Effect.ONCE, "POST", path, msgspec.json.encode(body), CALL_TIMEOUT_S
         )
         transport.close()
-        if isinstance(answered, Failure):
-            unsent = answered.failure().kind is FaultKind.UNAVAILABLE
+        if isinstance(result, Failure):
+            unsent = result.failure().kind is FaultKind.UNAVAILABLE
             return HostOrderResult.LATER if unsent else HostOrderResult.UNKNOWN
-        status, data, _ = answered.unwrap()
+        status, data, _ = result.unwrap()
         if status == OK:
             return HostOrderResult.DONE
         if status == 409:
-            return ORDER_BY_REASON.get(decode_clock(data).reason, HostOrderResult.REFUSED)
+            return HOST_ORDER_BY_REASON.get(decode_header(data).reason, HostOrderResult.REFUSED)
         if status in (429, 503):
             return HostOrderResult.LATER
         return HostOrderResult.REFUSED if 400 <= status < 500 else HostOrderResult.UNKNOWN
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests for jobs over HTTP, translated for the product's intake."""
+"""HTTP server for job requests of callers, which passes them to the intake."""
 
 import re
 import time
@@ -14,7 +14,7 @@
 from lentilrill.telemetry import Event, Metrics, log
 from lentilrill.workloads import Configuration, JobAnswer, Queue
 
-__all__ = ["Ingress", "serve_plain"]
+__all__ = ["Ingress", "plain_text_server"]
 
 JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 WAIT_MS = re.compile(r"[0-9]{1,9}\Z")
@@ -29,26 +29,26 @@
 METRIC_BY_METHOD = {"GET": "get", "POST": "post", "DELETE": "delete"}
 MAX_HEADER_BYTES = 64 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""What the server takes at all, sixteen times the usual limits: it has to be told before there is a
-configuration. The configured limit of a body counts besides."""
+"""Hard limit of the server, sixteen times the default of the configuration: it must be set before a
+configuration is known. The configured limit of a body applies as well."""
 BACKLOG = 512
-"""Connections that may wait to be taken; beyond it the opening packet is dropped, and is sent
-again only seconds later."""
-IDLE_S = 15
-"""How long a kept connection may be idle: the limit for callers that is configured by default."""
+"""Connections in the accept queue. Beyond it the kernel drops the SYN packet, which is sent again
+only seconds later."""
+IDLE_TIMEOUT_S = 15
+"""Idle time-out of keep-alive connections: the default of the configured limit."""
 UNAVAILABLE_RETRY_S = 1.0
-"""When to come back to a host that has no configuration or no news yet."""
+"""Retry time for callers of a host that has no configuration or no status of other hosts yet."""
 
-Start = Callable[[str, list[tuple[str, str]]], Any]
+StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 Environ = dict[str, Any]
 Answer = tuple[str, bytes, float | None]
 
 
 class Ingress:
-    """Serves callers of jobs.
+    """HTTP server for callers of jobs.
 
-    :param configuration: the configuration in force; ``None`` if there is none yet.
-    :param leaving: whether connections are to be ended after their answers.
+    :param configuration: returns the configuration in effect; ``None`` if there is none yet.
+    :param leaving: returns whether connections are closed after their answers.
     """
 
     def __init__(
@@ -62,39 +62,39 @@
     ) -> None:
         self._intake = intake
         self._configuration = configuration
-        self._leaving = leaving
+        self._is_leaving = leaving
         self._metrics = metrics
-        self._server = _server(address, self._serve, threads)
+        self._server = _create_server(address, self._serve, threads)
 
     def prepare(self) -> None:
-        """Listen."""
+        """Bind the address and listen."""
         self._server.prepare()
 
     def serve(self) -> None:
-        """Serve until stopped."""
+        """Serve until :meth:`stop` is called."""
         self._server.serve()
 
     def stop(self) -> None:
-        """Stop listening and end."""
+        """Stop the server."""
         self._server.stop()
 
-    def _serve(self, environ: Environ, start: Start) -> Iterable[bytes]:
-        began = time.monotonic()
-        status, body, retry_s = self._answer(environ)
+    def _serve(self, environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
+        started = time.monotonic()
+        status, body, retry_s = self._handle(environ)
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         if retry_s is not None:
             headers.append(("Retry-After", str(max(1, round(retry_s)))))
-        if self._leaving():
+        if self._is_leaving():
             headers.append(("Connection", "close"))
-        start(status, headers)
-        # Callers choose the method's name, and each name would be a metric for ever.
+        start_response(status, headers)
+        # Callers can send any method name, and each name would create a permanent metric.
         method = METRIC_BY_METHOD.get(str(environ["REQUEST_METHOD"]), "other")
         self._metrics.incr(f"ingress.{method}.{status[:3]}")
-        self._metrics.timing(f"ingress.{method}", (time.monotonic() - began) * 1000)
+        self._metrics.timing(f"ingress.{method}", (time.monotonic() - started) * 1000)
         return [body]
 
-    def _answer(self, environ: Environ) -> Answer:
-        began = time.monotonic()
+    def _handle(self, environ: Environ) -> Answer:
+        started = time.monotonic()
         configuration = self._configuration()
         if configuration is None:
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
@@ -114,13 +114,15 @@
         if method == "POST":
             if int(environ.get("CONTENT_LENGTH") or 0) > configuration.limits.body_bytes:
                 return "413 Content Too Large", b"{}", None
-            return self._submit(queue, job, environ, began)
+            return self._submit(queue, job, environ, started)
         if method == "GET":
             answer, state = self._intake.get_state(queue.pool, job)
             body = encode_state(state) if state is not None else b"{}"
-            return _shown(answer, body)
+            return _with_retry_time(answer, body)
         if method == "DELETE":
-            return _shown(self._intake.cancel(queue.pool, job, _wait_s(environ)), b"{}")
+            return _with_retry_time(
+                self._intake.cancel(queue.pool, job, _caller_wait_s(environ)), b"{}"
+            )
         return "405 Method Not Allowed", b"{}", None
 
     def _pending(self, queue: Queue) -> Answer:
@@ -129,44 +131,49 @@
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
         return "200 OK", encode_pending(waiting), None
 
-    def _submit(self, queue: Queue, job: JobId, environ: Environ, began: float) -> Answer:
+    def _submit(self, queue: Queue, job: JobId, environ: Environ, started: float) -> Answer:
         body = environ["wsgi.input"].read()
         decoded = decode_job(job, queue, body, int(time.time() * 1000))
         if isinstance(decoded, Failure):
             log(Event.JOB_ODD, job=job, queue=queue.id, reason=decoded.failure().reason)
             return "400 Bad Request", b"{}", None
-        wait_s = _wait_s(environ)
+        wait_s = _caller_wait_s(environ)
         if wait_s is not None:
-            wait_s = max(0.0, wait_s - (time.monotonic() - began))
+            wait_s = max(0.0, wait_s - (time.monotonic() - started))
         answer, retry_s = self._intake.submit(decoded.unwrap(), wait_s)
         refused = answer in (JobAnswer.OVERLOADED, JobAnswer.UNAVAILABLE)
         return STATUS_BY_ANSWER[answer], b"{}", retry_s if refused else None
 
 
-def _wait_s(environ: Environ) -> float | None:
-    """Return the seconds for which a caller waits for its answer; ``None`` if it does not say."""
-    told = str(environ.get("HTTP_DEADLINE_MS", ""))
-    return int(told) / 1000 if WAIT_MS.match(told) else None
+def _caller_wait_s(environ: Environ) -> float | None:
+    """Return how many seconds the caller waits for its answer; ``None`` if it is not specified."""
+    header = str(environ.get("HTTP_DEADLINE_MS", ""))
+    return int(header) / 1000 if WAIT_MS.match(header) else None
 
 
-def _shown(answer: JobAnswer, body: bytes) -> Answer:
+def _with_retry_time(answer: JobAnswer, body: bytes) -> Answer:
     retry_s = UNAVAILABLE_RETRY_S if answer is JobAnswer.UNAVAILABLE else None
     return STATUS_BY_ANSWER[answer], body, retry_s
 
 
-def serve_plain(address: str, page: Callable[[str], tuple[int, bytes]]) -> wsgi.Server:
-    """Return a small server whose answers depend on the path alone, prepared to serve."""
+def plain_text_server(address: str, page: Callable[[str], tuple[int, bytes]]) -> wsgi.Server:
+    """Return an HTTP server for plain-text pages, ready to serve.
 
-    def serve(environ: Environ, start: Start) -> Iterable[bytes]:
+    :param page: returns the status and the body for a path.
+    """
+
+    def serve(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         status, body = page(str(environ.get("PATH_INFO", "")))
         text = "200 OK" if status == 200 else f"{status} Not Ready"
-        start(text, [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))])
+        start_response(text, [("Content-Type", "text/plain"), ("Content-Length", str(len(body)))])
         return [body]
 
-    return _server(address, serve, 2)
+    return _create_server(address, serve, 2)
 
 
-def _server(address: str, app: Callable[[Environ, Start], Iterable[bytes]], threads: int) -> Any:
+def _create_server(
+    address: str, app: Callable[[Environ, StartResponse], Iterable[bytes]], threads: int
+) -> Any:
     host, _, port = address.rpartition(":")
     server = wsgi.Server(
         (host, int(port)),
@@ -174,7 +181,7 @@
         numthreads=threads,
         max=threads,
         request_queue_size=BACKLOG,
-        timeout=IDLE_S,
+        timeout=IDLE_TIMEOUT_S,
         shutdown_timeout=1,
     )
     server.max_request_header_size = MAX_HEADER_BYTES
--- a/src/lentilrill/platform/_records.py
+++ b/src/lentilrill/platform/_records.py
@@ -1,9 +1,9 @@
-"""Records that operators and endpoints keep in the store, decoded into the product's types."""
+"""Decoding of the records of operators and endpoints in the store."""
 
 import msgspec
 
 from lentilrill.ids import EndpointId, HostId, PoolId, QueueId, ZoneId
-from lentilrill.store import ODD
+from lentilrill.store import DECODE_ERRORS
 from lentilrill.telemetry import Event, log
 from lentilrill.workloads import (
     Advice,
@@ -18,9 +18,9 @@
 
 __all__ = [
     "CONFIGURATION_KEY",
-    "ENDPOINTS",
-    "OPERATORS",
-    "WAVES",
+    "ENDPOINTS_PREFIX",
+    "OPERATORS_PREFIX",
+    "WAVES_PREFIX",
     "decode_configuration",
     "decode_endpoint",
     "decode_wave",
@@ -28,16 +28,16 @@
     "wave_state_key",
 ]
 
-OPERATORS = "op/"
+OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
-WAVES = "op/wave/"
-ENDPOINTS = "servers/"
+WAVES_PREFIX = "op/wave/"
+ENDPOINTS_PREFIX = "servers/"
 READY, DRAINING = "ready", "draining"
 
 
 class _Advice(msgspec.Struct):
     decide_ms: int = 0
-    # Time added for each endpoint asked about.
+    # Additional time per endpoint in the request.
     period_ms: int = 0
     valid_ms: int = 0
 
@@ -46,7 +46,7 @@
     name: str
     host: str
     prefix: str
-    # The pool whose endpoints run the queue's tasks.
+    # Pool whose endpoints run the tasks of the queue.
     service: str
     priority: int = 0
     max_attempts: int = 1
@@ -58,7 +58,7 @@
 
 class _Service(msgspec.Struct):
     name: str
-    # Its endpoints refuse what does not fit.
+    # Whether its endpoints refuse tasks that exceed their capacity.
     rejects_overload: bool = False
     standby: bool = False
 
@@ -103,13 +103,13 @@
 
 
 def decode_configuration(value: bytes) -> Configuration | None:
-    """Return a configuration; ``None`` if it can't be read, which is logged."""
+    """Return a configuration; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Config)
-    except ODD as error:
+    except DECODE_ERRORS as error:
         log(Event.RECORD_ODD, key=CONFIGURATION_KEY, reason=str(error))
         return None
-    queues = tuple(_queue(route) for route in raw.routes)
+    queues = tuple(_decode_queue(route) for route in raw.routes)
     pools = tuple(
         PoolEntry(PoolId(pool.name), pool.standby, pool.rejects_overload) for pool in raw.services
     )
@@ -122,7 +122,7 @@
     return Configuration(raw.version, queues, pools, limits)
 
 
-def _queue(route: _Route) -> Queue:
+def _decode_queue(route: _Route) -> Queue:
     advice = route.advice
     return Queue(
         QueueId(route.name),
@@ -139,22 +139,22 @@
 
 
 def decode_endpoint(key: str, value: bytes) -> EndpointEntry | None:
-    """Return an endpoint's entry; ``None`` if it names none to use, which is logged."""
+    """Return the entry of an endpoint; log an error and return ``None`` if it is unusable."""
     try:
         raw = msgspec.json.decode(value, type=_Entry)
         host, _, port = raw.address.rpartition(":")
         if raw.state not in (READY, DRAINING) or not host or not 0 < int(port) < 65536:
             raise ValueError(f"state {raw.state!r}, address {raw.address!r}")
-    except (*ODD, ValueError) as error:
+    except (*DECODE_ERRORS, ValueError) as error:
         log(Event.RECORD_ODD, key=key, reason=str(error))
         return None
-    room = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
+    resources = Resources(raw.capacity.cpu, raw.capacity.mem_mb, raw.capacity.gpu)
     return EndpointEntry(
-        EndpointId(key.removeprefix(ENDPOINTS)),
+        EndpointId(key.removeprefix(ENDPOINTS_PREFIX)),
         PoolId(raw.service),
         raw.address,
         ZoneId(raw.zone),
-        room,
+        resources,
         tuple(raw.labels),
         raw.state == DRAINING,
         HostId(raw.machine),
@@ -164,10 +164,10 @@
 
 
 def decode_wave(key: str, value: bytes) -> Wave | None:
-    """Return a wave; ``None`` if it can't be read, which is logged."""
+    """Return a wave; log an error and return ``None`` if it is malformed."""
     try:
         raw = msgspec.json.decode(value, type=_Wave)
-    except ODD as error:
+    except DECODE_ERRORS as error:
         log(Event.RECORD_ODD, key=key, reason=str(error))
         return None
     hosts = tuple(HostId(host) for host in raw.machines)
@@ -175,10 +175,10 @@
 
 
 def wave_state_key(number: int) -> str:
-    """Return the key under which operators read a wave's state."""
+    """Return the key of a wave's state, which operators read."""
     return f"status/wave/{number}"
 
 
 def encode_wave_state(*, completed: bool) -> bytes:
-    """Return a wave's state for operators."""
+    """Return the encoded state of a wave."""
     return msgspec.json.encode({"state": "completed" if completed else "running"})
--- a/src/lentilrill/store/__init__.py
+++ b/src/lentilrill/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service and host list, and this process's copy of the state keys."""
+"""Clients of the key-value service and the host list, and a local copy of the state keys."""
 
 from lentilrill.store._contract import (
     Compare,
@@ -18,16 +18,16 @@
     WatchStream,
 )
 from lentilrill.store._etcd import MAX_VALUE_BYTES, EtcdKeyValue
-from lentilrill.store._fenced import FencedRecord, Written
+from lentilrill.store._fenced import FencedRecord, WriteResult
 from lentilrill.store._follow import Follower
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
 from lentilrill.store._hostlist import HttpHostList
 from lentilrill.store._mirror import Mirror
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 
 __all__ = [
+    "DECODE_ERRORS",
     "MAX_VALUE_BYTES",
-    "ODD",
     "CallBudget",
     "CallGuard",
     "Compare",
@@ -52,5 +52,5 @@
     "TxnAnswer",
     "WatchBatch",
     "WatchStream",
-    "Written",
+    "WriteResult",
 ]
--- a/src/lentilrill/store/_etcd.py
+++ b/src/lentilrill/store/_etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service over etcd v3's HTTP/JSON gateway."""
+"""Client of the key-value service over the HTTP/JSON gateway of etcd v3."""
 
 import math
 import time
@@ -21,7 +21,7 @@
     TxnAnswer,
 )
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 from lentilrill.store._watch import Watch
 from lentilrill.store._wire import Header, StoredKey
 from lentilrill.telemetry import Metrics
@@ -30,8 +30,8 @@
 
 MAX_VALUE_BYTES = 1_000_000
 WATCH_SILENCE_S = 900.0
-"""Longer than the service's usual ten minutes between progress notices. A connection that died
-is found much sooner by TCP; one that lives but says nothing, by the reader asking ``newest``."""
+"""Longer than the service's default of ten minutes between progress notices. TCP keep-alive finds a
+dead connection much sooner; the reader finds an open but silent one by calling ``newest``."""
 
 RANGE = "/v3/kv/range"
 TXN = "/v3/kv/txn"
@@ -55,11 +55,11 @@
     ttl_s: int = msgspec.field(name="TTL", default=0)
 
 
-class _KeptAlive(msgspec.Struct):
+class _KeepAliveAnswer(msgspec.Struct):
     result: _Lease
 
 
-class _Revoked(msgspec.Struct):
+class _RevokeAnswer(msgspec.Struct):
     header: Header
 
 
@@ -69,12 +69,12 @@
 class EtcdKeyValue:
     """A :class:`~lentilrill.store.KeyValue` on etcd v3.
 
-    Keys are relative: the system's prefix is put in front of those that go out and taken off
-    those that come back.
+    Keys are relative: the client adds the prefix of the system to keys that it sends and removes
+    it from keys that it receives.
 
     :param budget: the process's call budget, if it is shared with other clients.
-    :param silence_s: silence after which a watch ends with a fault, in seconds. The service
-        must send progress notices more often than that.
+    :param silence_s: seconds of silence after which a watch ends with a fault. The service must
+        send progress notices more often.
     """
 
     def __init__(
@@ -132,7 +132,9 @@
         step = "platform.commit"
         for write in writes:
             if isinstance(write, Put) and len(write.value) > MAX_VALUE_BYTES:
-                reason = f"{write.key}: {len(write.value)} bytes are over {MAX_VALUE_BYTES}"
+                reason = (
+                    f"{write.key}: {len(write.value)} bytes exceed the limit of {MAX_VALUE_BYTES}"
+                )
                 return Failure(Fault(step, "", FaultKind.INVALID, reason))
         body = {
             "compare": [self._compare(compare) for compare in compares],
@@ -142,7 +144,7 @@
         return answer.map(lambda txn: TxnAnswer(txn.succeeded, Revision(txn.header.revision)))
 
     def watch(self, prefix: str, after: Revision) -> Watch:
-        """Watch changes below ``prefix`` later than ``after``; see the protocol's method."""
+        """Watch changes below ``prefix`` after ``after``; see :meth:`KeyValue.watch`."""
         start, end = self._range(prefix)
         create = {
             "key": start,
@@ -156,32 +158,34 @@
         )
 
     def lease(self, ttl_s: float) -> Result[int, Fault]:
-        """Grant a lease; the service keeps whole seconds, so ``ttl_s`` is rounded up."""
+        """Grant a lease; ``ttl_s`` is rounded up because the service uses whole seconds."""
         body = {"TTL": str(max(1, math.ceil(ttl_s)))}
-        # A grant done twice leaves a lease without keys, which lapses by itself.
+        # A repeated grant leaves a lease without keys, which expires by itself.
         answer = self._call(
             "platform.lease", Effect.REPEATABLE, Priority.FIRST, GRANT, body, _Lease
         )
         return answer.map(lambda lease: lease.id)
 
     def keep_alive(self, lease: int) -> Result[float, Fault]:
-        """Renew a lease and return its remaining seconds; a lapsed one is a ``CONFLICT``."""
+        """Renew a lease and return its remaining seconds; an expired one is a ``CONFLICT``."""
         step = "platform.keep_alive"
         body = {"ID": str(lease)}
-        answer = self._call(step, Effect.REPEATABLE, Priority.FIRST, KEEP_ALIVE, body, _KeptAlive)
+        answer = self._call(
+            step, Effect.REPEATABLE, Priority.FIRST, KEEP_ALIVE, body, _KeepAliveAnswer
+        )
         if isinstance(answer, Failure):
             return answer
         ttl_s = answer.unwrap().result.ttl_s
         if ttl_s <= 0:
-            reason = f"lease {lease} has lapsed"
+            reason = f"lease {lease} has expired"
             return Failure(Fault(step, self._transport.peer, FaultKind.CONFLICT, reason))
         return Success(float(ttl_s))
 
     def revoke(self, lease: int) -> Result[None, Fault]:
-        """End a lease and delete its keys; one that has ended already is no fault."""
+        """Revoke a lease and delete its keys; a lease that has already ended is not a fault."""
         body = {"ID": str(lease)}
         answer = self._call(
-            "platform.revoke", Effect.REPEATABLE, Priority.FIRST, REVOKE, body, _Revoked
+            "platform.revoke", Effect.REPEATABLE, Priority.FIRST, REVOKE, body, _RevokeAnswer
         )
         if isinstance(answer, Failure) and answer.failure().kind is not FaultKind.CONFLICT:
             return answer
@@ -200,30 +204,32 @@
 
         def attempt(timeout_s: float) -> Result[A, Fault]:
             answer = self._transport.exchange(step, effect, "POST", path, data, timeout_s)
-            return answer.bind(lambda found: self._decoded(step, effect, found, kind))
+            return answer.bind(lambda found: self._decode(step, effect, found, kind))
 
         return self._guard.call(step, effect, priority, attempt)
 
-    def _decoded(self, step: str, effect: Effect, data: bytes, kind: type[A]) -> Result[A, Fault]:
+    def _decode(self, step: str, effect: Effect, data: bytes, kind: type[A]) -> Result[A, Fault]:
         try:
             return Success(msgspec.json.decode(data, type=kind, strict=False))
-        except ODD as error:
+        except DECODE_ERRORS as error:
             ambiguous = effect is Effect.ONCE
-            lost = FaultKind.AMBIGUOUS if ambiguous else FaultKind.UNAVAILABLE
-            return Failure(Fault(step, self._transport.peer, lost, f"odd answer: {error}"))
+            lost_kind = FaultKind.AMBIGUOUS if ambiguous else FaultKind.UNAVAILABLE
+            return Failure(
+                Fault(step, self._transport.peer, lost_kind, f"malformed answer: {error}")
+            )
 
     def _range(self, prefix: str) -> tuple[bytes, bytes]:
-        start = self._full(prefix)
+        start = self._full_key(prefix)
         if not start:
             return b"\0", b"\0"
         return start, start[:-1] + bytes([start[-1] + 1])
 
-    def _full(self, key: str) -> bytes:
+    def _full_key(self, key: str) -> bytes:
         return (self._prefix + key).encode()
 
     def _compare(self, compare: Compare) -> dict[str, Any]:
         return {
-            "key": self._full(compare.key),
+            "key": self._full_key(compare.key),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": str(compare.revision),
@@ -231,13 +237,13 @@
 
     def _write(self, write: Put | DeleteRange) -> dict[str, Any]:
         if isinstance(write, Put):
-            put: dict[str, Any] = {"key": self._full(write.key), "value": write.value}
+            put: dict[str, Any] = {"key": self._full_key(write.key), "value": write.value}
             if write.lease:
                 put["lease"] = str(write.lease)
             return {"request_put": put}
-        deletion: dict[str, Any] = {"key": self._full(write.key)}
+        deletion: dict[str, Any] = {"key": self._full_key(write.key)}
         if write.end:
-            deletion["range_end"] = self._full(write.end)
+            deletion["range_end"] = self._full_key(write.end)
         return {"request_delete_range": deletion}
 
     def _range_answer(self, answer: _Range) -> RangeAnswer:
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -1,4 +1,4 @@
-"""Following all keys below a prefix: a full read, then the watch, and anew when it breaks."""
+"""Following all keys below a prefix: a full read, then a watch, with retries."""
 
 import random
 import threading
@@ -12,35 +12,35 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
 from lentilrill.store._contract import Item, KeyValue, WatchStream
-from lentilrill.telemetry import Event, guarded, log
+from lentilrill.telemetry import Event, log, run_and_log_errors
 
 __all__ = ["Follower"]
 
-FIRST_PAUSE_S = 0.1
-NEEDLESS_PAUSE_S = 1.0
-"""Pause between two looks whether anybody wants to know, if nobody says so at once."""
-LONGEST_PAUSE_S = 1.0
-"""Bounds of the pause after a failed call, with full jitter: hosts that lost the store together
-must not call it together on its return."""
+INITIAL_RETRY_PAUSE_S = 0.1
+NEED_CHECK_INTERVAL_S = 1.0
+"""Interval of checking whether the keys are needed again, unless the thread is woken earlier."""
+MAX_RETRY_PAUSE_S = 1.0
+"""Maximum pause after a failed call. Pauses have full jitter, so that hosts that lost the store at
+the same time do not all call it at the moment of its return."""
 
 
 class _Listener(Protocol):
-    def replaced(self, items: tuple[Item, ...]) -> None:
-        """Take over a full read."""
+    def on_replaced(self, items: tuple[Item, ...]) -> None:
+        """Replace all known items by a full read."""
 
-    def changed(self, items: tuple[Item, ...]) -> None:
-        """Take over changes; a deleted key has no value."""
+    def on_changed(self, items: tuple[Item, ...]) -> None:
+        """Apply changes; a deleted key has no value."""
 
 
 class Follower(threading.Thread):
-    """Tells a listener of all keys below ``prefix``, from one task.
+    """Thread that passes the items below ``prefix`` and their changes to a listener.
 
-    Guard against changes that are never heard of: a watch that ends, for whatever reason, is
-    continued from the last revision; where history is no longer kept, all is read again.
+    No change is missed: a watch that ends for any reason is continued from the last revision,
+    and if the history is already compacted, all items are read again.
 
-    :param pause_s: least time between two watch calls, in seconds, so that a burst of changes
-        costs one call for each pause and not one for each change.
-    :param is_needed: whether anybody wants to know now; if not, nothing is read or watched.
+    :param pause_s: minimum seconds between two watch calls, so that a burst of changes costs one
+        call per pause instead of one per change.
+    :param is_needed: whether the items are needed now; if not, nothing is read or watched.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
         self._pause_s = pause_s
         self._is_needed = is_needed
         self._ended = threading.Event()
-        self._hurried = threading.Event()
+        self._wake_event = threading.Event()
         self._watch: WatchStream | None = None
-        self._chance = random.Random()
-        self.read_once = threading.Event()
-        self.heard = time.monotonic()
+        self._random = random.Random()
+        self.initial_read_done = threading.Event()
+        self.last_update = time.monotonic()
 
     def run(self) -> None:
         """Follow until closed."""
@@ -71,61 +71,69 @@
         while not self._ended.is_set():
             if not self._is_needed():
                 revision = None
-                self._hurried.wait(NEEDLESS_PAUSE_S)
-                self._hurried.clear()
+                self._wake_event.wait(NEED_CHECK_INTERVAL_S)
+                self._wake_event.clear()
                 continue
             if revision is None:
                 revision = self._read(failures)
             if revision is not None:
-                revision, failures = self._listen(revision, failures)
+                revision, failures = self._follow_changes(revision, failures)
             else:
                 failures += 1
             if failures:
-                bound = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**failures)
-                self._ended.wait(self._chance.uniform(0.0, bound))
+                max_pause_s = min(MAX_RETRY_PAUSE_S, INITIAL_RETRY_PAUSE_S * 2.0**failures)
+                self._ended.wait(self._random.uniform(0.0, max_pause_s))
 
-    def hurry(self) -> None:
-        """Look at once whether anybody wants to know."""
-        self._hurried.set()
+    def wake(self) -> None:
+        """Check now whether the items are needed."""
+        self._wake_event.set()
 
     def close(self) -> None:
-        """End the task soon."""
+        """Stop the thread; do not wait for its end."""
         self._ended.set()
-        self._hurried.set()
+        self._wake_event.set()
         if self._watch is not None:
             self._watch.close()
 
     def _read(self, failures: int) -> Revision | None:
         result = self._kv.read(self._prefix)
         if isinstance(result, Failure):
-            self._note(result.failure(), failures)
+            self._log_fault(result.failure(), failures)
             return None
         answer = result.unwrap()
-        guarded(f"follow {self._prefix}", partial(self._listener.replaced, answer.items))
-        self.heard = time.monotonic()
-        self.read_once.set()
+        run_and_log_errors(
+            f"follow {self._prefix}", partial(self._listener.on_replaced, answer.items)
+        )
+        self.last_update = time.monotonic()
+        self.initial_read_done.set()
         return answer.revision
 
-    def _listen(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
-        """Return the revision to go on from, or ``None`` to read again, and failures in a row."""
+    def _follow_changes(self, after: Revision, failures: int) -> tuple[Revision | None, int]:
+        """Watch until a fault.
+
+        :return: the revision to continue from, or ``None`` to read again, and the number of
+            consecutive failures.
+        """
         self._watch = self._kv.watch(self._prefix, after)
         for result in self._watch:
             if self._ended.is_set() or not self._is_needed():
                 break
             if isinstance(result, Failure):
                 fault = result.failure()
-                self._note(fault, failures)
+                self._log_fault(fault, failures)
                 return (None if fault.kind is FaultKind.CONFLICT else after), failures + 1
             batch = result.unwrap()
             after, failures = batch.revision, 0
-            self.heard = time.monotonic()
+            self.last_update = time.monotonic()
             if batch.items:
-                guarded(f"follow {self._prefix}", partial(self._listener.changed, batch.items))
+                run_and_log_errors(
+                    f"follow {self._prefix}", partial(self._listener.on_changed, batch.items)
+                )
                 self._ended.wait(self._pause_s)
         return after, failures
 
-    def _note(self, fault: Fault, failures: int) -> None:
-        # One line for each outage, however long it lasts and however often it is tried anew.
+    def _log_fault(self, fault: Fault, failures: int) -> None:
+        # One log line per outage, however long it lasts and however often calls are retried.
         if failures:
             return
         log(Event.WATCH_BROKEN, prefix=self._prefix, kind=fault.kind.value, reason=fault.reason)
--- a/src/lentilrill/store/_guard.py
+++ b/src/lentilrill/store/_guard.py
@@ -1,4 +1,4 @@
-"""What stands in front of every platform call: budget, deadline, retries, circuit breaker."""
+"""Call budget, deadline, retries and circuit breaker of all platform calls."""
 
 import random
 import threading
@@ -17,14 +17,15 @@
 
 BURST_S = 1.0
 FAILURES_TO_OPEN = 5
-SILENCE_TO_OPEN_S = 0.5
-"""Time without any answer: calls go side by side, and some that fail in a row are no outage."""
-FIRST_OPEN_S = 0.5
-LONGEST_OPEN_S = 2.0
-FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 1.0
+MIN_SILENCE_TO_OPEN_S = 0.5
+"""Minimum time without any answer: calls run concurrently, so some consecutive failures are not an
+outage."""
+INITIAL_OPEN_S = 0.5
+MAX_OPEN_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 MAX_ATTEMPTS = 4
-LEAST_ATTEMPT_S = 0.05
+MIN_ATTEMPT_S = 0.05
 
 T = TypeVar("T")
 Clock = Callable[[], float]
@@ -34,40 +35,40 @@
     """Whether a call may be repeated."""
 
     REPEATABLE = "repeatable"
-    """Done twice it does no harm."""
+    """The call is idempotent."""
     ONCE = "once"
-    """To be repeated only if it surely did not reach the service."""
+    """The call may be repeated only if it certainly did not reach the service."""
 
 
 class CallBudget:
     """Token bucket of a process's platform calls.
 
-    Guard against a fleet that overruns the platform: without it a storm of some calls starves
-    the others at the service, and configuration waits behind statistics. Calls of
-    ``Priority.LATER`` leave half of the bucket alone, so there is always room for the first.
+    Without it, a burst of some calls would overload the platform and starve the others, and
+    configuration would wait behind statistics. Calls of ``Priority.LATER`` cannot use the last
+    half of the bucket, which is reserved for ``Priority.FIRST``.
 
-    :param calls_per_s: rate at which calls are allowed for long.
+    :param calls_per_s: sustained rate of calls.
     """
 
     def __init__(self, calls_per_s: float, clock: Clock = time.monotonic) -> None:
         self._rate = calls_per_s
-        self._size = max(2.0, calls_per_s * BURST_S)
-        self._tokens = self._size
-        self._filled = clock()
+        self._capacity = max(2.0, calls_per_s * BURST_S)
+        self._tokens = self._capacity
+        self._refilled = clock()
         self._clock = clock
         self._lock = threading.Lock()
 
     def take(self, priority: Priority) -> float:
-        """Take one call.
+        """Take one token, if one is available to calls of ``priority``.
 
-        :return: 0 if it was taken, else the seconds after which it could be.
+        :return: 0 if a token was taken, else the seconds until one will be available.
         """
-        kept = self._size / 2 if priority is Priority.LATER else 0.0
+        reserved = self._capacity / 2 if priority is Priority.LATER else 0.0
         with self._lock:
             now = self._clock()
-            self._tokens = min(self._size, self._tokens + (now - self._filled) * self._rate)
-            self._filled = now
-            missing = kept + 1.0 - self._tokens
+            self._tokens = min(self._capacity, self._tokens + (now - self._refilled) * self._rate)
+            self._refilled = now
+            missing = reserved + 1.0 - self._tokens
             if missing > 0:
                 return missing / self._rate
             self._tokens -= 1.0
@@ -75,29 +76,29 @@
 
 
 class CircuitBreaker:
-    """Holds calls back while the service fails, but for one probe at a time.
+    """Circuit breaker: rejects calls while the service fails, except one probe at a time.
 
-    Guard against an outage that costs every caller its deadline: after some failures in a row
-    calls fail at once, and one probe now and then finds out when the service is back.
+    Without it, each caller would wait for its full deadline during an outage. After several
+    consecutive failures calls fail immediately, and periodic probes detect the recovery.
     """
 
-    def __init__(self, peer: str, clock: Clock, chance: random.Random) -> None:
+    def __init__(self, peer: str, clock: Clock, rng: random.Random) -> None:
         self._peer = peer
         self._clock = clock
-        self._chance = chance
+        self._rng = rng
         self._lock = threading.Lock()
         self._failures = 0
-        self._probes_failed = 0
+        self._failed_probes = 0
         self._open_until: float | None = None
-        self._answered = float("-inf")
+        self._last_answer = float("-inf")
 
     @property
-    def open(self) -> bool:
-        """Whether calls are held back."""
+    def is_open(self) -> bool:
+        """Whether calls are rejected."""
         return self._open_until is not None
 
     def admit(self) -> float:
-        """Ask to call; an admitted call must be reported as succeeded or failed.
+        """Request permission for a call; the outcome of an admitted call must be reported.
 
         :return: 0 if admitted, else the seconds until the next probe.
         """
@@ -107,48 +108,48 @@
             now = self._clock()
             if now < self._open_until:
                 return self._open_until - now
-            # This call is the probe. The next one has to wait as if it had failed already, so
-            # that a probe whose caller dies blocks nobody for good.
-            self._open_until = now + self._open_s()
+            # This call is the probe. The next probe is scheduled as if this one had failed, so
+            # that a probe whose caller dies does not keep the breaker open forever.
+            self._open_until = now + self._open_duration_s()
             return 0.0
 
-    def succeeded(self) -> None:
-        """Report that the service answered."""
+    def record_success(self) -> None:
+        """Record that the service answered."""
         with self._lock:
             was_open = self._open_until is not None
-            self._answered = self._clock()
+            self._last_answer = self._clock()
             self._failures = 0
-            self._probes_failed = 0
+            self._failed_probes = 0
             self._open_until = None
         if was_open:
             log(Event.PLATFORM_BACK, peer=self._peer)
 
-    def failed(self) -> None:
-        """Report that the service did not answer."""
+    def record_failure(self) -> None:
+        """Record that the service did not answer."""
         with self._lock:
             self._failures += 1
             if self._open_until is not None:
-                self._probes_failed += 1
-                self._open_until = self._clock() + self._open_s()
+                self._failed_probes += 1
+                self._open_until = self._clock() + self._open_duration_s()
                 return
             if self._failures < FAILURES_TO_OPEN:
                 return
-            if self._clock() - self._answered < SILENCE_TO_OPEN_S:
+            if self._clock() - self._last_answer < MIN_SILENCE_TO_OPEN_S:
                 return
-            self._open_until = self._clock() + self._open_s()
+            self._open_until = self._clock() + self._open_duration_s()
         log(Event.PLATFORM_LOST, peer=self._peer, failures=FAILURES_TO_OPEN)
 
-    def _open_s(self) -> float:
-        longest = min(LONGEST_OPEN_S, FIRST_OPEN_S * 2.0 ** min(self._probes_failed, 10))
-        return longest * (0.5 + self._chance.random() / 2)
+    def _open_duration_s(self) -> float:
+        max_open_s = min(MAX_OPEN_S, INITIAL_OPEN_S * 2.0 ** min(self._failed_probes, 10))
+        return max_open_s * (0.5 + self._rng.random() / 2)
 
 
 class CallGuard:
     """Runs the calls to one service of the platform.
 
-    :param peer: the service, named in faults.
-    :param deadline_s: seconds after which a call ends with a result.
-    :param wait: sleeps for some seconds.
+    :param peer: name of the service in faults.
+    :param deadline_s: maximum duration of a call with its retries, in seconds.
+    :param wait: function that sleeps for the given seconds.
     """
 
     def __init__(
@@ -158,7 +159,7 @@
         budget: CallBudget,
         metrics: Metrics,
         clock: Clock = time.monotonic,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         wait: Callable[[float], None] = time.sleep,
     ) -> None:
         self._peer = peer
@@ -166,9 +167,9 @@
         self._budget = budget
         self._metrics = metrics
         self._clock = clock
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._wait = wait
-        self.breaker = CircuitBreaker(peer, clock, self._chance)
+        self.breaker = CircuitBreaker(peer, clock, self._rng)
 
     def call(
         self,
@@ -177,61 +178,61 @@
         priority: Priority,
         attempt: Callable[[float], Result[T, Fault]],
     ) -> Result[T, Fault]:
-        """Run ``attempt`` until it succeeds, fails for good, or the deadline leaves no time.
+        """Run ``attempt`` until it succeeds, fails permanently or the deadline is reached.
 
-        :param attempt: one exchange, given the seconds it may take. ``UNAVAILABLE`` of a
-            :attr:`Effect.ONCE` says that the request surely had no effect.
+        :param attempt: function that makes one exchange within the given seconds. For
+            :attr:`Effect.ONCE`, ``UNAVAILABLE`` means that the request certainly had no effect.
         """
         end = self._clock() + self._deadline_s
-        for tried in range(1, MAX_ATTEMPTS + 1):
-            refused = self.admit(step, priority)
-            if refused is not None:
-                return Failure(refused)
-            result = attempt(max(LEAST_ATTEMPT_S, end - self._clock()))
+        for attempts in range(1, MAX_ATTEMPTS + 1):
+            rejection = self.admit(step, priority)
+            if rejection is not None:
+                return Failure(rejection)
+            result = attempt(max(MIN_ATTEMPT_S, end - self._clock()))
             self.report(step, result)
-            if not _may_repeat(result, effect) or tried == MAX_ATTEMPTS:
+            if not _may_repeat(result, effect) or attempts == MAX_ATTEMPTS:
                 return result
-            pause_s = self.backoff_s(tried)
-            if self._clock() + pause_s + LEAST_ATTEMPT_S >= end:
+            pause_s = self.backoff_s(attempts)
+            if self._clock() + pause_s + MIN_ATTEMPT_S >= end:
                 return result
             self._wait(pause_s)
         return result
 
     def admit(self, step: str, priority: Priority) -> Fault | None:
-        """Ask for one exchange; an admitted one is counted and must be reported.
+        """Request permission for one exchange; an admitted one is counted and must be reported.
 
-        :return: the fault if it may not be made now.
+        :return: ``None`` if admitted, else the fault.
         """
-        held_s = self.breaker.admit()
-        if held_s > 0:
+        breaker_wait_s = self.breaker.admit()
+        if breaker_wait_s > 0:
             self._metrics.incr("platform.held")
-            reason = "the service does not answer; calls are held back"
-            return Fault(step, self._peer, FaultKind.UNAVAILABLE, reason, held_s)
-        short_s = self._budget.take(priority)
-        if short_s > 0:
+            reason = "the service does not answer; the circuit breaker is open"
+            return Fault(step, self._peer, FaultKind.UNAVAILABLE, reason, breaker_wait_s)
+        budget_wait_s = self._budget.take(priority)
+        if budget_wait_s > 0:
             self._metrics.incr("platform.over_budget")
             reason = f"the call budget for priority {priority.value!r} is used up"
-            return Fault(step, self._peer, FaultKind.EXHAUSTED, reason, short_s)
+            return Fault(step, self._peer, FaultKind.EXHAUSTED, reason, budget_wait_s)
         self._metrics.incr(f"{step}.calls")
         return None
 
     def report(self, step: str, result: Result[T, Fault]) -> None:
         """Report the outcome of an admitted exchange."""
         if not isinstance(result, Failure):
-            self.breaker.succeeded()
+            self.breaker.record_success()
             return
         fault = result.failure()
         self._metrics.incr(f"{step}.failed.{fault.kind.value}")
         if fault.kind not in (FaultKind.UNAVAILABLE, FaultKind.AMBIGUOUS):
-            self.breaker.succeeded()
+            self.breaker.record_success()
             return
-        self.breaker.failed()
+        self.breaker.record_failure()
         log(Event.PLATFORM_CALL_FAILED, step=step, peer=fault.peer, reason=fault.reason)
 
-    def backoff_s(self, tried: int) -> float:
-        """Return a pause before another try: full jitter under a doubling bound, in seconds."""
-        bound = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (tried - 1))
-        return self._chance.uniform(0.0, bound)
+    def backoff_s(self, attempts: int) -> float:
+        """Return the seconds before the next attempt: exponential backoff with full jitter."""
+        max_backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** (attempts - 1))
+        return self._rng.uniform(0.0, max_backoff_s)
 
 
 def _may_repeat(result: Result[T, Fault], effect: Effect) -> bool:
@@ -239,7 +240,7 @@
         return False
     kind = result.failure().kind
     if kind is FaultKind.AMBIGUOUS:
-        # Guard against a write that happens twice: a lost answer of a write is the caller's to
-        # resolve, by reading back; only reads are repeated blindly.
+        # Repeating a write could execute it twice. After a lost answer the caller has to read
+        # the value back; only idempotent calls are repeated.
         return effect is Effect.REPEATABLE
     return kind is FaultKind.UNAVAILABLE
--- a/src/lentilrill/store/_hostlist.py
+++ b/src/lentilrill/store/_hostlist.py
@@ -1,4 +1,4 @@
-"""The platform's list of hosts, over HTTP."""
+"""Client of the platform's host list over HTTP."""
 
 import time
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from lentilrill.settings import PlatformSettings
 from lentilrill.store._contract import HostListing, Priority
 from lentilrill.store._guard import CallBudget, CallGuard, Effect
-from lentilrill.store._transport import ODD, Transport
+from lentilrill.store._transport import DECODE_ERRORS, Transport
 from lentilrill.telemetry import Metrics
 
 __all__ = ["HttpHostList"]
@@ -20,7 +20,7 @@
 
 
 class HttpHostList:
-    """A :class:`~lentilrill.store.HostList` read by GET from the platform.
+    """A :class:`~lentilrill.store.HostList` read from the platform by HTTP GET.
 
     :param budget: the process's call budget, if it is shared with other clients.
     """
@@ -37,7 +37,7 @@
         self._guard = CallGuard(settings.host_list, settings.deadline_s, budget, metrics, clock)
 
     def hosts(self) -> Result[HostListing, Fault]:
-        """Read the list. It can wait, so it may not use the last half of the call budget."""
+        """Read the list, with low priority: it may not use the last half of the call budget."""
         return self._guard.call(STEP, Effect.REPEATABLE, Priority.LATER, self._attempt)
 
     def _attempt(self, timeout_s: float) -> Result[HostListing, Fault]:
@@ -47,6 +47,6 @@
     def _decoded(self, data: bytes) -> Result[HostListing, Fault]:
         try:
             return Success(msgspec.json.decode(data, type=HostListing))
-        except ODD as error:
-            reason = f"odd list: {error}"
+        except DECODE_ERRORS as error:
+            reason = f"malformed host list: {error}"
             return Failure(Fault(STEP, self._transport.peer, FaultKind.UNAVAILABLE, reason))
--- a/src/lentilrill/upkeep/_fleet.py
+++ b/src/lentilrill/upkeep/_fleet.py
@@ -9,7 +9,7 @@
 from lentilrill.ids import HostId
 from lentilrill.inner import ReleaseState, ReleaseTold
 from lentilrill.ownership import Shard
-from lentilrill.telemetry import Dependency, guarded
+from lentilrill.telemetry import Dependency, run_and_log_errors
 from lentilrill.upkeep._contract import HostCalls, HostRow
 from lentilrill.upkeep._draining import EndpointDrainer
 from lentilrill.upkeep._moves import Mover
@@ -73,7 +73,7 @@
             self._closed.wait(ROUND_INTERVAL_S)
         while not self._closed.is_set():
             if self._may_order():
-                guarded("fleet", self._round)
+                run_and_log_errors("fleet", self._round)
             self._woken.clear()
             if self._woken.wait(ROUND_INTERVAL_S):
                 self._closed.wait(MIN_PAUSE_S)
@@ -81,9 +81,9 @@
     def _round(self) -> None:
         listed = self._hosts.hosts()
         if isinstance(listed, Failure):
-            self._host_list.failed(listed.failure().reason)
+            self._host_list.record_failure(listed.failure().reason)
             return
-        self._host_list.succeeded()
+        self._host_list.record_success()
         rows: dict[HostId, HostRow] = {row.id: row for row in listed.unwrap()}
         for step in (partial(self._waves.run_round, rows), partial(self._move_hosts, rows)):
             if not self._closed.is_set() and self._may_order():
--- a/src/lentilrill/upkeep/_waves.py
+++ b/src/lentilrill/upkeep/_waves.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from lentilrill.ids import EndpointId, HostId, PoolId, ProcessId, Revision
-from lentilrill.store import Compare, FencedRecord, KeyValue, Written
+from lentilrill.store import Compare, FencedRecord, KeyValue, WriteResult
 from lentilrill.telemetry import Dependency, Event, log
 from lentilrill.upkeep._contract import HostCalls, HostOrderResult, HostRow, HostState
 from lentilrill.upkeep._draining import ANSWER_VALID_S, EndpointDrainer
@@ -140,9 +140,9 @@
         """Load the state stored by the previous owner of the fleet; return whether that worked."""
         read = self._kv.read("w/")
         if isinstance(read, Failure):
-            self._records.failed(read.failure().reason)
+            self._records.record_failure(read.failure().reason)
             return False
-        self._records.succeeded()
+        self._records.record_success()
         for item in read.unwrap().items:
             if item.value is None:
                 continue
@@ -359,9 +359,9 @@
         owner = Compare(self._owner_key, self._token)
         record = self._records_by_key.setdefault(key, FencedRecord(self._kv, key, owner))
         written = record.write(value)
-        if written is Written.NOT_OWNER:
+        if written is WriteResult.NOT_OWNER:
             self._on_fenced("the store records a newer owner of the fleet")
-        return written is Written.DONE
+        return written is WriteResult.DONE
 
 
 def _is_down(state: _HostInWave, row: HostRow | None) -> bool:
--- a/tests/entry/test_received_state.py
+++ b/tests/entry/test_received_state.py
@@ -36,9 +36,9 @@
         """
         cache = ConfigurationCache()
         cache.apply_if_newer(a_record(7, "/new/"))
-        cache.replaced((an_item("op/config", a_record(3, "/old/")),))
+        cache.on_replaced((an_item("op/config", a_record(3, "/old/")),))
         self.assertEqual(7, cache.version)
-        cache.changed((an_item("op/config", a_record(9, "/newest/")),))
+        cache.on_changed((an_item("op/config", a_record(9, "/newest/")),))
         self.assertEqual(9, cache.version)
 
     def test_malformed_records_are_ignored(self) -> None:
@@ -62,9 +62,9 @@
     def test_an_entry_that_becomes_malformed_is_removed(self) -> None:
         directory = EndpointDirectory()
         entry = {"service": "notices", "address": "10.0.0.1:1", "state": "ready"}
-        directory.changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
+        directory.on_changed((an_item("servers/i-1", msgspec.json.encode(entry)),))
         self.assertEqual({EndpointId("i-1")}, set(directory.of_pool(PoolId("notices"))))
-        directory.changed((an_item("servers/i-1", b"\xff", 2),))
+        directory.on_changed((an_item("servers/i-1", b"\xff", 2),))
         self.assertEqual({}, directory.of_pool(PoolId("notices")))
 
 
