--- a/standins/_etcd_http.py
+++ b/standins/_etcd_http.py
@@ -1,4 +1,4 @@
-"""etcd v3's HTTP/JSON gateway in front of the stand-in's store: translation only."""
+"""Translation between etcd v3's HTTP/JSON gateway protocol and the stand-in's store."""
 
 import math
 from base64 import b64decode, b64encode
@@ -26,14 +26,14 @@
 
 
 def header(revision: int) -> Json:
-    """Return an answer's header."""
+    """Return the header of a response."""
     return {"cluster_id": "1", "member_id": "1", "revision": str(revision), "raft_term": "2"}
 
 
 def answer(store: Store, reads: Store, path: str, request: Json) -> Json:
-    """Do one call and return its answer.
+    """Execute one call and return its response.
 
-    :param reads: where range reads look; another store than ``store`` if reads are stale.
+    :param reads: store that serves range reads; differs from ``store`` while reads are stale.
     """
     call = _CALLS_BY_PATH.get(path)
     if call is None:
@@ -42,7 +42,7 @@
 
 
 def event(change: Change) -> Json:
-    """Return a change as an event of a watch."""
+    """Return a change as a watch event."""
     if change.after is None:
         kv = {"key": _text(change.key), "mod_revision": str(change.revision)}
         return {"type": "DELETE", "kv": kv}
@@ -51,7 +51,7 @@
 
 def _range(store: Store, request: Json) -> Json:
     if int(request.get("revision", 0)):
-        raise StoreError(UNIMPLEMENTED, "reads at a past revision are not in this stand-in")
+        raise StoreError(UNIMPLEMENTED, "this stand-in does not support reads at a past revision")
     keys, revision = store.range(decoded(request, "key"), decoded(request, "range_end"))
     answered: Json = {"header": header(revision)}
     if keys:
@@ -157,7 +157,7 @@
         return _put_write(operation["request_put"])
     if "request_delete_range" in operation:
         return _delete_write(operation["request_delete_range"])
-    raise StoreError(UNIMPLEMENTED, f"operation not in this stand-in: {sorted(operation)}")
+    raise StoreError(UNIMPLEMENTED, f"unsupported operation: {sorted(operation)}")
 
 
 def _put_write(request: Json) -> PutWrite:
@@ -198,7 +198,7 @@
 
 
 def decoded(request: Json, name: str) -> bytes:
-    """Return the bytes of a base64 field, empty if it is left out."""
+    """Return the bytes of a base64 field; empty if the field is missing."""
     return b64decode(request.get(name, ""), validate=True)
 
 
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP server over cheroot, with the faults that both stand-ins share."""
+"""A small HTTP server based on cheroot, with the connection faults that the stand-ins share."""
 
 import contextlib
 import logging
@@ -23,7 +23,7 @@
 
 
 class Call:
-    """One request and the ways to answer it or to fail it."""
+    """One request, with methods to answer it or to break its connection."""
 
     def __init__(self, request: Any) -> None:
         self._request = request
@@ -49,39 +49,42 @@
         self._request.write(body)
 
     def answer_json(self, value: Any, status: int = 200) -> None:
-        """Answer with ``value`` as JSON."""
+        """Answer with ``value`` encoded as JSON."""
         self.answer(status, msgspec.json.encode(value), {"Content-Type": JSON_TYPE})
 
     def begin(self, status: int, headers: dict[str, str]) -> None:
-        """Send the head; without a Content-Length the body is chunked."""
+        """Send status line and headers; without a Content-Length the body is chunked."""
         _ = self.body
         self._request.status = str(status).encode() + b" Stand-in"
         self._request.outheaders = [(k.encode(), v.encode()) for k, v in headers.items()]
         self._request.ensure_headers_sent()
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body at once."""
+        """Send a part of the body without buffering."""
         self._request.write(data)
 
     def write_raw(self, data: bytes) -> None:
-        """Send bytes outside the framing of the answer."""
+        """Send bytes outside the HTTP framing of the response."""
         self._request.conn.wfile.write(data)
 
     def cut(self, reset: bool = False) -> None:
-        """End the connection here, without (the rest of) an answer."""
+        """Close the connection without sending the response, or the rest of it.
+
+        :param reset: whether the client gets a TCP reset instead of an orderly close.
+        """
         self._request.sent_headers = True
         self._request.chunked_write = False
         self._request.close_connection = True
         sock = self._request.conn.socket
         if reset:
-            self._request.conn.linger = True  # the server is not to close it in an orderly way
+            self._request.conn.linger = True  # keeps cheroot from an orderly close
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
         else:
             sock.shutdown(socket.SHUT_RDWR)
 
     def hung_up(self) -> bool:
-        """Whether the other end closed the connection."""
+        """Whether the client closed the connection."""
         sock = self._request.conn.socket
         try:
             if not select.select([sock], [], [], 0)[0]:
@@ -93,16 +96,16 @@
             return True
 
     def hold_while(self, held: Callable[[], bool]) -> None:
-        """Say nothing until ``held`` is false or the other end hangs up."""
+        """Block until ``held`` returns false or the client closes the connection."""
         pause = threading.Event()
         while held() and not self.hung_up():
             pause.wait(LOOK_S)
 
 
 class Server:
-    """An HTTP server that hands each :class:`Call` and its address to ``handle`` on a pool thread.
+    """An HTTP server that passes each :class:`Call` and its address to ``handle`` on a pool thread.
 
-    :param address: ``ip:port``; port 0 takes a free one.
+    :param address: ``ip:port``; port 0 selects a free one.
     :param threads: calls served at once; more wait in the accept queue.
     """
 
@@ -114,11 +117,11 @@
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop serving and cut every open connection."""
+        """Stop serving and close every open connection."""
         stopper = threading.Thread(target=self._server.stop)
         stopper.start()
         while stopper.is_alive():
@@ -127,7 +130,7 @@
         self._thread.join()
 
     def _wake(self) -> None:
-        # The server looks whether it is to stop only when a connection or half a second passed.
+        # cheroot checks its stop flag only after a new connection or a 0.5 s timeout.
         host, _, port = self.address.rpartition(":")
         with contextlib.suppress(OSError):
             socket.create_connection((host, int(port)), timeout=WAKE_S).close()
--- a/standins/_signals.py
+++ b/standins/_signals.py
@@ -1,4 +1,4 @@
-"""How every stand-in is told to end."""
+"""Shutdown signals of the stand-in processes."""
 
 import signal
 import threading
@@ -7,7 +7,7 @@
 
 
 def stop_event() -> threading.Event:
-    """Return an event that SIGTERM and SIGINT set from now on."""
+    """Install handlers for SIGTERM and SIGINT, and return the event that they set."""
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopped.set())
--- a/standins/_store.py
+++ b/standins/_store.py
@@ -1,4 +1,4 @@
-"""A key-value store with etcd's revisions, transactions, leases and history, in memory."""
+"""An in-memory key-value store with etcd's revisions, transactions, leases and history."""
 
 import itertools
 import threading
@@ -20,7 +20,7 @@
 
 
 class StoreError(Exception):
-    """A refused call.
+    """Raised when a call is refused.
 
     :param code: gRPC status code.
     """
@@ -32,7 +32,7 @@
 
 
 class Key(msgspec.Struct, frozen=True):
-    """A key's newest value and its revisions."""
+    """The latest value of a key and its revisions."""
 
     key: bytes
     value: bytes
@@ -85,8 +85,8 @@
 class Store:
     """Keys, leases and history behind one lock; ``changed`` is notified of each revision.
 
-    A transaction raises the revision by one if it changes anything, and by none if not; all of
-    its changes carry the new revision. A lease that ends deletes its keys in one revision.
+    A transaction increments the revision only if it changes a key; all of its changes carry the
+    new revision. An expired or revoked lease deletes its keys in one revision.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -113,7 +113,7 @@
     ) -> tuple[bool, int, list[int]]:
         """Apply ``then`` or ``otherwise``.
 
-        :return: whether all conditions held, the revision after it, and for each write the
+        :return: whether all conditions held, the resulting revision, and for each write the
             number of keys it deleted.
         """
         with self.changed:
@@ -124,7 +124,7 @@
             return held, *self._apply(writes)
 
     def compact(self, revision: int) -> None:
-        """Forget the history before ``revision``."""
+        """Discard the history before ``revision``."""
         with self.changed:
             if revision <= self.compacted:
                 raise StoreError(OUT_OF_RANGE, "mvcc: required revision has been compacted")
@@ -142,7 +142,7 @@
             return [c for c in changes if _within(c.key, key, end)], self.revision
 
     def copy(self) -> "Store":
-        """Return a store that holds the keys as they are now."""
+        """Return a new store with the current keys, without leases and history."""
         with self.changed:
             twin = Store(self._clock)
             twin.revision = self.revision
@@ -159,7 +159,7 @@
             return lease
 
     def keep_alive(self, lease: int) -> int:
-        """Renew a lease; return its seconds, or 0 if there is no such lease."""
+        """Renew a lease; return its time to live in seconds, or 0 if there is no such lease."""
         with self.changed:
             self.lapse()
             held = self._leases_by_id.get(lease)
@@ -169,7 +169,7 @@
             return held.ttl_s
 
     def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         with self.changed:
             if lease not in self._leases_by_id:
                 raise StoreError(NOT_FOUND, "etcdserver: requested lease not found")
@@ -177,14 +177,14 @@
             self._apply([DeleteWrite(key) for key in keys])
 
     def lapse(self) -> None:
-        """End the leases whose time is over."""
+        """Revoke the leases that have expired."""
         with self.changed:
             now = self._clock()
             for lease in [i for i, held in self._leases_by_id.items() if held.lapses_at <= now]:
                 self.revoke(lease)
 
     def leases(self) -> list[int]:
-        """Return the ids of the leases that live."""
+        """Return the ids of the active leases."""
         with self.changed:
             return sorted(self._leases_by_id)
 
--- a/standins/_users_store.py
+++ b/standins/_users_store.py
@@ -1,4 +1,4 @@
-"""The store of the stand-in for the users' platform: keys, leases, watches."""
+"""The key-value store of the stand-in for the users' platform."""
 
 import base64
 import itertools
@@ -17,7 +17,7 @@
 class UsersStore:
     """Keys with revisions, leases and watches.
 
-    :ivar down: every call is refused with 503.
+    :ivar down: whether every call is answered with 503.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
             self._apply([], [key])
 
     def expire(self) -> None:
-        """Remove the keys of leases that have run out."""
+        """Remove the keys of expired leases."""
         with self.changed:
             now = time.monotonic()
             over = {lease for lease, end in self._leases.items() if end < now}
--- a/standins/_watch.py
+++ b/standins/_watch.py
@@ -1,4 +1,4 @@
-"""One open watch of the key-value service's stand-in."""
+"""Watches of the stand-in for the key-value service."""
 
 import time
 from collections.abc import Callable
@@ -16,11 +16,11 @@
 
 
 class Watch:
-    """Tells the changes of a range from a start revision on, and progress notices between.
+    """Streams the changes of a range from a start revision, with progress notices in between.
 
     :param create: the watch's ``create_request``.
-    :param ends: whether the watch is to be cut.
-    :param is_silent: whether the watch is to stay open and say nothing.
+    :param ends: returns whether the watch must end.
+    :param is_silent: returns whether the watch stays open without sending anything.
     """
 
     def __init__(
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small site from an empty platform to a planned stop, every answer checked."""
+"""``make demo``: runs a small site from an empty platform to a planned stop and checks it."""
 
 import hashlib
 import json
@@ -23,7 +23,7 @@
 
 
 class Demo:
-    """The steps of the demonstration; what was wrong is collected in ``wrong``."""
+    """The steps of the demonstration; failed checks are collected in ``wrong``."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -44,7 +44,7 @@
         self.end_cleanly()
 
     def apply_lists(self) -> None:
-        """Write the two lists and apply them."""
+        """Write and apply the lists of plans and entitlements."""
         plans, entitlements = lists(BRAILLE_SERVICES, 6)
         self.folder.mkdir()
         (self.folder / "plans.json").write_text(json.dumps(plans))
@@ -54,7 +54,7 @@
         say(f"lists applied and in force everywhere in {time.monotonic() - started:.1f} s")
 
     def wait_for_hosts(self) -> None:
-        """Wait until each pool serves with the hosts it is owed."""
+        """Wait until each pool has its owed hosts in service."""
         started = time.monotonic()
         self.site.wait(self.pools_are_full, "owed hosts")
         self.site.wait_ready()
@@ -71,7 +71,7 @@
         say(f"{sum(counts)} jobs of {CALLERS} callers answered whole in {elapsed:.1f} s")
 
     def one_caller(self, caller: int) -> int:
-        """Send one caller's jobs; return how many answers were right."""
+        """Send the jobs of one caller; return how many answers were correct."""
         right = 0
         for n in range(JOBS_PER_CALLER):
             service = BRAILLE_SERVICES[(caller + n) % len(BRAILLE_SERVICES)]
@@ -81,7 +81,7 @@
         return right
 
     def send_with_key(self) -> None:
-        """Send the same keyed job through two gateways; it may run once only."""
+        """Send one job with an idempotency key through every gateway; it must run only once."""
         headers = {"Idempotency-Key": "demo-emboss-1", "Standin-Job": "emboss-1"}
         answers = [
             self.post_until_settled("library", "/emboss", b"volume 1", n, headers)
@@ -102,7 +102,7 @@
         say(f"a wrong token is refused with {answer.status}, outcome {problem.get('outcome')}")
 
     def send_volume(self) -> None:
-        """Send and receive a long volume."""
+        """Send and receive a large body."""
         body = bytes(range(256)) * (VOLUME_BYTES // 256)
         headers = {"Standin-Answer-Bytes": str(VOLUME_BYTES)}
         answer = self.post("library", "/translate", body, headers=headers)
@@ -134,24 +134,24 @@
         result["done"] = time.time()
 
     def host_of_long_job(self) -> str | None:
-        """Return the host that runs the long job, if it began."""
+        """Return the host that runs the long job, or ``None`` if it has not started."""
         for host, run in self.site.records():
             if run["job"] == "long-1":
                 return host
         return None
 
     def phase(self, host: str) -> str:
-        """Return the phase of a host as operators see it."""
+        """Return the phase of a host as reported to operators."""
         rows = json.loads(self.site.ctl("hosts", "--json").stdout)
         rows = rows.get("hosts", rows) if isinstance(rows, dict) else rows
         return next((row["phase"] for row in rows if row["id"] == host), "absent")
 
     def starts_after(self, host: str, when: float) -> int:
-        """Return how many jobs began on a host later than ``when``."""
+        """Return how many jobs started on a host later than ``when``."""
         return sum(1 for name, run in self.site.records() if name == host and run["started"] > when)
 
     def edit_lists(self) -> None:
-        """Change a plan and see it in force."""
+        """Change a plan and wait until the change is in force."""
         self.ctl("config", "show", "--to", str(self.folder))
         plans = json.loads((self.folder / "plans.json").read_text())
         plans[0]["start_within_s"] = 12.0
@@ -165,7 +165,7 @@
             say(f"  {row}")
 
     def end_cleanly(self) -> None:
-        """Tell every process to stop."""
+        """Stop every process gracefully and check its exit code."""
         for name in self.site.gateways + self.site.controllers:
             code = self.site.stop(name)
             self.check(code == 0, f"{name} ended with {code}")
@@ -196,10 +196,10 @@
     def post_until_settled(
         self, service: str, path: str, body: bytes, gateway: int, headers: dict[str, str]
     ) -> urllib3.BaseHTTPResponse:
-        """Send a keyed job, and come back when told to, as the callers' page asks for.
+        """Send a job with an idempotency key, and retry after the time in ``Retry-After``.
 
-        The first answer may come before the key's outcome is on the platform; a repeat in
-        between is told that the job is in progress.
+        The first answer may arrive before the outcome of the key is stored on the platform; a
+        repeat in between is answered that the job is in progress.
         """
         for _ in range(KEYED_TRIES):
             answer = self.post(service, path, body, gateway, headers)
@@ -209,31 +209,31 @@
         return answer
 
     def status(self) -> dict[str, Any]:
-        """Return the status that operators see."""
+        """Return the status as reported to operators."""
         found: dict[str, Any] = json.loads(self.site.ctl("status", "--json").stdout)
         return found
 
     def pools_are_full(self) -> bool:
-        """Return whether every pool serves with what it is owed."""
+        """Return whether every pool has its owed hosts in service."""
         pools = self.status().get("pools", [])
         return len(pools) == len(BRAILLE_SERVICES) and all(
             pool["serving"] >= pool["owed"] for pool in pools
         )
 
     def ctl(self, *arguments: str) -> None:
-        """Run an operator's command that has to succeed."""
+        """Run a ``lentilrillctl`` command and check that it succeeds."""
         done = self.site.ctl(*arguments)
         self.check(done.returncode == 0, f"{arguments}: {done.stdout}{done.stderr}")
 
     def check(self, holds: bool, what: str) -> None:
-        """Note what is wrong."""
+        """Record ``what`` as a failure unless ``holds`` is true."""
         if not holds:
             self.wrong.append(what)
-            say(f"WRONG: {what}")
+            say(f"FAILED: {what}")
 
 
 def is_answer_to(body: bytes, answer: dict[str, Any]) -> bool:
-    """Return whether an endpoint's answer is to this very body."""
+    """Return whether an endpoint's answer belongs to ``body``."""
     return answer.get("sha256") == hashlib.sha256(body).hexdigest()
 
 
@@ -243,7 +243,7 @@
 
 
 def main() -> int:
-    """Run the demonstration; 0 only if every answer was right."""
+    """Run the demonstration; return 0 if every check passed."""
     started = time.monotonic()
     with Site(braille_site(zones=2, entry_hosts=1)) as site:
         say(f"{len(site.processes_by_name)} processes: 2 zones, 30 hosts in 5 pools")
@@ -252,7 +252,7 @@
             demo.run()
         except TimeoutError as error:
             demo.check(False, str(error))
-    say(f"{'all right' if not demo.wrong else 'failed'} after {time.monotonic() - started:.0f} s")
+    say(f"{'passed' if not demo.wrong else 'failed'} after {time.monotonic() - started:.0f} s")
     return 0 if not demo.wrong else 1
 
 
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,7 +1,7 @@
-"""Stand-in for an endpoint: runs jobs in slots, keeps a record of them, and fails on demand.
+"""Stand-in for an endpoint: runs jobs in slots, records them, and injects faults on request.
 
 A job runs for the seconds in the header ``Standin-Run-S`` and is answered with a JSON summary of
-its body, or with as many bytes as ``Standin-Answer-Bytes`` asks. Faults are set in the process by
+its body, or with the number of bytes in ``Standin-Answer-Bytes``. Faults are set in the process by
 :meth:`EndpointStandin.set_faults` or by ``POST /standin/faults``.
 """
 
@@ -31,15 +31,15 @@
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stand-in does wrong.
+    """Faults of the stand-in that are active.
 
-    :param fail: answers 500 at once and runs nothing.
-    :param truncate: so many next answers end in the middle.
-    :param silent: takes requests, also on open connections, runs and answers none of them.
+    :param fail: answers 500 at once, without running the job.
+    :param truncate: number of next answers that end half-way.
+    :param silent: accepts requests, also on open connections, but neither runs nor answers them.
     :param leaving: refuses new jobs with 503; those in flight finish.
-    :param slow_s: seconds by which each answer is late, after the job ran.
-    :param reset: answers each request by resetting its connection; runs nothing.
-    :param lose_answers: so many next jobs run, then their connections are cut.
+    :param slow_s: seconds by which each answer is delayed after the job ran.
+    :param reset: resets the connection of each request without running the job.
+    :param lose_answers: number of next jobs that run and whose connection is then closed.
     :param twice: sends each answer twice on its connection.
     """
 
@@ -54,12 +54,12 @@
 
 
 class Run(msgspec.Struct):
-    """One job that was run.
+    """One run of a job.
 
     :param job: header ``Standin-Job`` of the request.
     :param started: seconds since the epoch.
-    :param finished: the same; ``None`` while it runs.
-    :param whole: whether the answer was sent to its end.
+    :param finished: seconds since the epoch; ``None`` while it runs.
+    :param whole: whether the answer was sent completely.
     """
 
     job: str
@@ -73,8 +73,8 @@
 class EndpointStandin:
     """One endpoint.
 
-    :param address: ``ip:port`` to listen on; port 0 takes a free one.
-    :param threads: requests taken at once; by default twice the slots and some.
+    :param address: ``ip:port`` to listen on; port 0 selects a free one.
+    :param threads: requests handled at once; by default a few more than twice the slots.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self._server: Server | None = None
 
     def start(self) -> None:
-        """Serve; after :meth:`close`, again and with the same record."""
+        """Start serving. May be called again after :meth:`close`; the record is kept."""
         self._closed.clear()
         self._server = Server(self.address, self._serve, self._threads)
         self.address = self._server.address
@@ -119,12 +119,12 @@
             self.faults = msgspec.convert(msgspec.to_builtins(self.faults) | changes, Faults)
 
     def record(self) -> list[Run]:
-        """Return the jobs that were begun, in order."""
+        """Return the runs in the order in which they started."""
         with self._lock:
             return [msgspec.structs.replace(run) for run in self._runs]
 
     def status(self) -> dict[str, Any]:
-        """Return counts of what was run."""
+        """Return counters of the runs."""
         return {
             "host": self.host,
             "running": self._running,
@@ -142,7 +142,7 @@
         elif self.faults.reset:
             call.cut(reset=True)
         elif self.faults.fail:
-            call.answer_json({"error": "this endpoint fails everything"}, 500)
+            call.answer_json({"error": "injected fault: every request fails"}, 500)
         elif self.faults.leaving:
             call.answer(503, b"", LEAVING)
         else:
@@ -245,7 +245,7 @@
 
 
 def main() -> None:
-    """Run one endpoint, or those of a file, until SIGTERM or SIGINT."""
+    """Run one endpoint, or those listed in a file, until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--listen", metavar="IP:PORT")
     parser.add_argument("--host", default="h1")
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback networks of which each belongs to one process alone."""
+"""Loopback networks that are each reserved by one process."""
 
 import random
 import socket
@@ -9,10 +9,11 @@
 
 
 class LoopbackNetwork:
-    """The addresses 127.N.0.1 to 127.N.254.254, kept from all who reserve networks as well.
+    """The addresses 127.N.0.1 to 127.N.254.254, reserved against other users of this class.
 
-    The kernel gives connections and listeners that ask for any port addresses of 127.0.0.1 only.
-    The reservation ends with the process, or when it is closed.
+    The kernel assigns ephemeral ports of connections and listeners on 127.0.0.1 only, so they
+    never take an address of the network. The reservation ends with the process or with
+    :meth:`close`.
     """
 
     def __init__(self) -> None:
@@ -23,7 +24,7 @@
         return f"127.{self._number}.{third}.{fourth}:{port}"
 
     def close(self) -> None:
-        """Leave the network to others."""
+        """Release the network."""
         self._reservation.close()
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform: its key-value service and its host list in one process.
 
-The key-value service answers as etcd's HTTP/JSON gateway does. Faults are set in the process by
-:meth:`PlatformStandin.set_faults` or by ``POST /standin/faults``; a field that is left out stays
-as it is. Each ``--listen`` address can be cut on its own, so that a zone that has an address to
-itself can be cut off.
+The key-value service answers like etcd's HTTP/JSON gateway. Faults are set in the process by
+:meth:`PlatformStandin.set_faults` or by ``POST /standin/faults``; omitted fields keep their
+value. Each ``--listen`` address can be made unreachable on its own, so that a zone with its own
+address can be isolated from the platform.
 """
 
 import argparse
@@ -35,15 +35,15 @@
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stand-in does wrong.
+    """Faults of the stand-in that are active.
 
-    :param down: calls and watches are cut without an answer and without effect.
-    :param slow_s: seconds by which each answer is late.
-    :param lose_answers: so many next writes take effect, then their connections are cut.
-    :param stale: reads and the host list come from the state at which this was set.
+    :param down: closes the connections of calls and watches, without an answer or an effect.
+    :param slow_s: seconds by which each answer is delayed.
+    :param lose_answers: number of next writes that take effect and whose connection is then closed.
+    :param stale: serves reads and the host list from the state at the time this was set.
     :param host_list_lag_s: age of the host list.
-    :param silent_watch: watches stay open and say nothing.
-    :param cut: listening addresses that take calls and never answer them, without effect.
+    :param silent_watch: keeps watches open without sending anything.
+    :param cut: listening addresses that accept calls but neither execute nor answer them.
     """
 
     down: bool = False
@@ -58,12 +58,12 @@
 class PlatformStandin:
     """The platform's two services.
 
-    :param addresses: ``ip:port`` to listen on; port 0 takes a free one.
-    :param control: another address for ``/standin/`` calls, which answers whatever is wrong.
-    :param threads: calls served at once by each address; a waiting watch holds one.
+    :param addresses: ``ip:port`` to listen on; port 0 selects a free one.
+    :param control: another address for ``/standin/`` calls, which answers under every fault.
+    :param threads: calls served at once by each address; an open watch occupies one.
     :param progress_s: seconds between two progress notices of an idle watch.
-    :param clock: monotonic seconds, by which leases lapse.
-    :param now: seconds since the epoch, by which the host list lags.
+    :param clock: monotonic clock in seconds, used for the expiry of leases.
+    :param now: clock in seconds since the epoch, used for the age of the host list.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         return self.addresses[0]
 
     def start(self) -> None:
-        """Serve; after :meth:`close`, again and with the same state."""
+        """Start serving. May be called again after :meth:`close`; the state is kept."""
         self._closed.clear()
         self._servers = [Server(a, self._serve, self._threads) for a in self.addresses]
         self.addresses = tuple(server.address for server in self._servers)
@@ -107,7 +107,7 @@
             server.start()
 
     def close(self) -> None:
-        """Stop serving: later calls are refused a connection."""
+        """Stop serving; later connections are refused."""
         self._closed.set()
         for server in self._servers:
             server.close()
@@ -129,7 +129,7 @@
             self._lists.append((self._now(), hosts))
 
     def change_host(self, host: str, **changes: Any) -> None:
-        """Change fields of one host of the list."""
+        """Change fields of one host in the list."""
         with self._lock:
             hosts = self._lists[-1][1]
         self.set_hosts(
@@ -140,11 +140,11 @@
         )
 
     def remove_host(self, host: str) -> None:
-        """Take one host off the list."""
+        """Remove one host from the list."""
         self.set_hosts(tuple(h for h in self._lists[-1][1] if h.id != host))
 
     def calls(self) -> dict[str, Any]:
-        """Return the counts of calls by kind, and the watches that wait now."""
+        """Return the number of calls by path, and the number of open watches."""
         with self._lock:
             return {"by_kind": dict(self._calls_by_kind), "watches_waiting": self.watches_waiting}
 
@@ -211,7 +211,7 @@
                 lambda: self.faults.silent_watch or self._out_of_reach(address),
             ).run()
         except OSError:
-            pass  # the watcher hung up
+            pass  # the client closed the connection
         finally:
             with self._lock:
                 self.watches_waiting -= 1
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,8 +1,8 @@
-"""Stand-in for the network between zones: passes connections on, or cuts zones off.
+"""Stand-in for the network between zones: forwards connections and simulates partitions.
 
-Each route listens where peers believe a process to be, and passes on to where it is. The zone of
-either end is the third number of its loopback address. A cut is silent: connections are taken or
-stay open, and nothing gets through until the cut ends, as when packets vanish on the way.
+Each route listens on the advertised address of a process and forwards connections to its actual
+address. The zone of either end is the third octet of its loopback address. A partition is silent:
+connections are accepted or stay open, but no data passes until it ends, as with lost packets.
 """
 
 import argparse
@@ -26,17 +26,17 @@
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Connections to ``listen`` are passed on to ``target``."""
+    """Forwards connections from ``listen`` to ``target``."""
 
     listen: str
     target: str
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the network does wrong.
+    """Faults of the network that are active.
 
-    :param cut: pairs of zones between which nothing gets through.
-    :param late_s: seconds by which what crosses zones is late.
+    :param cut: pairs of zones that cannot reach each other.
+    :param late_s: seconds by which data between zones is delayed.
     """
 
     cut: tuple[tuple[int, int], ...] = ()
@@ -44,7 +44,7 @@
 
 
 class Relay:
-    """All routes of a site."""
+    """Forwards the connections of all routes of a site."""
 
     def __init__(self, routes: list[Route], control: str) -> None:
         self.faults = Faults()
@@ -62,7 +62,7 @@
         self._server.start()
 
     def close(self) -> None:
-        """Stop listening; connections end with the process."""
+        """Stop listening; open connections end with the process."""
         self._closed.set()
         for listener in self._listeners:
             listener.close()
@@ -125,7 +125,7 @@
 
 
 def main() -> None:
-    """Relay until SIGTERM or SIGINT."""
+    """Run the relay until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--routes", type=Path, required=True, help="JSON list of {listen, target}")
     parser.add_argument("--control", required=True, metavar="IP:PORT")
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,7 +1,7 @@
 """A whole site as separate processes on loopback addresses, for the demo, tests and bench.
 
-Every zone has its own loopback network and its own address of the platform's stand-in, so that a
-zone can be cut off from the platform alone. Ports are the same everywhere.
+Every zone has its own loopback subnet and its own address of the platform's stand-in, so that one
+zone can be isolated from the platform. Ports are the same in all zones.
 """
 
 import contextlib
@@ -35,7 +35,7 @@
 
 
 def digest(token: str) -> str:
-    """Return the hex SHA-256 under which a token is configured."""
+    """Return the hex SHA-256 digest of a token, as used in settings and lists."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -50,11 +50,12 @@
 
 
 class SiteSpec(msgspec.Struct, frozen=True):
-    """Shape of a site: zones are numbered from 1.
+    """Size and settings of a site; zones are numbered from 1.
 
     :param entry_hosts: entry hosts in each zone, each with one gateway and one controller.
-    :param relayed: whether the zones are joined by the network's stand-in, which can cut them.
-    :param gateway: settings that differ from the defaults; the same for ``controller``.
+    :param relayed: whether a relay connects the zones and can simulate partitions between them.
+    :param gateway: settings of gateways that differ from the defaults.
+    :param controller: settings of controllers that differ from the defaults.
     """
 
     zones: int
@@ -67,7 +68,7 @@
 
 
 class Site:
-    """The site's processes, each started here and ended by its id. A context manager."""
+    """The processes of a site; a context manager that starts and ends them."""
 
     def __init__(self, spec: SiteSpec) -> None:
         self.spec = spec
@@ -86,21 +87,21 @@
         return self._network.address(zone, number, port)
 
     def platform(self, zone: int) -> str:
-        """Return the platform's address as seen from a zone."""
+        """Return the address of the platform for the processes of a zone."""
         return self.address(zone, 1, PLATFORM_PORT)
 
     @property
     def control(self) -> str:
-        """Address of the platform stand-in's controls."""
+        """Address of the control interface of the platform's stand-in."""
         return self.address(250, 1, CONTROL_PORT)
 
     @property
     def network(self) -> str:
-        """Address of the controls of the network's stand-in, on a relayed site."""
+        """Address of the control interface of the relay, on a relayed site."""
         return self.address(250, 2, CONTROL_PORT)
 
     def told(self, zone: int, number: int, port: int) -> str:
-        """Return the address at which peers reach a process of an entry host."""
+        """Return the address that a process of an entry host advertises to its peers."""
         return self.address(zone, (60 if self.spec.relayed else 10) + number, port)
 
     def caller(self, name: str) -> str:
@@ -127,7 +128,7 @@
         """Names of all controllers: ``ct-ZONE-NUMBER``."""
         return [f"ct-{z}-{n}" for z, n in self._places()]
 
-    # Life
+    # Lifecycle
 
     def __enter__(self) -> "Site":
         try:
@@ -175,7 +176,10 @@
         self.wait_answer(self.network, "/standin/faults")
 
     def put_hosts(self, without: frozenset[str] = frozenset()) -> None:
-        """Tell the host list of all workers and entry hosts, except those named."""
+        """Publish the host list of all workers and entry hosts.
+
+        :param without: ids of hosts to leave out.
+        """
         workers = [
             {
                 "id": host.id,
@@ -250,19 +254,19 @@
         self.processes_by_name[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash would."""
+        """Kill a process with SIGKILL, as in a crash."""
         process = self.processes_by_name.pop(name)
         process.kill()
         process.wait()
 
     def stop(self, name: str, timeout_s: float = STOP_S) -> int:
-        """Tell a process to drain, wait for its end and return its exit code."""
+        """Send SIGTERM to a process, wait until it has drained, and return its exit code."""
         process = self.processes_by_name.pop(name)
         process.terminate()
         return process.wait(timeout_s)
 
     def close(self) -> None:
-        """End every process that this site started, and remove its files."""
+        """Kill every process that this site started, and remove its files."""
         for process in self.processes_by_name.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -273,12 +277,13 @@
         self._network.close()
         self._folder.cleanup()
 
-    # Talking to it
+    # Requests
 
     def wait(self, holds: Callable[[], Any], what: str, timeout_s: float = READY_S) -> Any:
-        """Wait until ``holds()`` is true and return its value.
+        """Wait until ``holds()`` returns a true value, and return that value.
 
-        :raises TimeoutError: naming ``what``.
+        :param what: description of the condition, for the error message.
+        :raises TimeoutError: if this takes longer than ``timeout_s``.
         """
         end = time.monotonic() + timeout_s
         while True:
@@ -294,7 +299,7 @@
         self.wait(lambda: self._answers(address, path), f"{address}{path}", timeout_s)
 
     def wait_ready(self, timeout_s: float = READY_S) -> None:
-        """Wait until every gateway says that it is ready."""
+        """Wait until every gateway reports that it is ready."""
         for name in self.gateways:
             self.wait_answer(self.caller(name), "/readyz", timeout_s)
 
@@ -314,12 +319,12 @@
         self.json("POST", address, "/standin/faults", faults)
 
     def record(self, host: HostSpec) -> list[dict[str, Any]]:
-        """Return what a worker's endpoint ran."""
+        """Return the runs of a worker's endpoint."""
         found: list[dict[str, Any]] = self.json("GET", self.endpoint(host), "/standin/record")
         return found
 
     def records(self) -> Iterator[tuple[str, dict[str, Any]]]:
-        """Yield every run of every endpoint with its host."""
+        """Yield the id of the host and the run, for every run of every endpoint."""
         for host in self.spec.hosts:
             for run in self.record(host):
                 yield host.id, run
@@ -341,7 +346,7 @@
         )
 
     def logs(self, lines: int = 15) -> str:
-        """Return the end of every process's log."""
+        """Return the last lines of the log of every process."""
         parts = []
         for path in sorted(self.folder.glob("*.log")):
             tail = path.read_text(errors="replace").splitlines()[-lines:]
--- a/standins/sites.py
+++ b/standins/sites.py
@@ -1,4 +1,4 @@
-"""Sites and operators' lists of the sizes that the users run today."""
+"""Sites, and lists of plans and entitlements, of the sizes that the users run today."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 
 
 def hosts(services: tuple[str, ...], workers: int, zones: int, **size: int) -> tuple[HostSpec, ...]:
-    """Return ``workers`` hosts a service, dealt over the zones, four to a rack."""
+    """Return ``workers`` hosts for each service, spread over the zones, four to a rack."""
     specs = []
     for n in range(len(services) * workers):
         zone = n % zones + 1
@@ -42,7 +42,7 @@
 def lists(
     services: tuple[str, ...], workers: int, move_weight: float = 1.0, buffer_weight: float = 1.0
 ) -> tuple[list[dict[str, Any]], dict[str, Any]]:
-    """Return the operators' two lists: a plan a service; the last service's pool is the spare."""
+    """Return the plans and entitlements: a plan for each service, the last pool as spare."""
     plans = [
         {
             "id": service,
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the users' platform: its store, endpoints that run tasks, and the list of hosts.
 
-For tests and the demo; written after the platform's published protocol. All of it runs in threads
-of one process, and keeps a record of every run, from which a test can judge.
+For tests and bench; follows the published protocol of the platform. Everything runs in threads
+of one process, and every run is recorded so that tests can check it.
 """
 
 import base64
@@ -26,9 +26,9 @@
 
 
 class RunRecord(msgspec.Struct):
-    """One run of a task on an endpoint; ``ended`` is 0.0 while it is under way.
+    """One run of a task on an endpoint; ``ended`` is 0.0 while it runs.
 
-    :param how: how it ended, in the platform's words.
+    :param how: how it ended, as a value of the platform's protocol.
     """
 
     endpoint: str
@@ -40,10 +40,10 @@
 
 
 class _Endpoint:
-    """One life of an endpoint; tasks take ``task_s`` seconds each.
+    """One instance of an endpoint; each task takes ``task_s`` seconds.
 
-    :param may_start: whether it may start a task on this ticket.
-    :param loses: whether the answer to what was just carried out is lost.
+    :param may_start: returns whether an endpoint may start a task with a ticket.
+    :param loses: returns whether the answer to the current call is lost after its execution.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._server.close()
 
     def tick(self) -> None:
-        """End what is through, or whose lease has lapsed."""
+        """End the runs that are complete or whose lease has expired."""
         with self._changed:
             lapsed = self._clock_ms() > self._expires_ms
             now = time.monotonic()
@@ -130,7 +130,7 @@
         call.answer_json({"clock_ms": self._clock_ms(), "born": self._born_ms} | answer)
 
     def _is_over(self, task: str, number: int) -> bool:
-        """Whether this run of a task, or a later one, was stopped or has ended here."""
+        """Return whether this run of a task, or a later one, has ended or was stopped here."""
         return number <= self._highest_over.get(task, 0)
 
     def _carry_out(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
@@ -159,10 +159,10 @@
 
 
 class _Policy:
-    """The policy service: which endpoints may run a step, and the tickets for it.
+    """The policy service, which decides where a step may run and issues tickets for it.
 
-    :ivar barred: endpoints that may run nothing.
-    :ivar needed: whether endpoints ask for tickets.
+    :ivar barred: endpoints that may not run any task.
+    :ivar needed: whether endpoints require a ticket to start a task.
     """
 
     def __init__(self) -> None:
@@ -193,11 +193,10 @@
     """The whole platform: one store, hosts with an endpoint each, and orders to hosts.
 
     :param task_s: seconds that each task takes.
-    :ivar policy: which endpoints may run steps of queues that need tickets.
-    :ivar records: every run that was ever started.
-    :ivar most_down: most hosts that were down for upkeep at once.
-    :ivar lost_every: of the calls that endpoints carry out, each how manieth loses its answer; 0
-        for none.
+    :ivar policy: the policy service.
+    :ivar records: every run that was started.
+    :ivar most_down: maximum number of hosts that were down for upkeep at the same time.
+    :ivar lost_every: the answer to every n-th call that endpoints execute is lost; 0 for none.
     """
 
     def __init__(self, task_s: float = 0.2) -> None:
@@ -228,7 +227,7 @@
         self._ticker.start()
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all threads, endpoints and servers."""
         self._ended.set()
         self._ticker.join()
         for endpoint in list(self._endpoints.values()):
@@ -245,9 +244,10 @@
         return host
 
     def configure(self, version: int, queues: dict[str, str], *, advised: bool = False) -> None:
-        """Put a configuration in force: each queue's pool by its prefix.
+        """Write a configuration to the store.
 
-        :param advised: starts need tickets of the policy service.
+        :param queues: pool of each queue, by the path prefix of the queue.
+        :param advised: whether starts need tickets of the policy service.
         """
         self.policy.needed = advised
         advice = {"decide_ms": 1, "period_ms": 1, "valid_ms": int(TICKET_S * 1000)}
@@ -263,21 +263,21 @@
         self.store.put("op/config", msgspec.json.encode(value))
 
     def declare_wave(self, number: int, hosts: list[str], cap: int) -> None:
-        """Ask for the upkeep of hosts."""
+        """Write a wave that requests the upkeep of hosts."""
         value = {"wave": number, "machines": hosts, "within_s": 20, "cap": cap}
         self.store.put(f"op/wave/{number}", msgspec.json.encode(value))
 
     def value(self, key: str) -> dict[str, Any] | None:
-        """Return a key's value, decoded; ``None`` if it is absent."""
+        """Return the decoded value of a key, or ``None`` if it is absent."""
         item = self.store.items.get(key)
         return msgspec.json.decode(base64.b64decode(item["value"])) if item is not None else None
 
     def hosts_of(self, pool: str) -> list[str]:
-        """Return a pool's hosts."""
+        """Return the hosts of a pool."""
         return [name for name, host in self._hosts.items() if host["pool"] == pool]
 
     def endpoint_of(self, host: str) -> str:
-        """Return the endpoint that lives on a host."""
+        """Return the name of the endpoint on a host."""
         return self._endpoints[host].name
 
     def _loses_answer(self) -> bool:
@@ -291,7 +291,7 @@
                     endpoint.tick()
 
     def _settle(self, host: str) -> None:
-        """Let a new endpoint live on a host."""
+        """Start a new endpoint on a host, unless the host is in the standby pool."""
         entry = self._hosts[host]
         entry["state"] = "up"
         if entry["pool"] == "standby":
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint stand-in: slots, record and faults."""
+"""Slots, record and faults of the endpoint stand-in."""
 
 import hashlib
 import threading
--- a/tests/standins/test_loopback.py
+++ b/tests/standins/test_loopback.py
@@ -1,4 +1,4 @@
-"""Addresses of tests that run side by side."""
+"""Loopback addresses of tests that run in parallel."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 
 class LoopbackTest(TestCase):
     def test_no_two_processes_of_tests_get_the_same_address(self) -> None:
-        """A host of a test never got ready, as another test's process listened on its port."""
+        """If two processes share an address, a host never becomes ready: its port is taken."""
         own = [an_address() for _ in range(DRAWS)]
         child = subprocess.run(
             [sys.executable, "-c", DRAW], capture_output=True, check=True, text=True
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -1,4 +1,4 @@
-"""The network's stand-in: what crosses zones can be cut off and comes through later."""
+"""The relay delays data between partitioned zones until the partition ends."""
 
 import socket
 import threading
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -1,4 +1,4 @@
-"""The stand-in's store keeps etcd's revisions."""
+"""The store of the stand-in assigns revisions like etcd."""
 
 from testtools import TestCase
 from testtools.matchers import Equals, MatchesStructure
