--- a/bench/config.py
+++ b/bench/config.py
@@ -48,18 +48,18 @@
     def start(self) -> None:
         """Start the stand-ins and all processes but those left out."""
         self.site.start_standins()
-        self.site.put_hosts(frozenset({"entry-4-2"}))
+        self.site.publish_hosts(frozenset({"entry-4-2"}))
         for name in self.processes:
             self.site.start(name)
         for name in self.controllers:
-            address = self.site.operator(name)
-            self.site.wait(lambda a=address: self.site._answers(a, "/healthz"), name)
+            address = self.site.operator_address(name)
+            self.site.wait_until(lambda a=address: self.site._responds(a, "/healthz"), name)
         time.sleep(SETTLE_S)
 
     def cut_off(self, zone: int) -> None:
         """Cut a zone off from the platform, but not from the other zones."""
         self.edit()
-        self.site.faults(self.site.control, cut=[self.site.platform(zone)])
+        self.site.set_faults(self.site.control_address, cut=[self.site.platform_address(zone)])
         self.cut = frozenset(n for n in self.controllers if n.startswith(f"ct-{zone}-"))
         time.sleep(SETTLE_S)
 
@@ -69,9 +69,9 @@
         self.plans[0]["start_within_s"] = 5.0 + self.edits % 1000
         body = {"base": self.revision, "plans": self.plans, "entitlements": self.entitlements}
         able = [name for name in self.controllers if name not in self.cut]
-        address = self.site.operator(able[self.edits % len(able)])
+        address = self.site.operator_address(able[self.edits % len(able)])
         sent = time.time()
-        answer: dict[str, Any] = self.site.json(
+        answer: dict[str, Any] = self.site.request_json(
             "PUT", address, "/v1/config", body, Authorization=f"Bearer {OPERATOR_TOKEN}"
         )
         if "revision" not in answer or answer.get("verdict") != "accepted":
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -39,10 +39,10 @@
         bare_proxy(site, "new", 91) as proxy_new,
     ):
         ways = {
-            "direct": site.endpoint(site.spec.hosts[0]),
+            "direct": site.endpoint_address(site.spec.hosts[0]),
             "bare": proxy,
             "bare_new": proxy_new,
-            "gateway": site.caller(site.gateways[0]),
+            "gateway": site.caller_address(site.gateways[0]),
         }
         for method, callers in CASES:
             if arguments.method not in (None, method):
@@ -62,23 +62,23 @@
         (folder / "entitlements.json").write_text(json.dumps(entitlements))
         site.ctl("config", "apply", str(folder), "--no-wait")
         site.wait_ready()
-        site.wait(lambda: all(ran(site, host) for host in hosts), "all hosts to serve")
+        site.wait_until(lambda: all(ran(site, host) for host in hosts), "all hosts to serve")
         yield site
 
 
 def ran(site: Site, host: HostSpec) -> bool:
     """Send a job, and return whether ``host`` has run one."""
     headers = dict(pair.split("=", 1) for pair in HEADERS)
-    url = f"http://{site.caller(site.gateways[0])}/{SERVICE}/x"
+    url = f"http://{site.caller_address(site.gateways[0])}/{SERVICE}/x"
     site.http.request("GET", url, headers=headers, timeout=15.0)
-    return bool(site.record(host))
+    return bool(site.runs_of(host))
 
 
 @contextlib.contextmanager
 def bare_proxy(site: Site, connections: str, number: int) -> Iterator[str]:
     """Yield the address of a bare proxy to the site's endpoints."""
     address = site.address(1, number, 8080)
-    endpoints = [site.endpoint(host) for host in site.spec.hosts]
+    endpoints = [site.endpoint_address(host) for host in site.spec.hosts]
     process = subprocess.Popen(
         [sys.executable, "-m", "bench._bare_proxy", address, connections, *endpoints]
     )
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -53,7 +53,7 @@
 
     def _is_ready(self, name: str) -> bool:
         try:
-            url = f"http://{self.site.caller(name)}/readyz"
+            url = f"http://{self.site.caller_address(name)}/readyz"
             return self.http.request("GET", url, timeout=1.0).status == 200
         except urllib3.exceptions.HTTPError:
             return False
@@ -99,7 +99,7 @@
         try:
             answer = self.balancer.http.request(
                 "POST",
-                f"http://{self.balancer.site.caller(name)}/{service}/emboss",
+                f"http://{self.balancer.site.caller_address(name)}/{service}/emboss",
                 body=b"page",
                 headers={"Authorization": f"Bearer {token(service)}", "Standin-Run-S": RUN_S},
                 timeout=ANSWER_TIMEOUT_S,
@@ -132,7 +132,7 @@
         for name in (gateway, gateway.replace("gw", "ct")):
             end(name)
             site.start(name)
-        site.wait_answer(site.caller(gateway), "/readyz")
+        site.wait_answer(site.caller_address(gateway), "/readyz")
         time.sleep(PAUSE_S)
     elapsed_s = time.monotonic() - began
     callers.close()
--- a/standins/_etcd_http.py
+++ b/standins/_etcd_http.py
@@ -15,7 +15,14 @@
     StoreError,
 )
 
-__all__ = ["HTTP_STATUS_BY_CODE", "MAX_REQUEST_BYTES", "answer", "decoded", "event", "header"]
+__all__ = [
+    "HTTP_STATUS_BY_CODE",
+    "MAX_REQUEST_BYTES",
+    "decode_field",
+    "event",
+    "execute",
+    "header",
+]
 
 MAX_REQUEST_BYTES = 1536 * 1024
 HTTP_STATUS_BY_CODE = {3: 400, 5: 404, 8: 429, 11: 400, 12: 501, 14: 503}
@@ -30,7 +37,7 @@
     return {"cluster_id": "1", "member_id": "1", "revision": str(revision), "raft_term": "2"}
 
 
-def answer(store: Store, reads: Store, path: str, request: Json) -> Json:
+def execute(store: Store, reads: Store, path: str, request: Json) -> Json:
     """Execute one call and return its response.
 
     :param reads: store that serves range reads; differs from ``store`` while reads are stale.
@@ -44,7 +51,7 @@
 def event(change: Change) -> Json:
     """Return a change as a watch event."""
     if change.after is None:
-        kv = {"key": _text(change.key), "mod_revision": str(change.revision)}
+        kv = {"key": _to_base64(change.key), "mod_revision": str(change.revision)}
         return {"type": "DELETE", "kv": kv}
     return {"kv": _key_value(change.after)}
 
@@ -52,21 +59,21 @@
 def _range(store: Store, request: Json) -> Json:
     if int(request.get("revision", 0)):
         raise StoreError(UNIMPLEMENTED, "this stand-in does not support reads at a past revision")
-    keys, revision = store.range(decoded(request, "key"), decoded(request, "range_end"))
-    answered: Json = {"header": header(revision)}
+    keys, revision = store.range(decode_field(request, "key"), decode_field(request, "range_end"))
+    response: Json = {"header": header(revision)}
     if keys:
         limit = int(request.get("limit", 0)) or len(keys)
-        shown = [_key_value(key) for key in _sorted(keys, request)[:limit]]
+        kvs = [_key_value(key) for key in _sort_keys(keys, request)[:limit]]
         if request.get("keys_only"):
-            shown = [{n: v for n, v in kv.items() if n != "value"} for kv in shown]
-        answered["kvs"] = shown
-        answered["count"] = str(len(keys))
+            kvs = [{n: v for n, v in kv.items() if n != "value"} for kv in kvs]
+        response["kvs"] = kvs
+        response["count"] = str(len(keys))
         if limit < len(keys):
-            answered["more"] = True
-    return answered
+            response["more"] = True
+    return response
 
 
-def _sorted(keys: list[Key], request: Json) -> list[Key]:
+def _sort_keys(keys: list[Key], request: Json) -> list[Key]:
     order = request.get("sort_order", "NONE")
     target = request.get("sort_target", "KEY")
     if order == "NONE":
@@ -82,10 +89,10 @@
 
 def _delete_range(store: Store, request: Json) -> Json:
     _, revision, deleted = store.txn([], [_delete_write(request)], [])
-    answered: Json = {"header": header(revision)}
+    response: Json = {"header": header(revision)}
     if deleted[0]:
-        answered["deleted"] = str(deleted[0])
-    return answered
+        response["deleted"] = str(deleted[0])
+    return response
 
 
 def _txn(store: Store, request: Json) -> Json:
@@ -94,16 +101,16 @@
         [_write(operation) for operation in request.get("success", [])],
         [_write(operation) for operation in request.get("failure", [])],
     )
-    answered: Json = {"header": header(revision)}
+    response: Json = {"header": header(revision)}
     if succeeded:
-        answered["succeeded"] = True
-    done = request.get("success" if succeeded else "failure", [])
-    if done:
-        answered["responses"] = [
+        response["succeeded"] = True
+    operations = request.get("success" if succeeded else "failure", [])
+    if operations:
+        response["responses"] = [
             _response(operation, count, revision)
-            for operation, count in zip(done, deleted, strict=True)
+            for operation, count in zip(operations, deleted, strict=True)
         ]
-    return answered
+    return response
 
 
 def _response(operation: Json, deleted: int, revision: int) -> Json:
@@ -161,14 +168,14 @@
 
 
 def _put_write(request: Json) -> PutWrite:
-    key = decoded(request, "key")
+    key = decode_field(request, "key")
     if not key:
         raise StoreError(INVALID_ARGUMENT, "etcdserver: key is not provided")
-    return PutWrite(key, decoded(request, "value"), int(request.get("lease", 0)))
+    return PutWrite(key, decode_field(request, "value"), int(request.get("lease", 0)))
 
 
 def _delete_write(request: Json) -> DeleteWrite:
-    return DeleteWrite(decoded(request, "key"), decoded(request, "range_end"))
+    return DeleteWrite(decode_field(request, "key"), decode_field(request, "range_end"))
 
 
 def _condition(compare: Json) -> Condition:
@@ -179,28 +186,28 @@
         "MOD": "mod_revision",
         "VALUE": "value",
     }[target]
-    operand = decoded(compare, field) if target == "VALUE" else int(compare.get(field, 0))
-    return Condition(decoded(compare, "key"), target, compare.get("result", "EQUAL"), operand)
+    operand = decode_field(compare, field) if target == "VALUE" else int(compare.get(field, 0))
+    return Condition(decode_field(compare, "key"), target, compare.get("result", "EQUAL"), operand)
 
 
 def _key_value(key: Key) -> Json:
-    shown: Json = {
-        "key": _text(key.key),
+    encoded: Json = {
+        "key": _to_base64(key.key),
         "create_revision": str(key.created),
         "mod_revision": str(key.modified),
         "version": str(key.version),
     }
     if key.value:
-        shown["value"] = _text(key.value)
+        encoded["value"] = _to_base64(key.value)
     if key.lease:
-        shown["lease"] = str(key.lease)
-    return shown
+        encoded["lease"] = str(key.lease)
+    return encoded
 
 
-def decoded(request: Json, name: str) -> bytes:
+def decode_field(request: Json, name: str) -> bytes:
     """Return the bytes of a base64 field; empty if the field is missing."""
     return b64decode(request.get(name, ""), validate=True)
 
 
-def _text(data: bytes) -> str:
+def _to_base64(data: bytes) -> str:
     return b64encode(data).decode()
--- a/standins/_http.py
+++ b/standins/_http.py
@@ -14,11 +14,11 @@
 
 __all__ = ["Call", "Server"]
 
-KEPT_CONNECTIONS = 1000
+MAX_KEEP_ALIVE_CONNECTIONS = 1000
 BACKLOG = 512
-STOP_S = 0.2
-LOOK_S = 0.05
-WAKE_S = 0.01
+SHUTDOWN_TIMEOUT_S = 0.2
+POLL_INTERVAL_S = 0.05
+WAKE_INTERVAL_S = 0.01
 JSON_TYPE = "application/json"
 
 
@@ -83,7 +83,7 @@
         else:
             sock.shutdown(socket.SHUT_RDWR)
 
-    def hung_up(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client closed the connection."""
         sock = self._request.conn.socket
         try:
@@ -98,8 +98,8 @@
     def hold_while(self, held: Callable[[], bool]) -> None:
         """Block until ``held`` returns false or the client closes the connection."""
         pause = threading.Event()
-        while held() and not self.hung_up():
-            pause.wait(LOOK_S)
+        while held() and not self.client_disconnected():
+            pause.wait(POLL_INTERVAL_S)
 
 
 class Server:
@@ -110,10 +110,10 @@
     """
 
     def __init__(self, address: str, handle: Callable[[Call, str], None], threads: int) -> None:
-        self._server = _prepared(address, threads)
+        self._server = _prepare_server(address, threads)
         host = address.rpartition(":")[0]
         self.address = f"{host}:{self._server.bind_addr[1]}"
-        self._server.gateway = _gateway(handle, self.address)
+        self._server.gateway = _gateway_class(handle, self.address)
         self._thread = threading.Thread(target=self._server.serve, daemon=True)
 
     def start(self) -> None:
@@ -125,33 +125,33 @@
         stopper = threading.Thread(target=self._server.stop)
         stopper.start()
         while stopper.is_alive():
-            self._wake()
-            stopper.join(WAKE_S)
+            self._wake_server()
+            stopper.join(WAKE_INTERVAL_S)
         self._thread.join()
 
-    def _wake(self) -> None:
+    def _wake_server(self) -> None:
         # cheroot checks its stop flag only after a new connection or a 0.5 s timeout.
         host, _, port = self.address.rpartition(":")
         with contextlib.suppress(OSError):
-            socket.create_connection((host, int(port)), timeout=WAKE_S).close()
+            socket.create_connection((host, int(port)), timeout=WAKE_INTERVAL_S).close()
 
 
-def _prepared(address: str, threads: int) -> Any:
+def _prepare_server(address: str, threads: int) -> Any:
     host, _, port = address.rpartition(":")
     server: Any = HTTPServer((host, int(port)), Gateway, minthreads=threads)
-    changes = {
-        "keep_alive_conn_limit": KEPT_CONNECTIONS,
+    options = {
+        "keep_alive_conn_limit": MAX_KEEP_ALIVE_CONNECTIONS,
         "request_queue_size": BACKLOG,
-        "shutdown_timeout": STOP_S,
+        "shutdown_timeout": SHUTDOWN_TIMEOUT_S,
         "error_log": _log,
     }
-    for name, value in changes.items():
+    for name, value in options.items():
         setattr(server, name, value)
     server.prepare()
     return server
 
 
-def _gateway(handle: Callable[[Call, str], None], address: str) -> type[Gateway]:
+def _gateway_class(handle: Callable[[Call, str], None], address: str) -> type[Gateway]:
     class CallGateway(Gateway):
         def respond(self) -> None:
             handle(Call(self.req), address)
--- a/standins/_store.py
+++ b/standins/_store.py
@@ -54,7 +54,7 @@
     """A granted lease."""
 
     ttl_s: int
-    lapses_at: float
+    expires_at: float
     keys: set[bytes] = msgspec.field(default_factory=set)
 
 
@@ -102,7 +102,7 @@
     def range(self, key: bytes, end: bytes) -> tuple[list[Key], int]:
         """Return the keys of a range, sorted, and the revision of the read."""
         with self.changed:
-            self.lapse()
+            self.expire_leases()
             return self._select(key, end), self.revision
 
     def txn(
@@ -117,11 +117,11 @@
             number of keys it deleted.
         """
         with self.changed:
-            self.lapse()
-            held = all(self._holds(condition) for condition in conditions)
-            writes = then if held else otherwise
+            self.expire_leases()
+            conditions_hold = all(self._is_met(condition) for condition in conditions)
+            writes = then if conditions_hold else otherwise
             self._check(writes)
-            return held, *self._apply(writes)
+            return conditions_hold, *self._apply(writes)
 
     def compact(self, revision: int) -> None:
         """Discard the history before ``revision``."""
@@ -133,40 +133,40 @@
             self.compacted = revision
             self.history = [c for c in self.history if c.revision >= revision]
 
-    def since(self, revision: int, key: bytes, end: bytes) -> tuple[list[Change], int]:
+    def changes_since(self, revision: int, key: bytes, end: bytes) -> tuple[list[Change], int]:
         """Return the changes of a range at or after ``revision``, and the store's revision."""
         with self.changed:
-            self.lapse()
+            self.expire_leases()
             first = bisect_left(self.history, revision, key=lambda change: change.revision)
             changes = itertools.islice(self.history, first, None)
-            return [c for c in changes if _within(c.key, key, end)], self.revision
+            return [c for c in changes if _in_range(c.key, key, end)], self.revision
 
     def copy(self) -> "Store":
         """Return a new store with the current keys, without leases and history."""
         with self.changed:
-            twin = Store(self._clock)
-            twin.revision = self.revision
-            twin._keys_by_name = dict(self._keys_by_name)
-            return twin
+            snapshot = Store(self._clock)
+            snapshot.revision = self.revision
+            snapshot._keys_by_name = dict(self._keys_by_name)
+            return snapshot
 
-    def grant(self, ttl_s: int, wanted: int = 0) -> int:
+    def grant(self, ttl_s: int, requested_id: int = 0) -> int:
         """Grant a lease."""
         if ttl_s <= 0:
             raise StoreError(OUT_OF_RANGE, "etcdserver: too large lease TTL")
         with self.changed:
-            lease = wanted or next(self._lease_ids)
+            lease = requested_id or next(self._lease_ids)
             self._leases_by_id[lease] = Lease(ttl_s, self._clock() + ttl_s)
             return lease
 
     def keep_alive(self, lease: int) -> int:
         """Renew a lease; return its time to live in seconds, or 0 if there is no such lease."""
         with self.changed:
-            self.lapse()
-            held = self._leases_by_id.get(lease)
-            if held is None:
+            self.expire_leases()
+            active = self._leases_by_id.get(lease)
+            if active is None:
                 return 0
-            held.lapses_at = self._clock() + held.ttl_s
-            return held.ttl_s
+            active.expires_at = self._clock() + active.ttl_s
+            return active.ttl_s
 
     def revoke(self, lease: int) -> None:
         """Revoke a lease and delete its keys."""
@@ -176,11 +176,13 @@
             keys = sorted(self._leases_by_id.pop(lease).keys)
             self._apply([DeleteWrite(key) for key in keys])
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
         """Revoke the leases that have expired."""
         with self.changed:
             now = self._clock()
-            for lease in [i for i, held in self._leases_by_id.items() if held.lapses_at <= now]:
+            for lease in [
+                i for i, active in self._leases_by_id.items() if active.expires_at <= now
+            ]:
                 self.revoke(lease)
 
     def leases(self) -> list[int]:
@@ -191,21 +193,21 @@
     def _select(self, key: bytes, end: bytes) -> list[Key]:
         if not end:
             return [self._keys_by_name[key]] if key in self._keys_by_name else []
-        names = sorted(name for name in self._keys_by_name if _within(name, key, end))
+        names = sorted(name for name in self._keys_by_name if _in_range(name, key, end))
         return [self._keys_by_name[name] for name in names]
 
-    def _holds(self, condition: Condition) -> bool:
-        held = self._keys_by_name.get(condition.key)
-        found: int | bytes | None
+    def _is_met(self, condition: Condition) -> bool:
+        current = self._keys_by_name.get(condition.key)
+        actual: int | bytes | None
         if condition.target == "VALUE":
-            found = held.value if held else None
-            if found is None:
+            actual = current.value if current else None
+            if actual is None:
                 return False
         else:
             absent = Key(condition.key, b"", 0, 0, 0)
             field = {"MOD": "modified", "CREATE": "created", "VERSION": "version"}
-            found = getattr(held or absent, field[condition.target])
-        return _compare(found, condition.result, condition.operand)
+            actual = getattr(current or absent, field[condition.target])
+        return _compare(actual, condition.result, condition.operand)
 
     def _check(self, writes: list[PutWrite | DeleteWrite]) -> None:
         if len(writes) > MAX_TXN_OPERATIONS:
@@ -213,8 +215,10 @@
         puts = [w for w in writes if isinstance(w, PutWrite)]
         deletions = [w for w in writes if isinstance(w, DeleteWrite)]
         names = [put.key for put in puts]
-        twice = len(set(names)) < len(names)
-        if twice or any(_within(name, d.key, d.end) for name in names for d in deletions):
+        has_duplicates = len(set(names)) < len(names)
+        if has_duplicates or any(
+            _in_range(name, d.key, d.end) for name in names for d in deletions
+        ):
             raise StoreError(INVALID_ARGUMENT, "etcdserver: duplicate key given in txn request")
         if any(put.lease and put.lease not in self._leases_by_id for put in puts):
             raise StoreError(NOT_FOUND, "etcdserver: requested lease not found")
@@ -232,17 +236,17 @@
 
     def _write(self, write: PutWrite | DeleteWrite, revision: int) -> int:
         if isinstance(write, DeleteWrite):
-            gone = self._select(write.key, write.end)
-            for key in gone:
+            deleted = self._select(write.key, write.end)
+            for key in deleted:
                 self._detach(key)
                 del self._keys_by_name[key.key]
                 self.history.append(Change(key.key, revision, None))
-            return len(gone)
-        held = self._keys_by_name.get(write.key)
-        if held is not None:
-            self._detach(held)
-        created = held.created if held else revision
-        version = held.version + 1 if held else 1
+            return len(deleted)
+        current = self._keys_by_name.get(write.key)
+        if current is not None:
+            self._detach(current)
+        created = current.created if current else revision
+        version = current.version + 1 if current else 1
         after = Key(write.key, write.value, created, revision, version, write.lease)
         self._keys_by_name[write.key] = after
         if write.lease:
@@ -256,7 +260,7 @@
             lease.keys.discard(key.key)
 
 
-def _within(name: bytes, key: bytes, end: bytes) -> bool:
+def _in_range(name: bytes, key: bytes, end: bytes) -> bool:
     if not end:
         return name == key
     return name >= key and (end == b"\0" or name < end)
--- a/standins/_users_store.py
+++ b/standins/_users_store.py
@@ -27,7 +27,7 @@
         self.items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
         self._leases: dict[int, float] = {}
-        self._ids = itertools.count(1)
+        self._lease_ids = itertools.count(1)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
         with self.changed:
@@ -37,13 +37,13 @@
         with self.changed:
             self._apply([], [key])
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """Remove the keys of expired leases."""
         with self.changed:
             now = time.monotonic()
-            over = {lease for lease, end in self._leases.items() if end < now}
-            for lease in over:
-                self._end(lease)
+            expired = {lease for lease, end in self._leases.items() if end < now}
+            for lease in expired:
+                self._revoke(lease)
 
     def serve(self, call: Call) -> None:
         query = {name: values[0] for name, values in parse_qs(call.query).items()}
@@ -51,7 +51,11 @@
             call.answer(503, b"")
         elif call.path == "/kv-key":
             item = self.items.get(query["key"])
-            call.answer(404, b"") if item is None else call.answer_json(item | self._at())
+            (
+                call.answer(404, b"")
+                if item is None
+                else call.answer_json(item | self._revision_field())
+            )
         elif call.path == "/kv-range":
             self._range(call, query["prefix"])
         elif call.path == "/kv-watch":
@@ -61,43 +65,45 @@
         elif call.path == "/kv-lease":
             self._grant(call, msgspec.json.decode(call.body)["ttl_ms"])
         elif call.path.startswith("/kv-keep/"):
-            self._keep(call, int(call.path.rpartition("/")[2]))
+            self._keep_alive(call, int(call.path.rpartition("/")[2]))
         else:
             with self.changed:
-                self._end(int(call.path.rpartition("/")[2]))
+                self._revoke(int(call.path.rpartition("/")[2]))
             call.answer_json({})
 
-    def _at(self) -> dict[str, int]:
+    def _revision_field(self) -> dict[str, int]:
         return {"at_rev": self.revision}
 
     def _range(self, call: Call, prefix: str) -> None:
         with self.changed:
             items = [item for key, item in sorted(self.items.items()) if key.startswith(prefix)]
-            answer = {"items": items, "truncated": False} | self._at()
+            answer = {"items": items, "truncated": False} | self._revision_field()
         call.answer_json(answer)
 
     def _watch(self, call: Call, query: dict[str, str]) -> None:
         prefix, after = query["prefix"], int(query["after"])
         with self.changed:
             self.changed.wait_for(
-                lambda: bool(self._news(prefix, after)), int(query["wait_ms"]) / 1000
+                lambda: bool(self._events_after(prefix, after)), int(query["wait_ms"]) / 1000
             )
-            answer = {"events": self._news(prefix, after)} | self._at()
+            answer = {"events": self._events_after(prefix, after)} | self._revision_field()
         call.answer_json(answer)
 
-    def _news(self, prefix: str, after: int) -> list[dict[str, Any]]:
+    def _events_after(self, prefix: str, after: int) -> list[dict[str, Any]]:
         return [e for e in self._history if e["revision"] > after and e["key"].startswith(prefix)]
 
     def _txn(self, call: Call, txn: dict[str, Any]) -> None:
         with self.changed:
-            held = all(
+            succeeded = all(
                 self.items.get(row["key"], {}).get("revision", 0) == row["revision"]
                 for row in txn["precondition"]
             )
-            if held:
+            if succeeded:
                 self._apply(txn["writes"], txn["remove"])
             revision = self.revision
-        call.answer_json({"revision": revision} if held else {"items": []}, 200 if held else 412)
+        call.answer_json(
+            {"revision": revision} if succeeded else {"items": []}, 200 if succeeded else 412
+        )
 
     def _apply(self, writes: list[dict[str, Any]], remove: list[str]) -> None:
         self.revision += 1
@@ -111,19 +117,19 @@
         self.changed.notify_all()
 
     def _grant(self, call: Call, ttl_ms: int) -> None:
-        lease = next(self._ids)
+        lease = next(self._lease_ids)
         with self.changed:
             self._leases[lease] = time.monotonic() + ttl_ms / 1000
         call.answer_json({"lease": lease, "ttl_ms": ttl_ms})
 
-    def _keep(self, call: Call, lease: int) -> None:
+    def _keep_alive(self, call: Call, lease: int) -> None:
         with self.changed:
-            known = lease in self._leases
-            if known:
+            exists = lease in self._leases
+            if exists:
                 self._leases[lease] = time.monotonic() + 1.6
-        call.answer_json({"ttl_ms": 1600}) if known else call.answer(404, b"")
+        call.answer_json({"ttl_ms": 1600}) if exists else call.answer(404, b"")
 
-    def _end(self, lease: int) -> None:
+    def _revoke(self, lease: int) -> None:
         self._leases.pop(lease, None)
         keys = [key for key, item in self.items.items() if item["lease"] == lease]
         if keys:
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -24,8 +24,8 @@
 
 SLOTS = 8
 DEFAULT_RUN_S = 0.01
-KEPT_RUNS = 200_000
-PART_BYTES = 256 * 1024
+MAX_RECORDED_RUNS = 200_000
+CHUNK_BYTES = 256 * 1024
 STATE_HEADER = "Endpoint-State"
 LEAVING = {STATE_HEADER: "leaving"}
 
@@ -89,11 +89,11 @@
         self.slots = slots
         self.faults = Faults()
         self.overcommitted = 0
-        self.most_running = 0
+        self.max_running = 0
         self._threads = threads or 2 * slots + 4
-        self._free = threading.Semaphore(slots)
+        self._free_slots = threading.Semaphore(slots)
         self._lock = threading.Lock()
-        self._runs: deque[Run] = deque(maxlen=KEPT_RUNS)
+        self._runs: deque[Run] = deque(maxlen=MAX_RECORDED_RUNS)
         self._numbers = itertools.count(1)
         self._running = 0
         self._closed = threading.Event()
@@ -129,13 +129,13 @@
             "host": self.host,
             "running": self._running,
             "runs": len(self._runs),
-            "most_running": self.most_running,
+            "most_running": self.max_running,
             "overcommitted": self.overcommitted,
         }
 
     def _serve(self, call: Call, _address: str) -> None:
         if call.path.startswith("/standin/"):
-            self._control(call)
+            self._handle_control(call)
         elif self.faults.silent:
             call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
             call.cut()
@@ -146,30 +146,30 @@
         elif self.faults.leaving:
             call.answer(503, b"", LEAVING)
         else:
-            self._take(call)
+            self._run_job(call)
 
-    def _take(self, call: Call) -> None:
+    def _run_job(self, call: Call) -> None:
         body = call.body
-        if not self._free.acquire(blocking=False):
+        if not self._free_slots.acquire(blocking=False):
             with self._lock:
                 self.overcommitted += 1
-            self._free.acquire()
-        run = self._begin(call)
+            self._free_slots.acquire()
+        run = self._record_start(call)
         try:
             self._closed.wait(float(call.header("Standin-Run-S", str(DEFAULT_RUN_S))))
         finally:
             run.finished = time.time()
             with self._lock:
                 self._running -= 1
-            self._free.release()
+            self._free_slots.release()
         self._answer(call, run, body)
 
-    def _begin(self, call: Call) -> Run:
+    def _record_start(self, call: Call) -> Run:
         with self._lock:
             run = Run(call.header("Standin-Job"), call.path, next(self._numbers), time.time())
             self._runs.append(run)
             self._running += 1
-            self.most_running = max(self.most_running, self._running)
+            self.max_running = max(self.max_running, self._running)
         return run
 
     def _answer(self, call: Call, run: Run, body: bytes) -> None:
@@ -178,10 +178,10 @@
             call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
             call.cut()
             return
-        if self._uses_up("lose_answers"):
+        if self._consume_fault("lose_answers"):
             call.cut()
             return
-        wanted = int(call.header("Standin-Answer-Bytes", "0"))
+        requested_bytes = int(call.header("Standin-Answer-Bytes", "0"))
         summary = {
             "host": self.host,
             "bytes": len(body),
@@ -189,38 +189,38 @@
             "run": run.number,
             "job": run.job,
         }
-        shown = msgspec.json.encode(summary)
-        self._send(call, run, shown, wanted or len(shown))
+        encoded = msgspec.json.encode(summary)
+        self._send(call, run, encoded, requested_bytes or len(encoded))
 
-    def _send(self, call: Call, run: Run, shown: bytes, length: int) -> None:
+    def _send(self, call: Call, run: Run, encoded: bytes, length: int) -> None:
         headers = {"Content-Length": str(length), "Content-Type": "application/json"}
         call.begin(200, headers | (LEAVING if self.faults.leaving else {}))
-        end = length // 2 if self._uses_up("truncate") else length
-        if length == len(shown):
-            call.write(shown[:end])
+        end = length // 2 if self._consume_fault("truncate") else length
+        if length == len(encoded):
+            call.write(encoded[:end])
         else:
-            _write_filler(call, end)
+            _write_padding(call, end)
         if end < length:
             call.cut()
             return
         run.whole = True
         if self.faults.twice:
-            head = f"HTTP/1.1 200 Again\r\nContent-Length: {len(shown)}\r\n\r\n".encode()
-            call.write_raw(head + shown)
+            head = f"HTTP/1.1 200 Again\r\nContent-Length: {len(encoded)}\r\n\r\n".encode()
+            call.write_raw(head + encoded)
 
-    def _uses_up(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
-            left: int = getattr(self.faults, fault)
-            self.faults = msgspec.structs.replace(self.faults, **{fault: max(0, left - 1)})
-            return left > 0
+            remaining: int = getattr(self.faults, fault)
+            self.faults = msgspec.structs.replace(self.faults, **{fault: max(0, remaining - 1)})
+            return remaining > 0
 
-    def _control(self, call: Call) -> None:
-        what = (call.method, call.path)
-        if what == ("GET", "/standin/record"):
+    def _handle_control(self, call: Call) -> None:
+        request = (call.method, call.path)
+        if request == ("GET", "/standin/record"):
             call.answer_json(self.record())
-        elif what == ("GET", "/standin/status"):
+        elif request == ("GET", "/standin/status"):
             call.answer_json(self.status())
-        elif what == ("POST", "/standin/faults"):
+        elif request == ("POST", "/standin/faults"):
             try:
                 self.set_faults(**msgspec.json.decode(call.body))
                 call.answer_json(self.faults)
@@ -230,18 +230,18 @@
             call.answer_json({"error": "no such control"}, 404)
 
 
-class _Listing(msgspec.Struct, forbid_unknown_fields=True):
+class _EndpointConfig(msgspec.Struct, forbid_unknown_fields=True):
     listen: str
     host: str
     slots: int = SLOTS
 
 
-def _write_filler(call: Call, length: int) -> None:
-    part = b"lentilrill " * (PART_BYTES // 11)
-    left = length
-    while left > 0:
-        call.write(part[:left])
-        left -= min(left, len(part))
+def _write_padding(call: Call, length: int) -> None:
+    chunk = b"lentilrill " * (CHUNK_BYTES // 11)
+    remaining = length
+    while remaining > 0:
+        call.write(chunk[:remaining])
+        remaining -= min(remaining, len(chunk))
 
 
 def main() -> None:
@@ -255,10 +255,10 @@
     arguments = parser.parse_args()
     if bool(arguments.listen) == bool(arguments.many):
         parser.error("give either --listen or --many")
-    listings = [_Listing(arguments.listen or "", arguments.host, arguments.slots)]
+    configs = [_EndpointConfig(arguments.listen or "", arguments.host, arguments.slots)]
     if arguments.many:
-        listings = msgspec.json.decode(arguments.many.read_bytes(), type=list[_Listing])
-    endpoints = [EndpointStandin(i.listen, i.host, i.slots, arguments.threads) for i in listings]
+        configs = msgspec.json.decode(arguments.many.read_bytes(), type=list[_EndpointConfig])
+    endpoints = [EndpointStandin(i.listen, i.host, i.slots, arguments.threads) for i in configs]
     stopped = stop_event()
     with ThreadPoolExecutor(max_workers=16) as pool:
         list(pool.map(EndpointStandin.start, endpoints))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -27,11 +27,11 @@
 
 THREADS = 64
 CONTROL_THREADS = 4
-PROGRESS_S = 1.0
-KEPT_LISTS = 1000
+PROGRESS_INTERVAL_S = 1.0
+MAX_HOST_LISTS = 1000
 GZIP_LEVEL = 4
-WRITES = {"/v3/kv/put", "/v3/kv/deleterange", "/v3/kv/txn"}
-WATCH = "/v3/watch"
+WRITE_PATHS = {"/v3/kv/put", "/v3/kv/deleterange", "/v3/kv/txn"}
+WATCH_PATH = "/v3/watch"
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -71,7 +71,7 @@
         *addresses: str,
         control: str = "",
         threads: int = THREADS,
-        progress_s: float = PROGRESS_S,
+        progress_s: float = PROGRESS_INTERVAL_S,
         clock: Callable[[], float] = time.monotonic,
         now: Callable[[], float] = time.time,
     ) -> None:
@@ -81,12 +81,14 @@
         self._control_address = control
         self._threads = threads
         self._progress_s = progress_s
-        self._now = now
+        self._wall_clock = now
         self._lock = threading.Lock()
         self._calls_by_kind: Counter[str] = Counter()
         self._stale_store = self.store
         self._stale_hosts: tuple[float, tuple[HostInfo, ...]] | None = None
-        self._lists: deque[tuple[float, tuple[HostInfo, ...]]] = deque([(0.0, ())], KEPT_LISTS)
+        self._host_lists: deque[tuple[float, tuple[HostInfo, ...]]] = deque(
+            [(0.0, ())], MAX_HOST_LISTS
+        )
         self._closed = threading.Event()
         self._servers: list[Server] = []
         self.addresses = addresses or ("127.0.0.1:0",)
@@ -121,17 +123,17 @@
             self.faults = msgspec.convert(merged, Faults)
             if self.faults.stale and not before.stale:
                 self._stale_store = self.store.copy()
-                self._stale_hosts = self._lagging()
+                self._stale_hosts = self._lagged_hosts()
 
     def set_hosts(self, hosts: tuple[HostInfo, ...]) -> None:
         """Replace the host list."""
         with self._lock:
-            self._lists.append((self._now(), hosts))
+            self._host_lists.append((self._wall_clock(), hosts))
 
     def change_host(self, host: str, **changes: Any) -> None:
         """Change fields of one host in the list."""
         with self._lock:
-            hosts = self._lists[-1][1]
+            hosts = self._host_lists[-1][1]
         self.set_hosts(
             tuple(
                 msgspec.convert(msgspec.to_builtins(h) | changes, HostInfo) if h.id == host else h
@@ -141,7 +143,7 @@
 
     def remove_host(self, host: str) -> None:
         """Remove one host from the list."""
-        self.set_hosts(tuple(h for h in self._lists[-1][1] if h.id != host))
+        self.set_hosts(tuple(h for h in self._host_lists[-1][1] if h.id != host))
 
     def calls(self) -> dict[str, Any]:
         """Return the number of calls by path, and the number of open watches."""
@@ -150,12 +152,12 @@
 
     def _serve(self, call: Call, address: str) -> None:
         if call.path.startswith("/standin/"):
-            self._control(call)
+            self._handle_control(call)
             return
         with self._lock:
             self._calls_by_kind[call.path] += 1
-        if self._out_of_reach(address):
-            call.hold_while(lambda: self._out_of_reach(address))
+        if self._is_unreachable(address):
+            call.hold_while(lambda: self._is_unreachable(address))
             call.cut()
         elif self.faults.down:
             call.cut()
@@ -164,7 +166,7 @@
             self._answer(call, address)
 
     def _answer(self, call: Call, address: str) -> None:
-        if call.path == WATCH:
+        if call.path == WATCH_PATH:
             self._watch(call, address)
         elif call.path == "/hosts":
             self._answer_hosts(call)
@@ -178,23 +180,27 @@
             reads = self._stale_store if self.faults.stale else self.store
             before = self.store.revision
             request = msgspec.json.decode(call.body, type=dict)
-            answered = _etcd_http.answer(self.store, reads, call.path, request)
+            response = _etcd_http.execute(self.store, reads, call.path, request)
         except StoreError as error:
-            _refuse(call, error)
+            _answer_error(call, error)
             return
         except (msgspec.DecodeError, ValueError, KeyError) as error:
-            _refuse(call, StoreError(3, f"malformed request: {error}"))
+            _answer_error(call, StoreError(3, f"malformed request: {error}"))
             return
-        if call.path in WRITES and self.store.revision > before and self._loses_answer():
+        if (
+            call.path in WRITE_PATHS
+            and self.store.revision > before
+            and self._consume_lost_answer()
+        ):
             call.cut()
             return
-        call.answer_json(answered)
+        call.answer_json(response)
 
-    def _loses_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         with self._lock:
-            left = self.faults.lose_answers
-            self.faults = msgspec.structs.replace(self.faults, lose_answers=max(0, left - 1))
-            return left > 0
+            remaining = self.faults.lose_answers
+            self.faults = msgspec.structs.replace(self.faults, lose_answers=max(0, remaining - 1))
+            return remaining > 0
 
     def _watch(self, call: Call, address: str) -> None:
         create = msgspec.json.decode(call.body, type=dict)["create_request"]
@@ -207,8 +213,8 @@
                 call,
                 create,
                 self._progress_s,
-                self._watch_ends,
-                lambda: self.faults.silent_watch or self._out_of_reach(address),
+                self._should_end_watches,
+                lambda: self.faults.silent_watch or self._is_unreachable(address),
             ).run()
         except OSError:
             pass  # the client closed the connection
@@ -217,29 +223,29 @@
                 self.watches_waiting -= 1
         call.cut()
 
-    def _watch_ends(self) -> bool:
+    def _should_end_watches(self) -> bool:
         return self._closed.is_set() or self.faults.down
 
-    def _out_of_reach(self, address: str) -> bool:
+    def _is_unreachable(self, address: str) -> bool:
         return address in self.faults.cut and not self._closed.is_set()
 
-    def _lagging(self) -> tuple[float, tuple[HostInfo, ...]]:
-        at = self._now() - self.faults.host_list_lag_s
-        hosts = next((hosts for made, hosts in reversed(self._lists) if made <= at), ())
+    def _lagged_hosts(self) -> tuple[float, tuple[HostInfo, ...]]:
+        at = self._wall_clock() - self.faults.host_list_lag_s
+        hosts = next((hosts for set_at, hosts in reversed(self._host_lists) if set_at <= at), ())
         return at, hosts
 
     def _answer_hosts(self, call: Call) -> None:
         with self._lock:
             stale = self._stale_hosts if self.faults.stale else None
-            as_of, hosts = stale or self._lagging()
+            as_of, hosts = stale or self._lagged_hosts()
         body = msgspec.json.encode({"as_of": as_of, "hosts": hosts})
         headers = {"Content-Type": "application/json"}
         if "gzip" in call.header("Accept-Encoding"):
             body, headers["Content-Encoding"] = gzip.compress(body, GZIP_LEVEL), "gzip"
         call.answer(200, body, headers)
 
-    def _control(self, call: Call) -> None:
-        _, _, what, *rest = call.path.split("/")
+    def _handle_control(self, call: Call) -> None:
+        _, _, resource, *rest = call.path.split("/")
         controls: dict[tuple[str, str], Callable[[], Any]] = {
             ("POST", "faults"): lambda: self.set_faults(**msgspec.json.decode(call.body)),
             ("GET", "faults"): lambda: self.faults,
@@ -250,7 +256,7 @@
             ("PATCH", "hosts"): lambda: self.change_host(rest[0], **msgspec.json.decode(call.body)),
             ("DELETE", "hosts"): lambda: self.remove_host(rest[0]),
         }
-        control = controls.get((call.method, what))
+        control = controls.get((call.method, resource))
         if control is None:
             call.answer_json({"error": "no such control"}, 404)
             return
@@ -260,7 +266,7 @@
             call.answer_json({"error": str(error)}, 400)
 
 
-def _refuse(call: Call, error: StoreError) -> None:
+def _answer_error(call: Call, error: StoreError) -> None:
     body = {"error": error.message, "code": error.code, "message": error.message}
     call.answer_json(body, _etcd_http.HTTP_STATUS_BY_CODE.get(error.code, 500))
 
@@ -271,7 +277,7 @@
     parser.add_argument("--listen", action="append", required=True, metavar="IP:PORT")
     parser.add_argument("--control", default="", metavar="IP:PORT")
     parser.add_argument("--threads", type=int, default=THREADS)
-    parser.add_argument("--progress-s", type=float, default=PROGRESS_S)
+    parser.add_argument("--progress-s", type=float, default=PROGRESS_INTERVAL_S)
     arguments = parser.parse_args()
     standin = PlatformStandin(
         *arguments.listen,
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -20,8 +20,8 @@
 __all__ = ["Faults", "Relay", "Route", "main"]
 
 CHUNK_BYTES = 65536
-LOOK_S = 0.05
-CONNECT_S = 2.0
+POLL_INTERVAL_S = 0.05
+CONNECT_TIMEOUT_S = 2.0
 CONTROL_THREADS = 2
 
 
@@ -50,13 +50,13 @@
         self.faults = Faults()
         self._routes = routes
         self._closed = threading.Event()
-        self._server = Server(control, self._control, CONTROL_THREADS)
+        self._server = Server(control, self._handle_control, CONTROL_THREADS)
         self._listeners: list[socket.socket] = []
 
     def start(self) -> None:
         """Listen on every route."""
         for route in self._routes:
-            listener = socket.create_server(_parsed(route.listen))
+            listener = socket.create_server(_parse_address(route.listen))
             self._listeners.append(listener)
             threading.Thread(target=self._accept, args=(listener, route), daemon=True).start()
         self._server.start()
@@ -68,7 +68,7 @@
             listener.close()
         self._server.close()
 
-    def _control(self, call: Call, _address: str) -> None:
+    def _handle_control(self, call: Call, _address: str) -> None:
         if call.method == "POST":
             self.faults = msgspec.json.decode(call.body, type=Faults)
         call.answer_json(self.faults)
@@ -76,51 +76,51 @@
     def _accept(self, listener: socket.socket, route: Route) -> None:
         while not self._closed.is_set():
             try:
-                near, (source, _) = listener.accept()
+                client, (source, _) = listener.accept()
             except OSError:
                 return
-            zones = (_zone(source), _zone(route.listen))
-            threading.Thread(target=self._join, args=(near, route, zones), daemon=True).start()
+            zones = (_zone_of(source), _zone_of(route.listen))
+            threading.Thread(target=self._forward, args=(client, route, zones), daemon=True).start()
 
-    def _join(self, near: socket.socket, route: Route, zones: tuple[int, int]) -> None:
-        self._wait_for_way(zones)
+    def _forward(self, client: socket.socket, route: Route, zones: tuple[int, int]) -> None:
+        self._wait_until_reachable(zones)
         try:
-            far = socket.create_connection(_parsed(route.target), CONNECT_S)
+            upstream = socket.create_connection(_parse_address(route.target), CONNECT_TIMEOUT_S)
         except OSError:
-            near.close()
+            client.close()
             return
-        far.settimeout(None)
-        other = threading.Thread(target=self._pump, args=(far, near, zones), daemon=True)
-        other.start()
-        self._pump(near, far, zones)
+        upstream.settimeout(None)
+        backward = threading.Thread(target=self._pump, args=(upstream, client, zones), daemon=True)
+        backward.start()
+        self._pump(client, upstream, zones)
 
     def _pump(self, source: socket.socket, sink: socket.socket, zones: tuple[int, int]) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 if zones[0] != zones[1] and self.faults.late_s:
                     time.sleep(self.faults.late_s)
-                self._wait_for_way(zones)
+                self._wait_until_reachable(zones)
                 sink.sendall(data)
         except OSError:
             pass
-        self._wait_for_way(zones)
+        self._wait_until_reachable(zones)
         for end in (source, sink):
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
 
-    def _wait_for_way(self, zones: tuple[int, int]) -> None:
+    def _wait_until_reachable(self, zones: tuple[int, int]) -> None:
         while not self._closed.is_set():
             if zones not in self.faults.cut and zones[::-1] not in self.faults.cut:
                 return
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
-def _parsed(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def _zone(address: str) -> int:
+def _zone_of(address: str) -> int:
     return int(address.split(".")[2])
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -29,9 +29,9 @@
 CALLER_PORT, OPERATOR_PORT = 8080, 8081
 GATEWAY_INNER_PORT, CONTROLLER_INNER_PORT = 7001, 7002
 OPERATOR, OPERATOR_TOKEN = "asha", "operator-token"
-READY_S = 30.0
-STOP_S = 20.0
-POLL_S = 0.05
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
 
 
 def digest(token: str) -> str:
@@ -74,8 +74,8 @@
         self.spec = spec
         self.http = urllib3.PoolManager(num_pools=200, maxsize=64, retries=False)
         self.processes_by_name: dict[str, subprocess.Popen[bytes]] = {}
-        self._folder = tempfile.TemporaryDirectory(prefix="lentilrill-site-")
-        self.folder = Path(self._folder.name)
+        self._temp_folder = tempfile.TemporaryDirectory(prefix="lentilrill-site-")
+        self.folder = Path(self._temp_folder.name)
         self._network = LoopbackNetwork()
         public, secret = zmq.curve_keypair()
         self._keys = {"public": public.decode(), "secret": secret.decode()}
@@ -86,47 +86,47 @@
         """Return the address of host ``number`` of a zone."""
         return self._network.address(zone, number, port)
 
-    def platform(self, zone: int) -> str:
+    def platform_address(self, zone: int) -> str:
         """Return the address of the platform for the processes of a zone."""
         return self.address(zone, 1, PLATFORM_PORT)
 
     @property
-    def control(self) -> str:
+    def control_address(self) -> str:
         """Address of the control interface of the platform's stand-in."""
         return self.address(250, 1, CONTROL_PORT)
 
     @property
-    def network(self) -> str:
+    def relay_control_address(self) -> str:
         """Address of the control interface of the relay, on a relayed site."""
         return self.address(250, 2, CONTROL_PORT)
 
-    def told(self, zone: int, number: int, port: int) -> str:
+    def advertised_address(self, zone: int, number: int, port: int) -> str:
         """Return the address that a process of an entry host advertises to its peers."""
         return self.address(zone, (60 if self.spec.relayed else 10) + number, port)
 
-    def caller(self, name: str) -> str:
+    def caller_address(self, name: str) -> str:
         """Return the address of gateway ``name`` for callers."""
-        zone, number = _place(name)
+        zone, number = _parse_name(name)
         return self.address(zone, 10 + number, CALLER_PORT)
 
-    def operator(self, name: str) -> str:
+    def operator_address(self, name: str) -> str:
         """Return the address of controller ``name`` for operators."""
-        zone, number = _place(name)
+        zone, number = _parse_name(name)
         return self.address(zone, 10 + number, OPERATOR_PORT)
 
-    def endpoint(self, host: HostSpec) -> str:
+    def endpoint_address(self, host: HostSpec) -> str:
         """Return the address of a worker's endpoint."""
         return self.address(host.zone, 100 + self._index_in_zone(host), ENDPOINT_PORT)
 
     @property
     def gateways(self) -> list[str]:
         """Names of all gateways: ``gw-ZONE-NUMBER``."""
-        return [f"gw-{z}-{n}" for z, n in self._places()]
+        return [f"gw-{z}-{n}" for z, n in self._entry_host_positions()]
 
     @property
     def controllers(self) -> list[str]:
         """Names of all controllers: ``ct-ZONE-NUMBER``."""
-        return [f"ct-{z}-{n}" for z, n in self._places()]
+        return [f"ct-{z}-{n}" for z, n in self._entry_host_positions()]
 
     # Lifecycle
 
@@ -136,7 +136,7 @@
             for name in self.controllers + self.gateways:
                 self.start(name)
             for name in self.controllers:
-                self.wait_answer(self.operator(name), "/healthz")
+                self.wait_answer(self.operator_address(name), "/healthz")
         except BaseException:
             self.close()
             raise
@@ -147,35 +147,42 @@
 
     def start_standins(self) -> None:
         """Start the platform and all endpoints, and wait until they answer."""
-        listen = [a for z in self._zones() for a in ("--listen", self.platform(z))]
-        self._run("platform", "standins.platform", *listen, "--control", self.control)
-        many = [
-            {"listen": self.endpoint(host), "host": host.id, "slots": self.spec.slots}
+        listen = [a for z in self._zones() for a in ("--listen", self.platform_address(z))]
+        self._spawn("platform", "standins.platform", *listen, "--control", self.control_address)
+        endpoints = [
+            {"listen": self.endpoint_address(host), "host": host.id, "slots": self.spec.slots}
             for host in self.spec.hosts
         ]
         path = self.folder / "endpoints.json"
-        path.write_text(json.dumps(many))
-        self._run("endpoints", "standins.endpoint", "--many", str(path))
+        path.write_text(json.dumps(endpoints))
+        self._spawn("endpoints", "standins.endpoint", "--many", str(path))
         if self.spec.relayed:
             self._start_network()
-        self.wait_answer(self.control, "/standin/calls")
+        self.wait_answer(self.control_address, "/standin/calls")
         for host in self.spec.hosts:
-            self.wait_answer(self.endpoint(host), "/standin/record")
-        self.put_hosts()
+            self.wait_answer(self.endpoint_address(host), "/standin/record")
+        self.publish_hosts()
 
     def _start_network(self) -> None:
         ports = (GATEWAY_INNER_PORT, CONTROLLER_INNER_PORT, CALLER_PORT)
         routes = [
-            {"listen": self.told(z, n, port), "target": self.address(z, 10 + n, port)}
-            for z, n in self._places()
+            {"listen": self.advertised_address(z, n, port), "target": self.address(z, 10 + n, port)}
+            for z, n in self._entry_host_positions()
             for port in ports
         ]
         path = self.folder / "routes.json"
         path.write_text(json.dumps(routes))
-        self._run("network", "standins.relay", "--routes", str(path), "--control", self.network)
-        self.wait_answer(self.network, "/standin/faults")
+        self._spawn(
+            "network",
+            "standins.relay",
+            "--routes",
+            str(path),
+            "--control",
+            self.relay_control_address,
+        )
+        self.wait_answer(self.relay_control_address, "/standin/faults")
 
-    def put_hosts(self, without: frozenset[str] = frozenset()) -> None:
+    def publish_hosts(self, without: frozenset[str] = frozenset()) -> None:
         """Publish the host list of all workers and entry hosts.
 
         :param without: ids of hosts to leave out.
@@ -183,7 +190,7 @@
         workers = [
             {
                 "id": host.id,
-                "address": self.endpoint(host),
+                "address": self.endpoint_address(host),
                 "zone": f"z{host.zone}",
                 "rack": host.rack,
                 "kind": "worker",
@@ -205,44 +212,47 @@
                 "state": "live",
                 "since": 1.0,
             }
-            for z, n in self._places()
+            for z, n in self._entry_host_positions()
         ]
         listed = [host for host in workers + entries if host["id"] not in without]
-        self.json("PUT", self.control, "/standin/hosts", listed)
+        self.request_json("PUT", self.control_address, "/standin/hosts", listed)
 
     def start(self, name: str) -> None:
         """Start gateway or controller ``name``."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(self.settings(name)))
         role = "gateway" if name.startswith("gw") else "controller"
-        self._run(name, "lentilrill.daemon", role, "--settings", str(path))
+        self._spawn(name, "lentilrill.daemon", role, "--settings", str(path))
 
     def settings(self, name: str) -> dict[str, Any]:
         """Return the settings of process ``name``."""
-        zone, number = _place(name)
+        zone, number = _parse_name(name)
         is_gateway = name.startswith("gw")
         inner_port = GATEWAY_INNER_PORT if is_gateway else CONTROLLER_INNER_PORT
         common = {
             "process": name,
             "entry_host": f"entry-{zone}-{number}",
             "zone": f"z{zone}",
-            "inner": self.told(zone, number, inner_port),
+            "inner": self.advertised_address(zone, number, inner_port),
             "inner_listen": self.address(zone, 10 + number, inner_port),
             "keys": self._keys,
-            "seeds": [self.told(z, n, CONTROLLER_INNER_PORT) for z, n in self._places()],
+            "seeds": [
+                self.advertised_address(z, n, CONTROLLER_INNER_PORT)
+                for z, n in self._entry_host_positions()
+            ],
             "platform": {
-                "key_value": [self.platform(zone)],
-                "host_list": self.platform(zone),
+                "key_value": [self.platform_address(zone)],
+                "host_list": self.platform_address(zone),
             },
         }
         if is_gateway:
-            forwards = self.told(zone, number, CALLER_PORT)
-            own = {"listen": self.caller(name), "forwards": forwards}
+            forwards = self.advertised_address(zone, number, CALLER_PORT)
+            own = {"listen": self.caller_address(name), "forwards": forwards}
             return common | own | self.spec.gateway
         return (
             common
             | {
-                "listen": self.operator(name),
+                "listen": self.operator_address(name),
                 "operator_tokens_sha256": {OPERATOR: digest(OPERATOR_TOKEN)},
                 "host_list_lag_s": 2.0,
             }
@@ -259,7 +269,7 @@
         process.kill()
         process.wait()
 
-    def stop(self, name: str, timeout_s: float = STOP_S) -> int:
+    def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Send SIGTERM to a process, wait until it has drained, and return its exit code."""
         process = self.processes_by_name.pop(name)
         process.terminate()
@@ -275,35 +285,39 @@
             process.wait()
         self.processes_by_name.clear()
         self._network.close()
-        self._folder.cleanup()
+        self._temp_folder.cleanup()
 
     # Requests
 
-    def wait(self, holds: Callable[[], Any], what: str, timeout_s: float = READY_S) -> Any:
-        """Wait until ``holds()`` returns a true value, and return that value.
+    def wait_until(
+        self, condition: Callable[[], Any], description: str, timeout_s: float = READY_TIMEOUT_S
+    ) -> Any:
+        """Wait until ``condition()`` returns a true value, and return that value.
 
-        :param what: description of the condition, for the error message.
+        :param description: description of the condition, for the error message.
         :raises TimeoutError: if this takes longer than ``timeout_s``.
         """
         end = time.monotonic() + timeout_s
         while True:
-            value = holds()
+            value = condition()
             if value:
                 return value
             if time.monotonic() > end:
-                raise TimeoutError(f"waited {timeout_s} s for {what}\n{self.logs()}")
-            time.sleep(POLL_S)
+                raise TimeoutError(f"waited {timeout_s} s for {description}\n{self.logs()}")
+            time.sleep(POLL_INTERVAL_S)
 
-    def wait_answer(self, address: str, path: str, timeout_s: float = READY_S) -> None:
+    def wait_answer(self, address: str, path: str, timeout_s: float = READY_TIMEOUT_S) -> None:
         """Wait until a GET of ``path`` is answered with 200."""
-        self.wait(lambda: self._answers(address, path), f"{address}{path}", timeout_s)
+        self.wait_until(lambda: self._responds(address, path), f"{address}{path}", timeout_s)
 
-    def wait_ready(self, timeout_s: float = READY_S) -> None:
+    def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
         """Wait until every gateway reports that it is ready."""
         for name in self.gateways:
-            self.wait_answer(self.caller(name), "/readyz", timeout_s)
+            self.wait_answer(self.caller_address(name), "/readyz", timeout_s)
 
-    def json(self, method: str, address: str, path: str, body: Any = None, **headers: str) -> Any:
+    def request_json(
+        self, method: str, address: str, path: str, body: Any = None, **headers: str
+    ) -> Any:
         """Send a JSON request and return the JSON answer."""
         answer = self.http.request(
             method,
@@ -314,24 +328,26 @@
         )
         return json.loads(answer.data) if answer.data else None
 
-    def faults(self, address: str, **faults: Any) -> None:
+    def set_faults(self, address: str, **faults: Any) -> None:
         """Set faults of a stand-in."""
-        self.json("POST", address, "/standin/faults", faults)
+        self.request_json("POST", address, "/standin/faults", faults)
 
-    def record(self, host: HostSpec) -> list[dict[str, Any]]:
+    def runs_of(self, host: HostSpec) -> list[dict[str, Any]]:
         """Return the runs of a worker's endpoint."""
-        found: list[dict[str, Any]] = self.json("GET", self.endpoint(host), "/standin/record")
+        found: list[dict[str, Any]] = self.request_json(
+            "GET", self.endpoint_address(host), "/standin/record"
+        )
         return found
 
-    def records(self) -> Iterator[tuple[str, dict[str, Any]]]:
+    def all_runs(self) -> Iterator[tuple[str, dict[str, Any]]]:
         """Yield the id of the host and the run, for every run of every endpoint."""
         for host in self.spec.hosts:
-            for run in self.record(host):
+            for run in self.runs_of(host):
                 yield host.id, run
 
     def ctl(self, *arguments: str, controller: str | None = None) -> subprocess.CompletedProcess:
         """Run ``lentilrillctl`` against one controller, the first by default."""
-        address = self.operator(controller or self.controllers[0])
+        address = self.operator_address(controller or self.controllers[0])
         environment = os.environ | {
             "LENTILRILL_CONTROLLERS": address,
             "LENTILRILL_TOKEN": OPERATOR_TOKEN,
@@ -358,20 +374,20 @@
     def _zones(self) -> range:
         return range(1, self.spec.zones + 1)
 
-    def _places(self) -> list[tuple[int, int]]:
+    def _entry_host_positions(self) -> list[tuple[int, int]]:
         return [(z, n) for z in self._zones() for n in range(1, self.spec.entry_hosts + 1)]
 
     def _index_in_zone(self, host: HostSpec) -> int:
-        same = [other for other in self.spec.hosts if other.zone == host.zone]
-        return same.index(host)
+        same_zone = [other for other in self.spec.hosts if other.zone == host.zone]
+        return same_zone.index(host)
 
-    def _run(self, name: str, module: str, *arguments: str) -> None:
+    def _spawn(self, name: str, module: str, *arguments: str) -> None:
         with (self.folder / f"{name}.log").open("ab") as output:
             self.processes_by_name[name] = subprocess.Popen(
                 [sys.executable, "-m", module, *arguments], stdout=output, stderr=output
             )
 
-    def _answers(self, address: str, path: str) -> bool:
+    def _responds(self, address: str, path: str) -> bool:
         try:
             answer = self.http.request("GET", f"http://{address}{path}", timeout=1.0)
         except urllib3.exceptions.HTTPError:
@@ -379,6 +395,6 @@
         return answer.status == 200
 
 
-def _place(name: str) -> tuple[int, int]:
+def _parse_name(name: str) -> tuple[int, int]:
     _, zone, number = name.split("-")
     return int(zone), int(number)
--- a/standins/sites.py
+++ b/standins/sites.py
@@ -9,8 +9,8 @@
 BRAILLE_SERVICES = ("notices", "ballots", "schools", "library", "frontdesk")
 JALSEVA_SERVICES = ("anand", "bharuch", "surat", "vadodara", "helpline")
 HOSTS_PER_RACK = 4
-URGENT = frozenset({"ballots", "anand", "surat"})
-PATIENT = frozenset({"library", "bharuch"})
+URGENT_SERVICES = frozenset({"ballots", "anand", "surat"})
+PATIENT_SERVICES = frozenset({"library", "bharuch"})
 
 
 def token(service: str) -> str:
@@ -75,6 +75,6 @@
 
 
 def _urgency(service: str) -> str:
-    if service in URGENT:
+    if service in URGENT_SERVICES:
         return "urgent"
-    return "patient" if service in PATIENT else "normal"
+    return "patient" if service in PATIENT_SERVICES else "normal"
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -19,10 +19,10 @@
 __all__ = ["RunRecord", "UsersPlatform"]
 
 THREADS = 64
-LOOK_S = 0.02
-ROOM = {"cpu": 16000, "mem_mb": 32768, "gpu": 0}
+TICK_INTERVAL_S = 0.02
+ENDPOINT_CAPACITY = {"cpu": 16000, "mem_mb": 32768, "gpu": 0}
 HOST_DOWN_S = 0.5
-TICKET_S = 1.5
+TICKET_VALIDITY_S = 1.5
 
 
 class RunRecord(msgspec.Struct):
@@ -43,7 +43,7 @@
     """One instance of an endpoint; each task takes ``task_s`` seconds.
 
     :param may_start: returns whether an endpoint may start a task with a ticket.
-    :param loses: returns whether the answer to the current call is lost after its execution.
+    :param loses_answer: returns whether the answer to the current call is lost after its execution.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         records: list[RunRecord],
         task_s: float,
         may_start: Callable[[str, str, str], bool],
-        loses: Callable[[], bool],
+        loses_answer: Callable[[], bool],
     ) -> None:
         self.name = name
         self._may_start = may_start
-        self._loses = loses
-        self._highest_over: dict[str, int] = {}
-        self.dead = False
+        self._loses_answer = loses_answer
+        self._last_finished_run: dict[str, int] = {}
+        self.closed = False
         self._records = records
         self._task_s = task_s
         self._changed = threading.Condition()
-        self._born_ms = int(time.time() * 1000)
+        self._started_ms = int(time.time() * 1000)
         self._token = 0
         self._expires_ms = 0
         self._running: dict[tuple[str, int], RunRecord] = {}
@@ -77,29 +77,29 @@
             for record in self._running.values():
                 record.ended, record.how = time.monotonic(), "gone"
             self._running.clear()
-        self.dead = True
+        self.closed = True
         self._server.close()
 
     def tick(self) -> None:
         """End the runs that are complete or whose lease has expired."""
         with self._changed:
-            lapsed = self._clock_ms() > self._expires_ms
+            lease_expired = self._clock_ms() > self._expires_ms
             now = time.monotonic()
             for (task, number), record in list(self._running.items()):
-                if lapsed:
+                if lease_expired:
                     self._end(task, number, "lapsed")
                 elif now - record.began >= self._task_s:
                     self._end(task, number, "done")
 
     def _clock_ms(self) -> int:
-        return int(time.time() * 1000) - self._born_ms
+        return int(time.time() * 1000) - self._started_ms
 
     def _end(self, task: str, number: int, how: str) -> None:
         record = self._running.pop((task, number), None)
         if record is None:
             return
         record.ended, record.how = time.monotonic(), how
-        self._highest_over[task] = max(number, self._highest_over.get(task, 0))
+        self._last_finished_run[task] = max(number, self._last_finished_run.get(task, 0))
         self._cursor += 1
         self._ended.append([self._cursor, task, number, how, ""])
         self._changed.notify_all()
@@ -120,22 +120,22 @@
             if call.path == "/run-start" and not self._may_start(self.name, body["task"], ticket):
                 call.answer_json({"clock_ms": self._clock_ms(), "reason": "ticket"}, 409)
                 return
-            if call.path == "/run-start" and self._is_over(body["task"], body["run_id"]):
+            if call.path == "/run-start" and self._is_finished(body["task"], body["run_id"]):
                 call.answer_json({"clock_ms": self._clock_ms(), "reason": "old"}, 409)
                 return
-            answer = self._carry_out(call.path, body)
-        if self._loses():
+            answer = self._execute(call.path, body)
+        if self._loses_answer():
             call.cut(reset=True)
             return
-        call.answer_json({"clock_ms": self._clock_ms(), "born": self._born_ms} | answer)
+        call.answer_json({"clock_ms": self._clock_ms(), "born": self._started_ms} | answer)
 
-    def _is_over(self, task: str, number: int) -> bool:
+    def _is_finished(self, task: str, number: int) -> bool:
         """Return whether this run of a task, or a later one, has ended or was stopped here."""
-        return number <= self._highest_over.get(task, 0)
+        return number <= self._last_finished_run.get(task, 0)
 
-    def _carry_out(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+    def _execute(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         if path == "/hold":
-            return self._hold(body)
+            return self._poll(body)
         key = (body["task"], body["run_id"])
         if path == "/run-start" and key not in self._running:
             record = RunRecord(self.name, *key, time.monotonic())
@@ -143,10 +143,10 @@
             self._records.append(record)
         elif path == "/run-stop":
             self._end(*key, "stopped")
-            self._highest_over[key[0]] = max(key[1], self._highest_over.get(key[0], 0))
+            self._last_finished_run[key[0]] = max(key[1], self._last_finished_run.get(key[0], 0))
         return {}
 
-    def _hold(self, body: dict[str, Any]) -> dict[str, Any]:
+    def _poll(self, body: dict[str, Any]) -> dict[str, Any]:
         self._ended = [end for end in self._ended if end[0] > body.get("ack_cursor", 0)]
         if not self._ended:
             self._changed.wait(body.get("wait_ms", 0) / 1000)
@@ -162,31 +162,31 @@
     """The policy service, which decides where a step may run and issues tickets for it.
 
     :ivar barred: endpoints that may not run any task.
-    :ivar needed: whether endpoints require a ticket to start a task.
+    :ivar tickets_required: whether endpoints require a ticket to start a task.
     """
 
     def __init__(self) -> None:
         self.barred: set[str] = set()
-        self.needed = False
-        self._until_by_ticket: dict[str, float] = {}
+        self.tickets_required = False
+        self._expiry_by_ticket: dict[str, float] = {}
         self._count = itertools.count(1)
 
     def serve(self, call: Call) -> None:
         body = msgspec.json.decode(call.body)
-        good = []
+        allowed = []
         for endpoint in body["workers"]:
             if endpoint not in self.barred:
                 ticket = f"{body['step']}/{endpoint}/{next(self._count)}"
-                self._until_by_ticket[ticket] = time.monotonic() + TICKET_S
-                good.append([endpoint, ticket])
-        call.answer_json({"good": good, "valid_ms": int(TICKET_S * 1000)})
+                self._expiry_by_ticket[ticket] = time.monotonic() + TICKET_VALIDITY_S
+                allowed.append([endpoint, ticket])
+        call.answer_json({"good": allowed, "valid_ms": int(TICKET_VALIDITY_S * 1000)})
 
     def may_start(self, endpoint: str, task: str, ticket: str) -> bool:
-        if not self.needed:
+        if not self.tickets_required:
             return True
         step = task.rpartition(".")[0]
-        is_meant = ticket.startswith(f"{step}/{endpoint}/")
-        return is_meant and time.monotonic() < self._until_by_ticket.get(ticket, 0.0)
+        matches = ticket.startswith(f"{step}/{endpoint}/")
+        return matches and time.monotonic() < self._expiry_by_ticket.get(ticket, 0.0)
 
 
 class UsersPlatform:
@@ -203,7 +203,7 @@
         self.store = UsersStore()
         self.policy = _Policy()
         self.lost_every = 0
-        self._calls = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self.records: list[RunRecord] = []
         self.most_down = 0
         self._task_s = task_s
@@ -211,8 +211,8 @@
         self._names = itertools.count(1)
         self._hosts: dict[str, dict[str, Any]] = {}
         self._endpoints: dict[str, _Endpoint] = {}
-        self._fences: dict[str, int] = {}
-        self._ended = threading.Event()
+        self._fencing_tokens: dict[str, int] = {}
+        self._closed = threading.Event()
         self._servers = [
             Server("127.0.0.1:0", lambda call, _: self.store.serve(call), THREADS),
             Server("127.0.0.1:0", lambda call, _: self._serve_hosts(call), 8),
@@ -228,10 +228,10 @@
 
     def close(self) -> None:
         """Stop all threads, endpoints and servers."""
-        self._ended.set()
+        self._closed.set()
         self._ticker.join()
         for endpoint in list(self._endpoints.values()):
-            if not endpoint.dead:
+            if not endpoint.closed:
                 endpoint.close()
         for server in self._servers:
             server.close()
@@ -240,7 +240,7 @@
         """Add a host; in the pool ``standby`` it has no endpoint."""
         host = f"m-{next(self._names)}"
         self._hosts[host] = {"machine": host, "pool": pool, "state": "up", "zone": zone, "id": ""}
-        self._settle(host)
+        self._start_endpoint(host)
         return host
 
     def configure(self, version: int, queues: dict[str, str], *, advised: bool = False) -> None:
@@ -249,8 +249,8 @@
         :param queues: pool of each queue, by the path prefix of the queue.
         :param advised: whether starts need tickets of the policy service.
         """
-        self.policy.needed = advised
-        advice = {"decide_ms": 1, "period_ms": 1, "valid_ms": int(TICKET_S * 1000)}
+        self.policy.tickets_required = advised
+        advice = {"decide_ms": 1, "period_ms": 1, "valid_ms": int(TICKET_VALIDITY_S * 1000)}
         routes = [
             {"name": f"r{prefix}", "host": "braille.example", "prefix": prefix, "service": pool}
             | {"max_attempts": 3, "stretch": 1.6, "latency_slo_ms": 600, "priority": 0}
@@ -281,16 +281,16 @@
         return self._endpoints[host].name
 
     def _loses_answer(self) -> bool:
-        return bool(self.lost_every) and next(self._calls) % self.lost_every == 0
+        return bool(self.lost_every) and next(self._call_numbers) % self.lost_every == 0
 
     def _tick(self) -> None:
-        while not self._ended.wait(LOOK_S):
-            self.store.expire()
+        while not self._closed.wait(TICK_INTERVAL_S):
+            self.store.expire_leases()
             for endpoint in list(self._endpoints.values()):
-                if not endpoint.dead:
+                if not endpoint.closed:
                     endpoint.tick()
 
-    def _settle(self, host: str) -> None:
+    def _start_endpoint(self, host: str) -> None:
         """Start a new endpoint on a host, unless the host is in the standby pool."""
         entry = self._hosts[host]
         entry["state"] = "up"
@@ -303,7 +303,12 @@
         self._endpoints[host] = endpoint
         entry["id"] = name
         value = {"service": entry["pool"], "address": endpoint.address, "state": "ready"}
-        value |= {"zone": entry["zone"], "capacity": ROOM, "labels": ["a", "r1"], "machine": host}
+        value |= {
+            "zone": entry["zone"],
+            "capacity": ENDPOINT_CAPACITY,
+            "labels": ["a", "r1"],
+            "machine": host,
+        }
         self.store.put(f"servers/{name}", msgspec.json.encode(value))
 
     def _serve_hosts(self, call: Call) -> None:
@@ -315,10 +320,10 @@
         body = msgspec.json.decode(call.body)
         host, token = body["machine"], int(call.header("Fencing-Token"))
         with self._lock:
-            if token < self._fences.get(host, 0):
+            if token < self._fencing_tokens.get(host, 0):
                 call.answer_json({"reason": "fence"}, 409)
                 return
-            self._fences[host] = token
+            self._fencing_tokens[host] = token
             if self._hosts[host]["state"] != "up":
                 call.answer_json({"reason": "busy"}, 409)
                 return
@@ -334,11 +339,11 @@
         self.store.remove(f"servers/{entry['id']}")
         entry["id"] = ""
         endpoint = self._endpoints.pop(host, None)
-        threading.Thread(target=self._bring_back, args=(host, endpoint), daemon=True).start()
+        threading.Thread(target=self._bring_up, args=(host, endpoint), daemon=True).start()
 
-    def _bring_back(self, host: str, endpoint: _Endpoint | None) -> None:
+    def _bring_up(self, host: str, endpoint: _Endpoint | None) -> None:
         if endpoint is not None:
             endpoint.close()
-        if not self._ended.wait(HOST_DOWN_S):
+        if not self._closed.wait(HOST_DOWN_S):
             with self._lock:
-                self._settle(host)
+                self._start_endpoint(host)
--- a/tests/matrix/_injections.py
+++ b/tests/matrix/_injections.py
@@ -96,8 +96,8 @@
 def _platform(name: str, **faults: object) -> Injection:
     return Injection(
         name,
-        lambda world: world.site.faults(world.site.control, **faults),
-        end=lambda world: world.site.faults(world.site.control, **PLATFORM_CLEAR),
+        lambda world: world.site.set_faults(world.site.control_address, **faults),
+        end=lambda world: world.site.set_faults(world.site.control_address, **PLATFORM_CLEAR),
         holds_s=PLATFORM_S,
     )
 
@@ -105,8 +105,10 @@
 def _cut(zone: int) -> Injection:
     return Injection(
         f"zone {zone} cut off from the platform",
-        lambda world: world.site.faults(world.site.control, cut=[world.site.platform(zone)]),
-        end=lambda world: world.site.faults(world.site.control, **PLATFORM_CLEAR),
+        lambda world: world.site.set_faults(
+            world.site.control_address, cut=[world.site.platform_address(zone)]
+        ),
+        end=lambda world: world.site.set_faults(world.site.control_address, **PLATFORM_CLEAR),
         holds_s=PLATFORM_S,
     )
 
@@ -114,7 +116,9 @@
 def _endpoint(name: str, **faults: object) -> Injection:
     return Injection(
         f"endpoint {name}",
-        lambda world: world.site.faults(world.site.endpoint(endpoint_host(world)), **faults),
+        lambda world: world.site.set_faults(
+            world.site.endpoint_address(endpoint_host(world)), **faults
+        ),
         end=_clear_endpoints,
         holds_s=ENDPOINT_S,
         on_endpoint=True,
@@ -123,7 +127,7 @@
 
 def _clear_endpoints(world: World) -> None:
     for host in world.site.spec.hosts:
-        world.site.faults(world.site.endpoint(host), **ENDPOINT_CLEAR)
+        world.site.set_faults(world.site.endpoint_address(host), **ENDPOINT_CLEAR)
 
 
 def _pair(one: Injection, other: Injection) -> Injection:
@@ -142,8 +146,8 @@
 def _network(name: str, **faults: object) -> Injection:
     return Injection(
         name,
-        lambda world: world.site.faults(world.site.network, **faults),
-        end=lambda world: world.site.faults(world.site.network),
+        lambda world: world.site.set_faults(world.site.relay_control_address, **faults),
+        end=lambda world: world.site.set_faults(world.site.relay_control_address),
         holds_s=NETWORK_S,
         relayed=True,
     )
--- a/tests/matrix/_steps.py
+++ b/tests/matrix/_steps.py
@@ -76,7 +76,7 @@
     """A job that must not run twice is running when the fault begins."""
     job = world.job(idempotent=False, run_s=LONG_S)
     future = world.begin(job, "gw-1-1")
-    host = world.site.wait(lambda: world.host_running(job), "the job's start", LIMIT_S)
+    host = world.site.wait_until(lambda: world.host_running(job), "the job's start", LIMIT_S)
     with disturbed(world, injection), world.traffic():
         pass
     _check_undisturbed(world, injection, future.result(), host)
@@ -102,7 +102,7 @@
     for future in (first.future, *repeats):
         future.result()
     for gateway in ("gw-1-1", "gw-1-2", "gw-2-2"):
-        world.site.wait(lambda g=gateway: world.send(job, g).status, "an answer", LIMIT_S)
+        world.site.wait_until(lambda g=gateway: world.send(job, g).status, "an answer", LIMIT_S)
 
 
 def editing(world: World, injection: Injection) -> None:
@@ -117,7 +117,7 @@
     """An accepted change is on its way to all processes when the fault begins."""
     mark = _new_mark()
     with _watching_revisions(world):
-        status, told = world.site.wait(
+        status, told = world.site.wait_until(
             lambda: _accepted(world, mark), "an accepted change", LIMIT_S
         )
         with disturbed(world, injection):
@@ -170,7 +170,7 @@
     """A host is withdrawn under a running job when the fault begins."""
     job = world.job(idempotent=False, run_s=STOP_JOB_S)
     future = world.begin(job, "gw-1-2")
-    host = world.site.wait(lambda: world.host_running(job), "the job's start", LIMIT_S)
+    host = world.site.wait_until(lambda: world.host_running(job), "the job's start", LIMIT_S)
     with world.traffic(), _watching_release(world, host):
         _declare(world, host, insist=True)
         with disturbed(world, injection):
@@ -183,7 +183,7 @@
     """A stopped host is taken back when the fault begins."""
     host = endpoint_host(world).id
     _declare(world, host, insist=True)
-    world.site.wait(lambda: _phase(world, host) == "stopped", f"{host} to stop", LIMIT_S)
+    world.site.wait_until(lambda: _phase(world, host) == "stopped", f"{host} to stop", LIMIT_S)
     with world.traffic(), disturbed(world, injection):
         _cancel(world, host)
     _finish_stop(world, host, cancelled=True)
@@ -202,7 +202,7 @@
     _not_itself(injection, "gw-1-2")
     job = world.job(idempotent=False, run_s=LONG_S)
     future = world.begin(job, "gw-1-2")
-    host = world.site.wait(lambda: world.host_running(job), "the job's start", LIMIT_S)
+    host = world.site.wait_until(lambda: world.host_running(job), "the job's start", LIMIT_S)
     codes: list[int] = []
     stopper = threading.Thread(target=lambda: codes.append(world.site.stop("gw-1-2")))
     stopper.start()
@@ -300,7 +300,7 @@
     for _ in range(KEYED_TRIES):
         job = world.job(idempotent=False, key=f"key-{time.time_ns()}", run_s=1.0)
         future = world.begin(job, "gw-1-1")
-        world.site.wait(lambda j=job, f=future: world.host_running(j) or f.done(), "a start")
+        world.site.wait_until(lambda j=job, f=future: world.host_running(j) or f.done(), "a start")
         if world.host_running(job):
             return _Begun(job, future)
         answer = future.result()
@@ -375,7 +375,7 @@
         revisions = {world.revision_at(name) for name in world.site.controllers}
         return len(revisions) == 1 and None not in revisions and len(_marks(world)) == 1
 
-    world.site.wait(agreed, "all controllers to agree on one revision", FORCE_S)
+    world.site.wait_until(agreed, "all controllers to agree on one revision", FORCE_S)
     [(_, mark)] = _marks(world)
     return mark
 
@@ -399,7 +399,7 @@
 def _declare(world: World, host: str, insist: bool = False) -> None:
     body = {"id": f"stop-{host}", "hosts": [host], "reason": "matrix"}
     if insist:
-        world.site.wait(
+        world.site.wait_until(
             lambda: world.operate("POST", "/v1/stops", body)[0] == 200, "the stop", LIMIT_S
         )
     else:
@@ -427,8 +427,8 @@
         def is_cancelled() -> bool:
             return _cancel(world, host) == 200 or not _declared(world, host)
 
-        world.site.wait(is_cancelled, "the cancellation", LIMIT_S)
-    world.site.wait(lambda: _phase(world, host) == "serving", f"{host} to come back", LIMIT_S)
+        world.site.wait_until(is_cancelled, "the cancellation", LIMIT_S)
+    world.site.wait_until(lambda: _phase(world, host) == "serving", f"{host} to come back", LIMIT_S)
 
 
 def _stops(world: World, host: str, cancelled: bool) -> bool:
@@ -439,7 +439,7 @@
             return "cancelled"
         return "stopped" if _phase(world, host) == "stopped" else ""
 
-    return bool(world.site.wait(ended, f"{host} to stop", LIMIT_S) == "stopped")
+    return bool(world.site.wait_until(ended, f"{host} to stop", LIMIT_S) == "stopped")
 
 
 @contextmanager
@@ -463,7 +463,7 @@
         status, found = world.operate("GET", "/v1/config")
         return found if status == 200 and found["fresh"] else {}
 
-    found = world.site.wait(config, "the configuration", LIMIT_S)
+    found = world.site.wait_until(config, "the configuration", LIMIT_S)
     return any(host in stop["hosts"] for stop in found["document"].get("stops", []))
 
 
--- a/tests/matrix/_world.py
+++ b/tests/matrix/_world.py
@@ -216,7 +216,7 @@
         path = IDEMPOTENT_PATH if job.idempotent else ONCE_PATH
         return self.http.request(
             "POST",
-            f"http://{self.site.caller(gateway)}/{job.service}{path}",
+            f"http://{self.site.caller_address(gateway)}/{job.service}{path}",
             body=job.body,
             headers=headers,
             timeout=WAIT_S + 2 * ANSWER_MARGIN_S,
@@ -265,7 +265,7 @@
         try:
             answer = self.http.request(
                 method,
-                f"http://{self.site.operator(controller)}{path}",
+                f"http://{self.site.operator_address(controller)}{path}",
                 body=None if body is None else json.dumps(body).encode(),
                 headers={"Authorization": f"Bearer {OPERATOR_TOKEN}"},
                 timeout=timeout_s,
@@ -299,8 +299,8 @@
 
     def bring_up(self) -> None:
         """Apply the first lists and wait until every pool serves."""
-        self.site.wait(lambda: self.apply(20.0)[0] == 200, "the first lists", SETTLE_S)
-        self.site.wait(self.is_full, "owed hosts", SETTLE_S)
+        self.site.wait_until(lambda: self.apply(20.0)[0] == 200, "the first lists", SETTLE_S)
+        self.site.wait_until(self.is_full, "owed hosts", SETTLE_S)
         self.site.wait_ready()
 
     def is_full(self) -> bool:
@@ -313,7 +313,7 @@
         """Wait until jobs of both services run through every gateway again."""
         for gateway in self.site.gateways:
             for service in SERVICES[:2]:
-                self.site.wait(
+                self.site.wait_until(
                     lambda g=gateway, s=service: self.send(self.job(s), g).ok,  # type: ignore[misc]
                     f"{service} through {gateway} after the fault",
                     SETTLE_S,
@@ -321,7 +321,7 @@
 
     def runs(self) -> list[tuple[str, dict[str, Any]]]:
         """Return every run of every endpoint."""
-        return list(self.site.records())
+        return list(self.site.all_runs())
 
     def host_running(self, job: Job) -> str | None:
         """Return the host that began ``job``."""
--- a/tests/matrix/test_steps.py
+++ b/tests/matrix/test_steps.py
@@ -20,10 +20,10 @@
     """
 
     def __init__(self, looks: int) -> None:
-        self.site = SimpleNamespace(wait=self.wait)
+        self.site = SimpleNamespace(wait_until=self.wait_until)
         self._looks = looks
 
-    def wait(self, holds: Any, what: str, timeout_s: float) -> Any:
+    def wait_until(self, holds: Any, what: str, timeout_s: float) -> Any:
         for _ in range(10):
             if value := holds():
                 return value
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -134,11 +134,11 @@
 
 def _heal(world: World) -> None:
     """After the faults: stops end, hosts come back, all agree, and jobs run again."""
-    world.site.wait(lambda: _without_stops(world), "stops to be cancelled", SETTLE_S)
-    world.site.wait(world.is_full, "all owed hosts to serve", SETTLE_S)
+    world.site.wait_until(lambda: _without_stops(world), "stops to be cancelled", SETTLE_S)
+    world.site.wait_until(world.is_full, "all owed hosts to serve", SETTLE_S)
     world.settle()
     revisions = lambda: {world.revision_at(name) for name in world.site.controllers}  # noqa: E731
-    world.site.wait(lambda: len(revisions()) == 1, "controllers to agree", SETTLE_S)
+    world.site.wait_until(lambda: len(revisions()) == 1, "controllers to agree", SETTLE_S)
 
 
 def _without_stops(world: World) -> bool:
--- a/tests/standins/test_endpoint.py
+++ b/tests/standins/test_endpoint.py
@@ -43,7 +43,7 @@
             threading.Event().wait(0.005)
         self.run_job("second")
         first.join(WAIT_S)
-        self.assertEqual((1, 1), (self.endpoint.overcommitted, self.endpoint.most_running))
+        self.assertEqual((1, 1), (self.endpoint.overcommitted, self.endpoint.max_running))
 
     def test_truncated_answers_are_seen_as_broken(self) -> None:
         self.endpoint.set_faults(truncate=1)
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -8,10 +8,10 @@
 from standins.relay import Faults, Relay, Route
 
 WAIT_S = 10.0
-SHORT_S = 0.3
+SILENCE_S = 0.3
 
 
-def shown(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -21,10 +21,10 @@
         self.target = socket.create_server(("127.0.2.11", 0))
         self.addCleanup(self.target.close)
         threading.Thread(target=self._echo, daemon=True).start()
-        told = socket.create_server(("127.0.2.61", 0))
-        self.told = told.getsockname()
-        told.close()
-        route = Route(shown(self.told), shown(self.target.getsockname()))
+        advertised = socket.create_server(("127.0.2.61", 0))
+        self.advertised = advertised.getsockname()
+        advertised.close()
+        route = Route(format_address(self.advertised), format_address(self.target.getsockname()))
         self.relay = Relay([route], "127.0.0.1:0")
         self.relay.start()
         self.addCleanup(self.relay.close)
@@ -43,7 +43,7 @@
                 connection.sendall(data)
 
     def connected(self, source: str) -> socket.socket:
-        connection = socket.create_connection(self.told, WAIT_S, (source, 0))
+        connection = socket.create_connection(self.advertised, WAIT_S, (source, 0))
         self.addCleanup(connection.close)
         return connection
 
@@ -56,7 +56,7 @@
         for connection in (other_zone, same_zone):
             connection.sendall(b"during")
         self.assertEqual(b"during", same_zone.recv(100))
-        other_zone.settimeout(SHORT_S)
+        other_zone.settimeout(SILENCE_S)
         self.assertRaises(TimeoutError, other_zone.recv, 100)
         self.relay.faults = Faults()
         other_zone.settimeout(WAIT_S)
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -58,10 +58,15 @@
         self.assertEqual(1, len(self.store.range(b"a", b"")[0]))
 
     def test_refused_transactions_change_nothing(self) -> None:
-        twice = [PutWrite(b"a", b"1"), PutWrite(b"a", b"2")]
-        over = [PutWrite(b"a", b"1"), DeleteWrite(b"a", b"b")]
+        duplicate_puts = [PutWrite(b"a", b"1"), PutWrite(b"a", b"2")]
+        put_and_deleted = [PutWrite(b"a", b"1"), DeleteWrite(b"a", b"b")]
         unknown_lease = [PutWrite(b"a", b"1", 7)]
-        for writes in (twice, over, unknown_lease, [PutWrite(b"%d" % n, b"") for n in range(129)]):
+        for writes in (
+            duplicate_puts,
+            put_and_deleted,
+            unknown_lease,
+            [PutWrite(b"%d" % n, b"") for n in range(129)],
+        ):
             self.assertRaises(StoreError, self.store.txn, [], writes, [])
         self.assertThat(self.store.revision, Equals(1))
 
@@ -69,7 +74,7 @@
         for _ in range(4):
             self.put(b"a")
         self.store.compact(4)
-        self.assertEqual([4, 5], [c.revision for c in self.store.since(1, b"a", b"")[0]])
+        self.assertEqual([4, 5], [c.revision for c in self.store.changes_since(1, b"a", b"")[0]])
         self.assertEqual(1, len(self.store.range(b"a", b"")[0]))
         self.assertRaises(StoreError, self.store.compact, 4)
         self.assertRaises(StoreError, self.store.compact, 6)
