--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -1,4 +1,4 @@
-"""``make matrix``: play the fault matrix on real processes and write docs/matrix.md."""
+"""``make matrix``: run the fault matrix on real processes and write docs/matrix.md."""
 
 import argparse
 import queue
@@ -22,7 +22,7 @@
 def play(
     cells: "queue.Queue[Cell]", outcomes: list[Outcome], folder: Path | None, relayed: bool
 ) -> None:
-    """Play cells on one site after another; a failed cell gets the next one a new site."""
+    """Run cells on one site after another; a new site is started after a failed cell."""
     while not cells.empty():
         with Site(a_site(relayed=relayed)) as site:
             world = World(site)
@@ -61,7 +61,7 @@
     folder: Path | None,
     relayed: bool,
 ) -> None:
-    # Told to stop, the sites still have to end their processes: no cell is begun any more.
+    # On a signal, no new cell is started, so that the sites can still end their processes.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: cells.queue.clear())
     arguments = (cells, outcomes, folder, relayed)
@@ -73,7 +73,7 @@
 
 
 def _merged(path: Path, outcomes: list[Outcome]) -> list[Outcome]:
-    """Put ``outcomes`` in the place of the file's, cell by cell, and return them all."""
+    """Merge ``outcomes`` into those of the file, replacing cells in both; return all of them."""
     held = msgspec.json.decode(path.read_bytes(), type=list[Outcome]) if path.exists() else []
     by_cell = {(o.step, o.injection): o for o in (*held, *outcomes)}
     path.write_bytes(msgspec.json.encode(list(by_cell.values())))
@@ -87,14 +87,16 @@
 
 
 def main() -> int:
-    """Play the cells asked for; 0 if none failed."""
+    """Run the selected cells; return 0 if none failed."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--only", default="", help="play the cells whose name contains this")
-    parser.add_argument("--sites", type=int, default=2, help="sites at the same time")
-    parser.add_argument("--page", type=Path, default=PAGE, help="page to write; - for none")
+    parser.add_argument("--only", default="", help="run the cells whose name contains this text")
+    parser.add_argument("--sites", type=int, default=2, help="number of sites to run in parallel")
+    parser.add_argument("--page", type=Path, default=PAGE, help="page to write, or - for none")
     parser.add_argument("--logs", type=Path, help="folder for the logs of failed cells")
-    parser.add_argument("--outcomes", type=Path, help="file of earlier outcomes to merge with")
-    parser.add_argument("--note", default="", help="a sentence for the page")
+    parser.add_argument(
+        "--outcomes", type=Path, help="file of earlier outcomes to merge the new ones into"
+    )
+    parser.add_argument("--note", default="", help="note to add to the page")
     arguments = parser.parse_args()
     chosen = [cell for cell in all_cells() if arguments.only in cell.name]
     cells: queue.Queue[Cell] = queue.Queue()
--- a/tests/matrix/_cells.py
+++ b/tests/matrix/_cells.py
@@ -1,4 +1,4 @@
-"""The matrix: every step crossed with every fault, and one cell's verdict."""
+"""Cells of the matrix, each a step combined with a fault, and their verdicts."""
 
 import time
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class Verdict(Enum):
-    """What became of a cell."""
+    """Result of a cell."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -25,19 +25,19 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One step under one fault."""
+    """One step combined with one fault."""
 
     step: Step
     injection: Injection
 
     @property
     def name(self) -> str:
-        """Step and fault."""
+        """Names of the step and the fault."""
         return f"{self.step.name.lower()} / {self.injection.name}"
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """One cell's verdict, with the reasons of a failure."""
+    """Verdict of a cell, with the reasons for a failure."""
 
     step: str
     injection: str
@@ -48,14 +48,14 @@
 
 
 def all_cells() -> list[Cell]:
-    """Return the whole matrix."""
+    """Return all cells of the matrix."""
     return [Cell(step, injection) for step in Step for injection in INJECTIONS + PAIRS]
 
 
 def run_cell(world: World, cell: Cell) -> Outcome:
-    """Play one cell in a world that is whole, and judge it.
+    """Run one cell on a working site and return its outcome.
 
-    :raises ScarredWorldError: only in a world that has played cells before.
+    :raises ScarredWorldError: only if the site has run other cells before.
     """
     if cell.injection.why_not:
         return _outcome(cell, Verdict.NOT_RUN, (cell.injection.why_not,))
@@ -85,7 +85,7 @@
 
 
 def broken_invariants(site: Site) -> list[str]:
-    """Return the log lines in which the program itself found an invariant broken."""
+    """Return the log lines in which the program reports a broken invariant."""
     return [
         f"{path.stem}: {line[line.index(INVARIANT) :]}"
         for path in sorted(site.folder.glob("*.log"))
--- a/tests/matrix/_injections.py
+++ b/tests/matrix/_injections.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix as data: what begins, what ends, and for how long it holds."""
+"""The faults of the matrix: how each one is started and ended, and how long it lasts."""
 
 import signal
 import threading
@@ -13,11 +13,11 @@
 
 KILL_S = 4.5
 PAUSE_S = 5.0
-"""Longer than the silence after which a process is suspect, and than its session lives."""
+"""Longer than the time without heartbeats until a process is suspect, and than its lease."""
 PLATFORM_S = 2.5
 ENDPOINT_S = 1.5
 NETWORK_S = 11.0
-"""Longer than the silence after which another zone's members are suspect."""
+"""Longer than the time without heartbeats until members of another zone are suspect."""
 PLATFORM_CLEAR = {
     "down": False,
     "slow_s": 0.0,
@@ -41,12 +41,14 @@
 class Injection(msgspec.Struct, frozen=True):
     """One fault.
 
-    :param midway: done once the step's own doings under the fault are over.
-    :param hits: processes that it ends or holds, which may fail their own callers.
+    :param begin: starts the fault.
+    :param midway: called after the step's own actions under the fault.
+    :param end: ends the fault.
+    :param hits: processes that are killed or paused, whose callers may see failures.
     :param holds_s: seconds between begin and end.
-    :param on_endpoint: whether jobs of the disturbed endpoint may fail.
-    :param relayed: whether it needs a site whose zones are joined by the network's stand-in.
-    :param why_not: why it can't be brought about; such cells count as not run.
+    :param on_endpoint: whether jobs of the affected endpoint may fail.
+    :param relayed: whether it needs a site whose zones are connected by the relay.
+    :param why_not: reason why it cannot be injected; its cells count as not run.
     """
 
     name: str
@@ -60,13 +62,13 @@
     why_not: str = ""
 
     def hold(self, world: World) -> None:
-        """Let the fault last."""
+        """Keep the fault active for its duration."""
         self.midway(world)
         threading.Event().wait(self.holds_s)
 
 
 def endpoint_host(world: World) -> HostSpec:
-    """Return the worker whose endpoint is disturbed: the first of schools in zone 1."""
+    """Return the worker whose endpoint is affected: the first of schools in zone 1."""
     phases = world.phases() or world.phases("ct-2-1")
     zone_1 = (host for host in world.site.spec.hosts if host.zone == 1)
     mine = (host for host in zone_1 if phases.get(host.id, ("",))[0] == "schools")
--- a/tests/matrix/_report.py
+++ b/tests/matrix/_report.py
@@ -1,4 +1,4 @@
-"""The matrix's result as a page."""
+"""Writes the results of the matrix as a page."""
 
 from collections import Counter
 from datetime import UTC, datetime
@@ -38,9 +38,9 @@
 
 
 def write_page(path: Path, outcomes: list[Outcome], note: str) -> None:
-    """Write the table, the failures with their reasons, and what was not run with its reason.
+    """Write the table, and the cells that failed or were not run, with their reasons.
 
-    :param note: what a reader should know of this run.
+    :param note: remark on this run for the head of the page.
     """
     found = {(o.step, o.injection): o for o in outcomes}
     counts = Counter(outcome.verdict for outcome in outcomes)
--- a/tests/matrix/_steps.py
+++ b/tests/matrix/_steps.py
@@ -1,7 +1,7 @@
-"""The steps at which faults are brought about: each sets its scene, disturbs it and checks.
+"""The steps of the matrix: each prepares a situation, injects a fault and checks the result.
 
-A step is a function of the world and the injection. What is wrong goes into the world's ledger;
-a scene that can't be set raises :class:`NotRunError`.
+A step is a function of the world and the injection. Failed checks are recorded in the world's
+ledger; a step that does not apply raises :class:`NotRunError`.
 """
 
 import threading
@@ -28,15 +28,15 @@
 
 
 class NotRunError(Exception):
-    """The cell can't be judged, for the reason given."""
+    """Raised when a cell does not apply, with the reason."""
 
 
 class ScarredWorldError(Exception):
-    """An earlier cell left something that keeps this one's scene from being set."""
+    """Raised when the effects of an earlier cell prevent the setup of this one."""
 
 
 class Story(Enum):
-    """What the steps belong to."""
+    """Groups of steps."""
 
     REQUEST = "request"
     CHANGE = "configuration change"
@@ -46,7 +46,7 @@
 
 @contextmanager
 def disturbed(world: World, injection: Injection) -> Iterator[None]:
-    """Have the fault begin, the body done and the fault last out."""
+    """Run the body under the fault, and then keep the fault active for its duration."""
     injection.begin(world)
     try:
         yield
@@ -225,7 +225,7 @@
 
 
 class Step(Enum):
-    """Every step, with its story and its scene."""
+    """Every step, with its group and the function that runs it."""
 
     ARRIVING = (Story.REQUEST, arriving)
     QUEUED = (Story.REQUEST, queued)
@@ -245,17 +245,17 @@
 
     @property
     def story(self) -> Story:
-        """What the step belongs to."""
+        """The group of the step."""
         return self.value[0]
 
     @property
     def scene(self) -> Callable[[World, Injection], None]:
-        """The function that plays the step."""
+        """The function that runs the step."""
         return self.value[1]
 
     @property
     def meaning(self) -> str:
-        """The step in one sentence."""
+        """The step in one sentence, shown on the page."""
         return (self.scene.__doc__ or "").strip()
 
 
@@ -273,7 +273,7 @@
 
 
 def _read_slowly(world: World, job: Job, meanwhile: Callable[[], None]) -> Answer:
-    """Read half of an answer, let ``meanwhile`` pass, and read the rest."""
+    """Read a part of an answer, call ``meanwhile``, and read the rest."""
     began = time.time()
     response = world.open(job, "gw-1-1")
     parts = [response.read(VOLUME_BYTES // 8)] if response is not None else []
@@ -283,29 +283,31 @@
         rest = world.rest_of(response)
         status = response.status if rest is not None else 0
         parts.append(rest or b"")
-    # The time that the reader itself took is not the system's.
+    # Excludes the time that the reader itself took.
     return Answer(job, status, b"".join(parts), "", began + (time.time() - ended), ended)
 
 
 class _Begun(msgspec.Struct, frozen=True):
-    """A job that an endpoint began, and its answer to come."""
+    """A job that an endpoint has started, and the future of its answer."""
 
     job: Job
     future: "Future[Answer]"
 
 
 def _begin_keyed(world: World) -> _Begun:
-    """Begin a keyed job; keys of shards that lost their owner in an outage are refused."""
+    """Start a keyed job; keys of shards that lost their owner in an outage are refused."""
     told = ""
     for _ in range(KEYED_TRIES):
         job = world.job(idempotent=False, key=f"key-{time.time_ns()}", run_s=1.0)
         future = world.begin(job, "gw-1-1")
-        world.site.wait_until(lambda j=job, f=future: world.host_running(j) or f.done(), "a start")
+        world.site.wait_until(
+            lambda j=job, f=future: world.host_running(j) or f.done(), "the start of a keyed job"
+        )
         if world.host_running(job):
             return _Begun(job, future)
         answer = future.result()
         told = f"{answer.status} {answer.outcome} {answer.body[:200]!r}"
-    raise ScarredWorldError(f"{KEYED_TRIES} keys in a row were refused, at last: {told}")
+    raise ScarredWorldError(f"{KEYED_TRIES} keys in a row were refused; last answer: {told}")
 
 
 # Configuration changes
@@ -317,13 +319,13 @@
 
 
 def _new_mark() -> float:
-    """Return a value for the lists that no other edit has."""
+    """Return a ``start_within_s`` that no other edit uses."""
     return 10.0 + (time.time_ns() // 1_000_000) % 100_000 / 1000
 
 
 @contextmanager
 def _looking(look: Callable[[], bool]) -> Iterator[None]:
-    """Call ``look`` ten times a second from a thread of its own, until it returns true."""
+    """Call ``look`` periodically on a separate thread until it returns true."""
     stop = threading.Event()
 
     def look_on() -> None:
@@ -342,7 +344,7 @@
 
 @contextmanager
 def _watching_revisions(world: World) -> Iterator[None]:
-    """Note each controller whose revision in force steps back meanwhile."""
+    """Record each controller whose revision in force decreases meanwhile."""
     newest: dict[str, int] = {}
 
     def look() -> bool:
@@ -351,7 +353,7 @@
             if revision:
                 before = newest.get(name, 0)
                 world.ledger.note(
-                    revision >= before, f"{name} stepped back from {before} to {revision}"
+                    revision >= before, f"{name}: revision decreased from {before} to {revision}"
                 )
                 newest[name] = max(before, revision)
         return False
@@ -386,7 +388,7 @@
     if status == 200:
         world.ledger.note(found == mark, f"accepted, but {found} is in force instead of {mark}")
     elif verdict in ("conflict", "invalid", "unavailable"):
-        world.ledger.note(found != mark, f"told {verdict}, but the edit is in force")
+        world.ledger.note(found != mark, f"answered {verdict}, but the edit is in force")
 
 
 # Withdrawals
@@ -411,19 +413,19 @@
 
 
 def _finish_stop(world: World, host: str, *, cancelled: bool = False) -> None:
-    """After the fault: the stop ends, nothing begins on the host, and it comes back.
+    """Check after the fault that the stop completes, no job starts on the host, and it returns.
 
-    :param cancelled: the stop's cancellation was sent before; a process that was paused may carry
-        it out only now, just after the stop was still seen to be declared.
+    :param cancelled: whether the cancellation of the stop was sent before. A process that was
+        paused may execute it only now, after the stop was last seen as declared.
     """
     if _declared(world, host) and _stops(world, host, cancelled):
         stopped = time.time()
         threading.Event().wait(0.5)
         runs = [run for name, run in world.runs() if name == host]
         late = [run["job"] for run in runs if run["started"] > stopped]
-        world.ledger.note(not late, f"{late} began on {host} after it was released")
+        world.ledger.note(not late, f"{late} started on {host} after its release")
 
-        # A cancellation that seemed lost may have been done late, by a process that was paused.
+        # A process that was paused may execute a cancellation late, after it seemed lost.
         def is_cancelled() -> bool:
             return _cancel(world, host) == 200 or not _declared(world, host)
 
@@ -432,7 +434,7 @@
 
 
 def _stops(world: World, host: str, cancelled: bool) -> bool:
-    """Wait until a host has stopped; return ``False`` if a cancellation came first."""
+    """Wait until a host has stopped; return ``False`` if its stop was cancelled first."""
 
     def ended() -> str:
         if cancelled and not _declared(world, host):
@@ -444,14 +446,14 @@
 
 @contextmanager
 def _watching_release(world: World, host: str) -> Iterator[None]:
-    """Note each job that still runs on ``host`` when a controller shows it as released."""
+    """Record each job that still runs on ``host`` when a controller shows it as stopped."""
 
     def look() -> bool:
         phases = [world.phases(c).get(host, ("", ""))[1] for c in ("ct-1-2", "ct-2-1")]
         if "stopped" not in phases:
             return False
         unfinished = [r["job"] for h, r in world.runs() if h == host and not r["finished"]]
-        world.ledger.note(not unfinished, f"{unfinished} ran on {host}, already released")
+        world.ledger.note(not unfinished, f"{unfinished} still ran on {host} after its release")
         return True
 
     with _looking(look):
--- a/tests/matrix/_world.py
+++ b/tests/matrix/_world.py
@@ -1,7 +1,7 @@
-"""A running site, its callers and operators, and what is checked of both.
+"""A running site with its callers and operators, and the checks of their answers.
 
-Everything observed goes into a :class:`Ledger`; its checks are the invariants, judged against the
-endpoints' own records.
+All answers are recorded in a :class:`Ledger`, which checks the invariants against the runs that
+the endpoints recorded.
 """
 
 import contextlib
@@ -37,9 +37,9 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One job as its caller knows it.
+    """One job as sent by a caller.
 
-    :param name: unique; the endpoint's record has it.
+    :param name: unique name, also stored in the record of the endpoint.
     :param idempotent: whether the system may run it more than once.
     :param key: idempotency key, or empty.
     """
@@ -54,9 +54,9 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What the caller of a job got.
+    """The answer that the caller of a job received.
 
-    :param status: 0 if the exchange broke.
+    :param status: HTTP status, or 0 if the connection failed.
     :param outcome: ``outcome`` of the problem document, or empty.
     """
 
@@ -69,12 +69,12 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the caller was told success."""
+        """Whether the answer reports success."""
         return self.status == 200
 
 
 class Ledger:
-    """Answers of all callers, and the verdict on them. Safe for threads."""
+    """Records the answers of all callers and the failed checks. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -82,22 +82,22 @@
         self.wrong: list[str] = []
 
     def add(self, answer: Answer) -> None:
-        """Keep one answer."""
+        """Record one answer."""
         with self._lock:
             self.answers.append(answer)
 
     def note(self, holds: bool, what: str) -> None:
-        """Keep ``what`` as wrong unless it holds."""
+        """Record ``what`` as a failure unless ``holds`` is true."""
         if not holds:
             with self._lock:
                 self.wrong.append(what)
 
     def counts(self) -> dict[str, int]:
-        """Return how many answers there are of each status."""
+        """Return the number of answers by status."""
         return {str(k): n for k, n in sorted(Counter(a.status for a in self.answers).items())}
 
     def judge(self, runs: list[tuple[str, dict[str, Any]]]) -> list[str]:
-        """Return everything that is wrong, given the endpoints' records."""
+        """Return all failures, given the runs that the endpoints recorded."""
         ran = Counter(run["job"] for _, run in runs)
         wrong = list(self.wrong)
         for answer in self.answers:
@@ -105,27 +105,29 @@
         return wrong + self._judge_keyed(ran)
 
     def _judge_keyed(self, ran: Counter[str]) -> list[str]:
-        """A keyed job may be told ``not_run`` once and run at a repeat, but not never."""
+        """A keyed job that ran must have at least one answer other than ``not_run``."""
         told: dict[str, set[str]] = {}
         for answer in self.answers:
             if answer.job.key:
                 told.setdefault(answer.job.name, set()).add(answer.outcome)
         only_not_run = (name for name, outcomes in told.items() if outcomes == {"not_run"})
-        return [f"{name}: only ever not_run, but it ran" for name in only_not_run if ran[name]]
+        return [
+            f"{name}: always answered not_run, but it ran" for name in only_not_run if ran[name]
+        ]
 
 
 def _judge(answer: Answer, ran: int) -> Iterator[str]:
     job = answer.job
     if answer.ok and not _is_whole(answer):
-        yield f"{job.name}: 200 with another's or a broken answer ({len(answer.body)} bytes)"
+        yield f"{job.name}: 200 with a wrong or incomplete answer ({len(answer.body)} bytes)"
     if answer.ok and not ran:
-        yield f"{job.name}: 200, but it is in no record"
+        yield f"{job.name}: 200, but no endpoint recorded a run"
     if answer.outcome == "not_run" and ran and not job.key:
         yield f"{job.name}: not_run, but it ran {ran} time(s)"
     if ran > 1 and (not job.idempotent or job.key):
         yield f"{job.name}: must run at most once and ran {ran} times"
     if answer.ended - answer.began > WAIT_S + ANSWER_MARGIN_S:
-        yield f"{job.name}: final answer only after {answer.ended - answer.began:.1f} s"
+        yield f"{job.name}: answered only after {answer.ended - answer.began:.1f} s"
 
 
 def _is_whole(answer: Answer) -> bool:
@@ -154,7 +156,7 @@
 
 
 class World:
-    """One site for many cells of the matrix: callers, operators, faults."""
+    """A site that runs many cells of the matrix, with its callers and operators."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -176,7 +178,7 @@
         return Job(name, service, f"page of {name}".encode(), **changes)
 
     def send(self, job: Job, gateway: str = "gw-1-1") -> Answer:
-        """Send ``job`` through ``gateway``, keep and return its answer."""
+        """Send ``job`` through ``gateway``; record and return its answer."""
         began = time.time()
         try:
             response = self._request(job, gateway, preload_content=True)
@@ -189,14 +191,14 @@
         return answer
 
     def open(self, job: Job, gateway: str) -> urllib3.BaseHTTPResponse | None:
-        """Send ``job`` and return its answer with the body unread; ``None`` if it broke."""
+        """Send ``job`` and return its answer with the body unread, or ``None`` on a failure."""
         try:
             return self._request(job, gateway, preload_content=False)
         except HTTPError:
             return None
 
     def rest_of(self, response: urllib3.BaseHTTPResponse) -> bytes | None:
-        """Return the rest of an opened answer, or ``None`` if it is not whole."""
+        """Return the rest of an opened answer, or ``None`` if it is incomplete."""
         try:
             return response.read()
         except HTTPError:
@@ -224,7 +226,7 @@
         )
 
     def begin(self, job: Job, gateway: str = "gw-1-1") -> "Future[Answer]":
-        """Send ``job`` on a thread of its own."""
+        """Send ``job`` on a separate thread."""
         return self._pool.submit(self.send, job, gateway)
 
     @contextmanager
@@ -261,7 +263,7 @@
         controller: str = "ct-1-1",
         timeout_s: float = OPERATOR_S,
     ) -> tuple[int, dict[str, Any]]:
-        """Ask a controller; status 0 if it gave no answer."""
+        """Send a request to a controller; the status is 0 if the connection failed."""
         try:
             answer = self.http.request(
                 method,
@@ -290,21 +292,21 @@
         return health["document_revision"] if status == 200 else None
 
     def phases(self, controller: str = "ct-1-1") -> dict[str, tuple[str, str]]:
-        """Return pool and phase of each host as a controller sees them."""
+        """Return pool and phase of each host as reported by a controller."""
         status, found = self.operate("GET", "/v1/hosts", controller=controller)
         rows = found.get("hosts", []) if status == 200 else []
         return {row["id"]: (row["pool"], row["phase"]) for row in rows}
 
-    # The whole
+    # The whole site
 
     def bring_up(self) -> None:
-        """Apply the first lists and wait until every pool serves."""
+        """Apply the initial lists and wait until every pool has its hosts."""
         self.site.wait_until(lambda: self.apply(20.0)[0] == 200, "the first lists", SETTLE_S)
         self.site.wait_until(self.is_full, "owed hosts", SETTLE_S)
         self.site.wait_ready()
 
     def is_full(self) -> bool:
-        """Return whether all hosts serve in some pool."""
+        """Return whether the pools of both services have all their workers in service."""
         phases = self.phases()
         serving = Counter(pool for pool, phase in phases.values() if phase == "serving")
         return all(serving[s] >= WORKERS for s in SERVICES[:2])
@@ -324,7 +326,7 @@
         return list(self.site.all_runs())
 
     def host_running(self, job: Job) -> str | None:
-        """Return the host that began ``job``."""
+        """Return the host that started ``job``, or ``None``."""
         for host, run in self.runs():
             if run["job"] == job.name:
                 return host
--- a/tests/matrix/test_fixed.py
+++ b/tests/matrix/test_fixed.py
@@ -1,4 +1,4 @@
-"""The part of the fault matrix that CI plays on real processes, the same cells each time."""
+"""The cells of the fault matrix that CI runs on real processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import closing
@@ -29,8 +29,7 @@
 
 class FixedPartTest(TestCase):
     def test_the_fixed_part_passes(self) -> None:
-        # Callers, operators and hosts meet one fault of each kind: each cell's own story is told
-        # by its step and its fault.
+        # Covers callers, operators and hosts with one fault of each kind.
         with ThreadPoolExecutor(SITES) as pool:
             played = pool.map(_played, (FIXED[n::SITES] for n in range(SITES)))
             outcomes = [outcome for part in played for outcome in part]
--- a/tests/matrix/test_judge.py
+++ b/tests/matrix/test_judge.py
@@ -1,4 +1,4 @@
-"""The matrix's own verdicts: each rule is seen to fail, and a schedule is the same each time."""
+"""The checks of the matrix find each kind of violation; schedules depend on the seed only."""
 
 import hashlib
 import json
--- a/tests/matrix/test_steps.py
+++ b/tests/matrix/test_steps.py
@@ -1,4 +1,4 @@
-"""The matrix's steps: what they accept, and what they don't."""
+"""Which behaviour the steps of the matrix accept and reject."""
 
 from functools import partial
 from types import SimpleNamespace
@@ -14,9 +14,9 @@
 
 
 class FakeWorld:
-    """A site whose stop is declared for some looks, and whose host never stops.
+    """A site whose stop is cancelled after some reads, and whose host never stops.
 
-    :param looks: looks at the configuration that still show the stop.
+    :param looks: number of reads of the configuration that still contain the stop.
     """
 
     def __init__(self, looks: int) -> None:
@@ -40,18 +40,18 @@
 
 class FinishedStopTest(TestCase):
     def test_a_cancellation_may_be_carried_out_after_the_fault(self) -> None:
-        """A cell failed: a paused controller cancelled the stop just after it was seen."""
+        """A cell must not fail if a paused controller cancels the stop after it was read."""
         _steps._finish_stop(FakeWorld(looks=2), HOST, cancelled=True)
 
     def test_a_stop_that_never_ends_fails(self) -> None:
-        """A stop that stood still was taken for one that was cancelled."""
+        """A stop that makes no progress must not be mistaken for a cancelled one."""
         for looks, cancelled in ((99, True), (99, False), (2, False)):
             world = FakeWorld(looks)
             finish = partial(_steps._finish_stop, world, HOST, cancelled=cancelled)
             self.assertThat(finish, Raises())
 
     def test_a_host_that_does_not_come_back_fails(self) -> None:
-        """A host stayed away after its stop was cancelled."""
+        """The host must return to service after its stop was cancelled."""
         world = FakeWorld(looks=2)
         with patch.object(world, "phases", lambda: {HOST: ("schools", "stopped")}):
             finish = partial(_steps._finish_stop, world, HOST, cancelled=True)
--- a/tests/regress/__main__.py
+++ b/tests/regress/__main__.py
@@ -1,9 +1,9 @@
-"""Plays again the days that ever broke a rule, where the users' bench is at hand.
+"""Replays the simulated days that broke a rule before, with the users' bench.
 
     python -m tests.regress [--earlier] BENCH SITES
 
-BENCH is the program; SITES holds the site files, at any depth. Ends with 1 if a day breaks a rule
-again.
+BENCH is the program; SITES holds the site files, at any depth. The exit code is 1 if a day
+breaks a rule again.
 """
 
 import argparse
@@ -18,11 +18,13 @@
 
 
 def main() -> int:
-    """Play all days of the list, one after the other."""
+    """Replay all listed days, one after the other."""
     parser = argparse.ArgumentParser(prog="tests.regress")
     parser.add_argument("bench")
     parser.add_argument("sites")
-    parser.add_argument("--earlier", action="store_true", help="also play the oldest sites")
+    parser.add_argument(
+        "--earlier", action="store_true", help="also replay the days of the two oldest sites"
+    )
     arguments = parser.parse_args()
     bench, sites = arguments.bench, arguments.sites
     lines = SEEDS.read_text().splitlines()
@@ -33,8 +35,8 @@
         if not line or line.startswith("#"):
             continue
         site, day, seed, story = line.split(" ", 3)
-        # A day that was drawn is known by its name, from the journal; a standard one by its name
-        # and seed, one of our own by its file and the seed by which it was varied.
+        # A generated day is replayed by its name from the journal. A standard day is run by name
+        # and seed, and a day file of this project by its path and the seed of its variation.
         verb = "replay" if day.startswith(DRAWN) else "run"
         [file] = Path(sites).rglob(f"{site}.toml")
         command = [bench, verb, str(file), day]
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
-"""``make soak``: random faults on a running site, for longer, with the seed recorded.
+"""``make soak``: random faults on a running site over a longer time, from a recorded seed.
 
-The seed gives the schedule of faults, edits and planned stops, and what callers send. Real
-processes do not interleave the same way twice, so a seed that failed is played again several times.
+The seed determines the schedule of faults, edits and planned stops, and the requests of callers.
+Real processes interleave differently each time, so repeat a failed seed several times.
 """
 
 import argparse
@@ -34,8 +34,8 @@
 class Event(msgspec.Struct, frozen=True):
     """One fault of a schedule.
 
-    :param after_s: seconds after the fault before it ended.
-    :param lasts_s: seconds for which it lasts.
+    :param after_s: seconds from the end of the previous fault to the start of this one.
+    :param lasts_s: duration of the fault in seconds.
     """
 
     after_s: float
@@ -44,7 +44,7 @@
 
 
 def schedule(seed: int, seconds: float) -> list[Event]:
-    """Return the faults of a run, the same ones for the same seed."""
+    """Return the faults of a run, which depend only on the arguments."""
     chance = random.Random(seed)
     events: list[Event] = []
     left_s = seconds
@@ -58,7 +58,7 @@
 
 
 def soak(world: World, seed: int, seconds: float) -> list[str]:
-    """Play one run and return what was wrong."""
+    """Execute one run and return all failures."""
     world.ledger = Ledger()
     stop = threading.Event()
     tasks = [threading.Thread(target=_call, args=(world, seed + n, stop)) for n in range(CALLERS)]
@@ -116,7 +116,7 @@
 
 
 def _operate(world: World, seed: int, stop: threading.Event) -> None:
-    """Edit lists and declare and cancel stops through any controller, whatever the answer."""
+    """Edit lists and declare and cancel stops through random controllers, ignoring the answers."""
     chance = random.Random(f"{seed}-operators")
     hosts = [host.id for host in world.site.spec.hosts]
     while not stop.wait(chance.uniform(0.5, 3.0)):
@@ -133,7 +133,7 @@
 
 
 def _heal(world: World) -> None:
-    """After the faults: stops end, hosts come back, all agree, and jobs run again."""
+    """Cancel all stops and wait until hosts are back, controllers agree and jobs run again."""
     world.site.wait_until(lambda: _without_stops(world), "stops to be cancelled", SETTLE_S)
     world.site.wait_until(world.is_full, "all owed hosts to serve", SETTLE_S)
     world.settle()
@@ -151,18 +151,18 @@
 
 
 def main() -> int:
-    """Play runs until the time is over; 0 if nothing was wrong."""
+    """Execute the runs; return 0 if all of them passed."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
-        "--seed", type=int, help="seed of the first run; each run takes the next one"
+        "--seed", type=int, help="seed of the first run, incremented for each further run"
     )
     parser.add_argument("--runs", type=int, default=10)
-    parser.add_argument("--seconds", type=float, default=30.0, help="length of one run")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of one run")
     parser.add_argument("--logs", type=Path, help="folder for the logs of failed runs")
     arguments = parser.parse_args()
     first = arguments.seed if arguments.seed is not None else time.time_ns() % 1_000_000
     failed = 0
-    # Told to stop, the site's processes are ended as after an error.
+    # On SIGTERM, exit through the context manager so that the processes of the site are ended.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     for seed in range(first, first + arguments.runs):
         with Site(a_site(relayed=True)) as site:
