--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -13,13 +13,13 @@
 from standins.site import Site
 from tests.matrix._cells import Cell, Outcome, Verdict, all_cells, run_cell
 from tests.matrix._report import write_page
-from tests.matrix._steps import ScarredWorldError
+from tests.matrix._steps import DirtySiteError
 from tests.matrix._world import World, a_site
 
 PAGE = Path("docs/matrix.md")
 
 
-def play(
+def run_cells(
     cells: "queue.Queue[Cell]", outcomes: list[Outcome], folder: Path | None, relayed: bool
 ) -> None:
     """Run cells on one site after another; a new site is started after a failed cell."""
@@ -27,11 +27,11 @@
         with Site(a_site(relayed=relayed)) as site:
             world = World(site)
             world.bring_up()
-            _play_on(world, cells, outcomes, folder)
+            _run_on_site(world, cells, outcomes, folder)
             world.close()
 
 
-def _play_on(
+def _run_on_site(
     world: World, cells: "queue.Queue[Cell]", outcomes: list[Outcome], folder: Path | None
 ) -> None:
     while True:
@@ -41,7 +41,7 @@
             return
         try:
             outcome = run_cell(world, cell)
-        except ScarredWorldError:
+        except DirtySiteError:
             cells.put(cell)
             return
         outcomes.append(outcome)
@@ -54,7 +54,7 @@
             return
 
 
-def _play_all(
+def _run_all(
     cells: "queue.Queue[Cell]",
     outcomes: list[Outcome],
     sites: int,
@@ -65,7 +65,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: cells.queue.clear())
     arguments = (cells, outcomes, folder, relayed)
-    threads = [threading.Thread(target=play, args=arguments) for _ in range(sites)]
+    threads = [threading.Thread(target=run_cells, args=arguments) for _ in range(sites)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -74,8 +74,8 @@
 
 def _merged(path: Path, outcomes: list[Outcome]) -> list[Outcome]:
     """Merge ``outcomes`` into those of the file, replacing cells in both; return all of them."""
-    held = msgspec.json.decode(path.read_bytes(), type=list[Outcome]) if path.exists() else []
-    by_cell = {(o.step, o.injection): o for o in (*held, *outcomes)}
+    earlier = msgspec.json.decode(path.read_bytes(), type=list[Outcome]) if path.exists() else []
+    by_cell = {(o.step, o.injection): o for o in (*earlier, *outcomes)}
     path.write_bytes(msgspec.json.encode(list(by_cell.values())))
     return list(by_cell.values())
 
@@ -105,7 +105,7 @@
         for cell in chosen:
             if cell.injection.relayed is relayed:
                 cells.put(cell)
-        _play_all(cells, outcomes, arguments.sites, arguments.logs, relayed)
+        _run_all(cells, outcomes, arguments.sites, arguments.logs, relayed)
     if arguments.outcomes:
         outcomes = _merged(arguments.outcomes, outcomes)
     counts = Counter(outcome.verdict for outcome in outcomes)
--- a/tests/matrix/_cells.py
+++ b/tests/matrix/_cells.py
@@ -7,8 +7,8 @@
 
 from standins.site import Site
 from tests.matrix._injections import INJECTIONS, PAIRS, Injection
-from tests.matrix._steps import NotRunError, ScarredWorldError, Step
-from tests.matrix._world import Ledger, World
+from tests.matrix._steps import DirtySiteError, NotRunError, Step
+from tests.matrix._world import Results, World
 
 __all__ = ["Cell", "Outcome", "Verdict", "all_cells", "run_cell"]
 
@@ -55,32 +55,32 @@
 def run_cell(world: World, cell: Cell) -> Outcome:
     """Run one cell on a working site and return its outcome.
 
-    :raises ScarredWorldError: only if the site has run other cells before.
+    :raises DirtySiteError: only if the site has run other cells before.
     """
-    if cell.injection.why_not:
-        return _outcome(cell, Verdict.NOT_RUN, (cell.injection.why_not,))
-    world.ledger = Ledger()
+    if cell.injection.not_run_reason:
+        return _outcome(cell, Verdict.NOT_RUN, (cell.injection.not_run_reason,))
+    world.results = Results()
     began = time.monotonic()
     try:
-        cell.step.scene(world, cell.injection)
-        world.settle()
+        cell.step.run(world, cell.injection)
+        world.wait_until_recovered()
     except NotRunError as error:
         return _outcome(cell, Verdict.NOT_RUN, (str(error),))
-    except ScarredWorldError as error:
-        if world.played:
+    except DirtySiteError as error:
+        if world.cells_run:
             raise
-        world.ledger.note(False, str(error))
+        world.results.check(False, str(error))
     except Exception as error:
         reason = str(error).splitlines()[0] if str(error) else ""
-        world.ledger.note(False, f"{type(error).__name__}: {reason}")
-    world.played += 1
-    reasons = world.ledger.judge(world.runs()) + broken_invariants(world.site)
+        world.results.check(False, f"{type(error).__name__}: {reason}")
+    world.cells_run += 1
+    reasons = world.results.find_failures(world.runs()) + broken_invariants(world.site)
     return _outcome(
         cell,
         Verdict.FAILED if reasons else Verdict.PASSED,
         tuple(reasons[:MAX_REASONS]),
         time.monotonic() - began,
-        world.ledger.counts(),
+        world.results.counts(),
     )
 
 
--- a/tests/matrix/_injections.py
+++ b/tests/matrix/_injections.py
@@ -11,14 +11,14 @@
 
 __all__ = ["INJECTIONS", "PAIRS", "Injection"]
 
-KILL_S = 4.5
-PAUSE_S = 5.0
+KILL_DURATION_S = 4.5
+PAUSE_DURATION_S = 5.0
 """Longer than the time without heartbeats until a process is suspect, and than its lease."""
-PLATFORM_S = 2.5
-ENDPOINT_S = 1.5
-NETWORK_S = 11.0
+PLATFORM_FAULT_DURATION_S = 2.5
+ENDPOINT_FAULT_DURATION_S = 1.5
+NETWORK_FAULT_DURATION_S = 11.0
 """Longer than the time without heartbeats until members of another zone are suspect."""
-PLATFORM_CLEAR = {
+NO_PLATFORM_FAULTS = {
     "down": False,
     "slow_s": 0.0,
     "lose_answers": 0,
@@ -26,7 +26,7 @@
     "silent_watch": False,
     "cut": [],
 }
-ENDPOINT_CLEAR = {
+NO_ENDPOINT_FAULTS = {
     "fail": False,
     "truncate": 0,
     "silent": False,
@@ -44,35 +44,35 @@
     :param begin: starts the fault.
     :param midway: called after the step's own actions under the fault.
     :param end: ends the fault.
-    :param hits: processes that are killed or paused, whose callers may see failures.
-    :param holds_s: seconds between begin and end.
-    :param on_endpoint: whether jobs of the affected endpoint may fail.
+    :param affected_processes: processes that are killed or paused, whose callers may see failures.
+    :param duration_s: seconds between begin and end.
+    :param affects_endpoint_jobs: whether jobs of the affected endpoint may fail.
     :param relayed: whether it needs a site whose zones are connected by the relay.
-    :param why_not: reason why it cannot be injected; its cells count as not run.
+    :param not_run_reason: reason why it cannot be injected; its cells count as not run.
     """
 
     name: str
     begin: Callable[[World], None] = lambda world: None
     midway: Callable[[World], None] = lambda world: None
     end: Callable[[World], None] = lambda world: None
-    hits: tuple[str, ...] = ()
-    holds_s: float = 0.0
-    on_endpoint: bool = False
+    affected_processes: tuple[str, ...] = ()
+    duration_s: float = 0.0
+    affects_endpoint_jobs: bool = False
     relayed: bool = False
-    why_not: str = ""
+    not_run_reason: str = ""
 
-    def hold(self, world: World) -> None:
+    def keep_active(self, world: World) -> None:
         """Keep the fault active for its duration."""
         self.midway(world)
-        threading.Event().wait(self.holds_s)
+        threading.Event().wait(self.duration_s)
 
 
 def endpoint_host(world: World) -> HostSpec:
     """Return the worker whose endpoint is affected: the first of schools in zone 1."""
     phases = world.phases() or world.phases("ct-2-1")
     zone_1 = (host for host in world.site.spec.hosts if host.zone == 1)
-    mine = (host for host in zone_1 if phases.get(host.id, ("",))[0] == "schools")
-    return next(mine, world.site.spec.hosts[0])
+    candidates = (host for host in zone_1 if phases.get(host.id, ("",))[0] == "schools")
+    return next(candidates, world.site.spec.hosts[0])
 
 
 def _kill(name: str) -> Injection:
@@ -80,8 +80,8 @@
         f"kill {name}",
         lambda world: world.site.kill(name),
         end=lambda world: world.site.start(name),
-        hits=(name,),
-        holds_s=KILL_S,
+        affected_processes=(name,),
+        duration_s=KILL_DURATION_S,
     )
 
 
@@ -90,8 +90,8 @@
         f"pause {name} past its lease",
         lambda world: world.site.signal(name, signal.SIGSTOP),
         end=lambda world: world.site.signal(name, signal.SIGCONT),
-        hits=(name,),
-        holds_s=PAUSE_S,
+        affected_processes=(name,),
+        duration_s=PAUSE_DURATION_S,
     )
 
 
@@ -99,8 +99,8 @@
     return Injection(
         name,
         lambda world: world.site.set_faults(world.site.control_address, **faults),
-        end=lambda world: world.site.set_faults(world.site.control_address, **PLATFORM_CLEAR),
-        holds_s=PLATFORM_S,
+        end=lambda world: world.site.set_faults(world.site.control_address, **NO_PLATFORM_FAULTS),
+        duration_s=PLATFORM_FAULT_DURATION_S,
     )
 
 
@@ -110,8 +110,8 @@
         lambda world: world.site.set_faults(
             world.site.control_address, cut=[world.site.platform_address(zone)]
         ),
-        end=lambda world: world.site.set_faults(world.site.control_address, **PLATFORM_CLEAR),
-        holds_s=PLATFORM_S,
+        end=lambda world: world.site.set_faults(world.site.control_address, **NO_PLATFORM_FAULTS),
+        duration_s=PLATFORM_FAULT_DURATION_S,
     )
 
 
@@ -122,25 +122,25 @@
             world.site.endpoint_address(endpoint_host(world)), **faults
         ),
         end=_clear_endpoints,
-        holds_s=ENDPOINT_S,
-        on_endpoint=True,
+        duration_s=ENDPOINT_FAULT_DURATION_S,
+        affects_endpoint_jobs=True,
     )
 
 
 def _clear_endpoints(world: World) -> None:
     for host in world.site.spec.hosts:
-        world.site.set_faults(world.site.endpoint_address(host), **ENDPOINT_CLEAR)
+        world.site.set_faults(world.site.endpoint_address(host), **NO_ENDPOINT_FAULTS)
 
 
 def _pair(one: Injection, other: Injection) -> Injection:
     return Injection(
         f"{one.name} + {other.name}",
-        lambda world: _all(world, one.begin, other.begin),
-        lambda world: _all(world, one.midway, other.midway),
-        lambda world: _all(world, other.end, one.end),
-        one.hits + other.hits,
-        max(one.holds_s, other.holds_s),
-        one.on_endpoint or other.on_endpoint,
+        lambda world: _call_all(world, one.begin, other.begin),
+        lambda world: _call_all(world, one.midway, other.midway),
+        lambda world: _call_all(world, other.end, one.end),
+        one.affected_processes + other.affected_processes,
+        max(one.duration_s, other.duration_s),
+        one.affects_endpoint_jobs or other.affects_endpoint_jobs,
         one.relayed or other.relayed,
     )
 
@@ -150,12 +150,12 @@
         name,
         lambda world: world.site.set_faults(world.site.relay_control_address, **faults),
         end=lambda world: world.site.set_faults(world.site.relay_control_address),
-        holds_s=NETWORK_S,
+        duration_s=NETWORK_FAULT_DURATION_S,
         relayed=True,
     )
 
 
-def _all(world: World, *actions: Callable[[World], None]) -> None:
+def _call_all(world: World, *actions: Callable[[World], None]) -> None:
     for action in actions:
         action(world)
 
@@ -167,10 +167,10 @@
             world.site.start(name)
 
     name = f"restart of {' and '.join(names)}"
-    return Injection(name, midway=midway, hits=names, holds_s=KILL_S)
+    return Injection(name, midway=midway, affected_processes=names, duration_s=KILL_DURATION_S)
 
 
-NO_FAULT = Injection("none", holds_s=0.5)
+NO_FAULT = Injection("none", duration_s=0.5)
 KILL_GATEWAY = _kill("gw-1-1")
 KILL_NEIGHBOUR = _kill("gw-1-2")
 KILL_CONTROLLER = _kill("ct-1-1")
--- a/tests/matrix/_report.py
+++ b/tests/matrix/_report.py
@@ -51,7 +51,7 @@
     lines = [INTRO.format(when=when, counts=f"{total} cells: {shown}.", note=note)]
     lines += _table(found)
     lines += ["", "## Steps", ""]
-    lines += [f"- `{step.name.lower()}` ({step.story.value}): {step.meaning}" for step in Step]
+    lines += [f"- `{step.name.lower()}` ({step.group.value}): {step.description}" for step in Step]
     lines += ["", "## Failed", "", *_listing(outcomes, Verdict.FAILED)]
     lines += ["", "## Not run", "", *_listing(outcomes, Verdict.NOT_RUN)]
     lines += ["", LIMITS.rstrip()]
--- a/tests/matrix/_world.py
+++ b/tests/matrix/_world.py
@@ -1,6 +1,6 @@
 """A running site with its callers and operators, and the checks of their answers.
 
-All answers are recorded in a :class:`Ledger`, which checks the invariants against the runs that
+All answers are recorded in a :class:`Results`, which checks the invariants against the runs that
 the endpoints recorded.
 """
 
@@ -23,17 +23,17 @@
 from standins.site import OPERATOR_TOKEN, HostSpec, Site, SiteSpec
 from standins.sites import lists, token
 
-__all__ = ["SERVICES", "Answer", "Job", "Ledger", "World", "a_site"]
+__all__ = ["SERVICES", "Answer", "Job", "Results", "World", "a_site"]
 
 SERVICES = ("schools", "ballots", "spare")
 WORKERS = 4
 SLOTS = 2
 WAIT_S = 10
 ANSWER_MARGIN_S = 10.0
-OPERATOR_S = 15.0
-SETTLE_S = 40.0
+OPERATOR_TIMEOUT_S = 15.0
+RECOVERY_TIMEOUT_S = 40.0
 IDEMPOTENT_PATH = "/translate"
-ONCE_PATH = "/emboss"
+NON_IDEMPOTENT_PATH = "/emboss"
 
 
 class Job(msgspec.Struct, frozen=True):
@@ -73,72 +73,78 @@
         return self.status == 200
 
 
-class Ledger:
+class Results:
     """Records the answers of all callers and the failed checks. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.answers: list[Answer] = []
-        self.wrong: list[str] = []
+        self.failures: list[str] = []
 
     def add(self, answer: Answer) -> None:
         """Record one answer."""
         with self._lock:
             self.answers.append(answer)
 
-    def note(self, holds: bool, what: str) -> None:
-        """Record ``what`` as a failure unless ``holds`` is true."""
-        if not holds:
+    def check(self, condition: bool, failure: str) -> None:
+        """Record ``failure`` unless ``condition`` is true."""
+        if not condition:
             with self._lock:
-                self.wrong.append(what)
+                self.failures.append(failure)
 
     def counts(self) -> dict[str, int]:
         """Return the number of answers by status."""
         return {str(k): n for k, n in sorted(Counter(a.status for a in self.answers).items())}
 
-    def judge(self, runs: list[tuple[str, dict[str, Any]]]) -> list[str]:
+    def find_failures(self, runs: list[tuple[str, dict[str, Any]]]) -> list[str]:
         """Return all failures, given the runs that the endpoints recorded."""
-        ran = Counter(run["job"] for _, run in runs)
-        wrong = list(self.wrong)
+        run_counts = Counter(run["job"] for _, run in runs)
+        failures = list(self.failures)
         for answer in self.answers:
-            wrong += _judge(answer, ran[answer.job.name])
-        return wrong + self._judge_keyed(ran)
+            failures += _check_answer(answer, run_counts[answer.job.name])
+        return failures + self._check_keyed_jobs(run_counts)
 
-    def _judge_keyed(self, ran: Counter[str]) -> list[str]:
+    def _check_keyed_jobs(self, run_counts: Counter[str]) -> list[str]:
         """A keyed job that ran must have at least one answer other than ``not_run``."""
-        told: dict[str, set[str]] = {}
+        outcomes_by_job: dict[str, set[str]] = {}
         for answer in self.answers:
             if answer.job.key:
-                told.setdefault(answer.job.name, set()).add(answer.outcome)
-        only_not_run = (name for name, outcomes in told.items() if outcomes == {"not_run"})
+                outcomes_by_job.setdefault(answer.job.name, set()).add(answer.outcome)
+        only_not_run = (
+            name for name, outcomes in outcomes_by_job.items() if outcomes == {"not_run"}
+        )
         return [
-            f"{name}: always answered not_run, but it ran" for name in only_not_run if ran[name]
+            f"{name}: always answered not_run, but it ran"
+            for name in only_not_run
+            if run_counts[name]
         ]
 
 
-def _judge(answer: Answer, ran: int) -> Iterator[str]:
+def _check_answer(answer: Answer, run_count: int) -> Iterator[str]:
     job = answer.job
-    if answer.ok and not _is_whole(answer):
+    if answer.ok and not _is_complete(answer):
         yield f"{job.name}: 200 with a wrong or incomplete answer ({len(answer.body)} bytes)"
-    if answer.ok and not ran:
+    if answer.ok and not run_count:
         yield f"{job.name}: 200, but no endpoint recorded a run"
-    if answer.outcome == "not_run" and ran and not job.key:
-        yield f"{job.name}: not_run, but it ran {ran} time(s)"
-    if ran > 1 and (not job.idempotent or job.key):
-        yield f"{job.name}: must run at most once and ran {ran} times"
+    if answer.outcome == "not_run" and run_count and not job.key:
+        yield f"{job.name}: not_run, but it ran {run_count} time(s)"
+    if run_count > 1 and (not job.idempotent or job.key):
+        yield f"{job.name}: must run at most once and ran {run_count} times"
     if answer.ended - answer.began > WAIT_S + ANSWER_MARGIN_S:
         yield f"{job.name}: answered only after {answer.ended - answer.began:.1f} s"
 
 
-def _is_whole(answer: Answer) -> bool:
+def _is_complete(answer: Answer) -> bool:
     job = answer.job
     if job.answer_bytes:
         return len(answer.body) == job.answer_bytes
     try:
-        told = json.loads(answer.body)
+        summary = json.loads(answer.body)
     except ValueError:
         return False
-    return told.get("sha256") == hashlib.sha256(job.body).hexdigest() and told["job"] == job.name
+    return (
+        summary.get("sha256") == hashlib.sha256(job.body).hexdigest() and summary["job"] == job.name
+    )
 
 
 def _outcome(body: bytes) -> str:
@@ -160,8 +166,8 @@
 
     def __init__(self, site: Site) -> None:
         self.site = site
-        self.ledger = Ledger()
-        self.played = 0
+        self.results = Results()
+        self.cells_run = 0
         self.http = urllib3.PoolManager(num_pools=100, maxsize=64, retries=False)
         self._numbers = itertools.count(1)
         self._pool = ThreadPoolExecutor(64)
@@ -187,17 +193,17 @@
             status, body = 0, b""
         outcome = "" if status in (0, 200) else _outcome(body)
         answer = Answer(job, status, body, outcome, began, time.time())
-        self.ledger.add(answer)
+        self.results.add(answer)
         return answer
 
-    def open(self, job: Job, gateway: str) -> urllib3.BaseHTTPResponse | None:
+    def open_answer(self, job: Job, gateway: str) -> urllib3.BaseHTTPResponse | None:
         """Send ``job`` and return its answer with the body unread, or ``None`` on a failure."""
         try:
             return self._request(job, gateway, preload_content=False)
         except HTTPError:
             return None
 
-    def rest_of(self, response: urllib3.BaseHTTPResponse) -> bytes | None:
+    def read_rest(self, response: urllib3.BaseHTTPResponse) -> bytes | None:
         """Return the rest of an opened answer, or ``None`` if it is incomplete."""
         try:
             return response.read()
@@ -215,7 +221,7 @@
             headers["Standin-Answer-Bytes"] = str(job.answer_bytes)
         if job.key:
             headers["Idempotency-Key"] = job.key
-        path = IDEMPOTENT_PATH if job.idempotent else ONCE_PATH
+        path = IDEMPOTENT_PATH if job.idempotent else NON_IDEMPOTENT_PATH
         return self.http.request(
             "POST",
             f"http://{self.site.caller_address(gateway)}/{job.service}{path}",
@@ -225,7 +231,7 @@
             preload_content=preload_content,
         )
 
-    def begin(self, job: Job, gateway: str = "gw-1-1") -> "Future[Answer]":
+    def send_in_background(self, job: Job, gateway: str = "gw-1-1") -> "Future[Answer]":
         """Send ``job`` on a separate thread."""
         return self._pool.submit(self.send, job, gateway)
 
@@ -255,13 +261,13 @@
 
     # Operators
 
-    def operate(
+    def request_as_operator(
         self,
         method: str,
         path: str,
         body: Any = None,
         controller: str = "ct-1-1",
-        timeout_s: float = OPERATOR_S,
+        timeout_s: float = OPERATOR_TIMEOUT_S,
     ) -> tuple[int, dict[str, Any]]:
         """Send a request to a controller; the status is 0 if the connection failed."""
         try:
@@ -276,24 +282,28 @@
             return 0, {}
         return answer.status, json.loads(answer.data) if answer.data else {}
 
-    def apply(self, mark: float, controller: str = "ct-1-1") -> tuple[int, dict[str, Any]]:
-        """Apply the lists with the first plan's ``start_within_s`` set to ``mark``."""
+    def apply(
+        self, start_within_s: float, controller: str = "ct-1-1"
+    ) -> tuple[int, dict[str, Any]]:
+        """Apply the lists with the first plan's ``start_within_s`` set to the given value."""
         plans, entitlements = lists(SERVICES, WORKERS)
-        plans[0]["start_within_s"] = mark
-        status, config = self.operate("GET", "/v1/config", controller=controller)
+        plans[0]["start_within_s"] = start_within_s
+        status, config = self.request_as_operator("GET", "/v1/config", controller=controller)
         if status != 200:
             return status, config
         body = {"base": config["revision"], "plans": plans, "entitlements": entitlements}
-        return self.operate("PUT", "/v1/config", body, controller)
+        return self.request_as_operator("PUT", "/v1/config", body, controller)
 
-    def revision_at(self, controller: str, timeout_s: float = OPERATOR_S) -> int | None:
+    def revision_at(self, controller: str, timeout_s: float = OPERATOR_TIMEOUT_S) -> int | None:
         """Return the revision in force at a controller, or ``None`` if it does not answer."""
-        status, health = self.operate("GET", "/healthz", controller=controller, timeout_s=timeout_s)
+        status, health = self.request_as_operator(
+            "GET", "/healthz", controller=controller, timeout_s=timeout_s
+        )
         return health["document_revision"] if status == 200 else None
 
     def phases(self, controller: str = "ct-1-1") -> dict[str, tuple[str, str]]:
         """Return pool and phase of each host as reported by a controller."""
-        status, found = self.operate("GET", "/v1/hosts", controller=controller)
+        status, found = self.request_as_operator("GET", "/v1/hosts", controller=controller)
         rows = found.get("hosts", []) if status == 200 else []
         return {row["id"]: (row["pool"], row["phase"]) for row in rows}
 
@@ -301,24 +311,26 @@
 
     def bring_up(self) -> None:
         """Apply the initial lists and wait until every pool has its hosts."""
-        self.site.wait_until(lambda: self.apply(20.0)[0] == 200, "the first lists", SETTLE_S)
-        self.site.wait_until(self.is_full, "owed hosts", SETTLE_S)
+        self.site.wait_until(
+            lambda: self.apply(20.0)[0] == 200, "the first lists", RECOVERY_TIMEOUT_S
+        )
+        self.site.wait_until(self.has_all_hosts, "owed hosts", RECOVERY_TIMEOUT_S)
         self.site.wait_ready()
 
-    def is_full(self) -> bool:
+    def has_all_hosts(self) -> bool:
         """Return whether the pools of both services have all their workers in service."""
         phases = self.phases()
         serving = Counter(pool for pool, phase in phases.values() if phase == "serving")
         return all(serving[s] >= WORKERS for s in SERVICES[:2])
 
-    def settle(self) -> None:
+    def wait_until_recovered(self) -> None:
         """Wait until jobs of both services run through every gateway again."""
         for gateway in self.site.gateways:
             for service in SERVICES[:2]:
                 self.site.wait_until(
                     lambda g=gateway, s=service: self.send(self.job(s), g).ok,  # type: ignore[misc]
                     f"{service} through {gateway} after the fault",
-                    SETTLE_S,
+                    RECOVERY_TIMEOUT_S,
                 )
 
     def runs(self) -> list[tuple[str, dict[str, Any]]]:
--- a/tests/matrix/test_fixed.py
+++ b/tests/matrix/test_fixed.py
@@ -31,18 +31,18 @@
     def test_the_fixed_part_passes(self) -> None:
         # Covers callers, operators and hosts with one fault of each kind.
         with ThreadPoolExecutor(SITES) as pool:
-            played = pool.map(_played, (FIXED[n::SITES] for n in range(SITES)))
-            outcomes = [outcome for part in played for outcome in part]
+            results = pool.map(_run_cells, (FIXED[n::SITES] for n in range(SITES)))
+            outcomes = [outcome for part in results for outcome in part]
         self.assertEqual(len(FIXED), len(outcomes))
-        self.assertEqual([], [_shown(o) for o in outcomes if o.verdict is not Verdict.PASSED])
+        self.assertEqual([], [_describe(o) for o in outcomes if o.verdict is not Verdict.PASSED])
 
 
-def _played(names: tuple[str, ...]) -> list[Outcome]:
+def _run_cells(names: tuple[str, ...]) -> list[Outcome]:
     cells = {cell.name: cell for cell in all_cells()}
     with Site(a_site()) as site, closing(World(site)) as world:
         world.bring_up()
         return [run_cell(world, cells[name]) for name in names]
 
 
-def _shown(outcome: Outcome) -> str:
+def _describe(outcome: Outcome) -> str:
     return f"{outcome.step} / {outcome.injection}: {outcome.verdict.value}: {outcome.reasons}"
--- a/tests/matrix/test_judge.py
+++ b/tests/matrix/test_judge.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from tests.matrix._world import WAIT_S, Answer, Job, Ledger
+from tests.matrix._world import WAIT_S, Answer, Job, Results
 from tests.soak import schedule
 
 ONCE = Job("j", "schools", b"page", idempotent=False)
@@ -25,20 +25,20 @@
 
 
 class JudgeTest(TestCase):
-    def wrong(self, *answers: Answer, runs: int = 1) -> list[str]:
-        ledger = Ledger()
+    def failures(self, *answers: Answer, runs: int = 1) -> list[str]:
+        results = Results()
         for answer in answers:
-            ledger.add(answer)
-        return ledger.judge([("h", {"job": "j"})] * runs)
+            results.add(answer)
+        return results.find_failures([("h", {"job": "j"})] * runs)
 
     def test_what_is_right_passes(self) -> None:
-        self.assertEqual([], self.wrong(an_answer(ONCE)))
-        self.assertEqual([], self.wrong(an_answer(AGAIN), runs=2))
-        self.assertEqual([], self.wrong(an_answer(ONCE, 503, "not_run"), runs=0))
-        self.assertEqual([], self.wrong(an_answer(ONCE, 502, "unknown")))
-        self.assertEqual([], self.wrong(an_answer(VOLUME, body=b"x" * 9)))
+        self.assertEqual([], self.failures(an_answer(ONCE)))
+        self.assertEqual([], self.failures(an_answer(AGAIN), runs=2))
+        self.assertEqual([], self.failures(an_answer(ONCE, 503, "not_run"), runs=0))
+        self.assertEqual([], self.failures(an_answer(ONCE, 502, "unknown")))
+        self.assertEqual([], self.failures(an_answer(VOLUME, body=b"x" * 9)))
         repeats = (an_answer(KEYED, 503, "not_run"), an_answer(KEYED))
-        self.assertEqual([], self.wrong(*repeats))
+        self.assertEqual([], self.failures(*repeats))
 
     def test_each_broken_promise_is_found(self) -> None:
         cases = {
@@ -52,7 +52,7 @@
             "too late": (an_answer(ONCE, ended=3.0 * WAIT_S), 1),
         }
         missed = [
-            name for name, (answer, runs) in cases.items() if not self.wrong(answer, runs=runs)
+            name for name, (answer, runs) in cases.items() if not self.failures(answer, runs=runs)
         ]
         self.assertEqual([], missed)
 
--- a/tests/regress/__main__.py
+++ b/tests/regress/__main__.py
@@ -11,10 +11,10 @@
 import sys
 from pathlib import Path
 
-SEEDS = Path(__file__).with_name("seeds.txt")
-EARLIER = Path(__file__).with_name("earlier.txt")
+SEEDS_FILE = Path(__file__).with_name("seeds.txt")
+EARLIER_FILE = Path(__file__).with_name("earlier.txt")
 BROKEN = "BROKEN"
-DRAWN = ("hunt-", "fresh-")
+GENERATED_PREFIXES = ("hunt-", "fresh-")
 
 
 def main() -> int:
@@ -27,26 +27,26 @@
     )
     arguments = parser.parse_args()
     bench, sites = arguments.bench, arguments.sites
-    lines = SEEDS.read_text().splitlines()
+    lines = SEEDS_FILE.read_text().splitlines()
     if arguments.earlier:
-        lines += EARLIER.read_text().splitlines()
+        lines += EARLIER_FILE.read_text().splitlines()
     broken = 0
     for line in lines:
         if not line or line.startswith("#"):
             continue
-        site, day, seed, story = line.split(" ", 3)
+        site, day, seed, description = line.split(" ", 3)
         # A generated day is replayed by its name from the journal. A standard day is run by name
         # and seed, and a day file of this project by its path and the seed of its variation.
-        verb = "replay" if day.startswith(DRAWN) else "run"
+        subcommand = "replay" if day.startswith(GENERATED_PREFIXES) else "run"
         [file] = Path(sites).rglob(f"{site}.toml")
-        command = [bench, verb, str(file), day]
-        command += ["--why", f"regression: {story}"]
+        command = [bench, subcommand, str(file), day]
+        command += ["--why", f"regression: {description}"]
         if day.endswith(".toml"):
             command.append("--vary")
         if seed != "-":
             command += ["--seed", seed]
-        played = subprocess.run(command, capture_output=True, text=True, check=False)
-        is_broken = BROKEN in played.stdout or played.returncode != 0
+        result = subprocess.run(command, capture_output=True, text=True, check=False)
+        is_broken = BROKEN in result.stdout or result.returncode != 0
         broken += is_broken
         print(f"{'broken' if is_broken else 'kept  '} {site} {day} {seed}", flush=True)
     return 1 if broken else 0
