--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements; each module prints one JSON line per figure."""
+"""Benchmarks; each module prints one JSON line per figure."""
 
 import json
 
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs measurements: ``python -m bench`` all of them, ``python -m bench NAME...`` some."""
+"""Runs benchmarks: all with ``python -m bench``, selected ones with ``python -m bench NAME...``."""
 
 import subprocess
 import sys
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Run each measurement in a process of its own; the exit code is 1 if one of them failed."""
+    """Run each benchmark in a separate process; return 1 if one of them failed."""
     names = sys.argv[1:] or NAMES
     failed = [name for name in names if _run(name) != 0]
     for name in failed:
--- a/bench/_bare_proxy.py
+++ b/bench/_bare_proxy.py
@@ -1,7 +1,7 @@
-"""The baseline: a cheroot-to-urllib3 proxy that only passes requests on, to hosts at random.
+"""Baseline: a proxy of cheroot and urllib3 that forwards each request to a random endpoint.
 
-Run as ``python -m bench._bare_proxy LISTEN kept|new ENDPOINT...``; with ``new`` each request goes
-on a new connection.
+Run as ``python -m bench._bare_proxy LISTEN kept|new ENDPOINT...``; with ``new`` each request uses
+a new connection, with ``kept`` connections are reused.
 """
 
 import random
@@ -22,10 +22,10 @@
     pool = urllib3.PoolManager(num_pools=100, maxsize=THREADS, retries=False)
 
     class Proxy(Gateway):
-        """Passes one request on."""
+        """Forwards one request."""
 
         def respond(self) -> None:
-            """Answer with the endpoint's answer."""
+            """Forward the request and send back the response of the endpoint."""
             req = self.req
             headers = {k.decode().lower(): v.decode("latin-1") for k, v in req.inheaders.items()}
             headers.pop("connection", None)
--- a/bench/_driver.py
+++ b/bench/_driver.py
@@ -1,7 +1,7 @@
-"""Callers in a process of their own: each sends requests one after the other, and times them.
+"""Load generator: callers that each send requests one after the other and time them.
 
 Run as ``python -m bench._driver ADDRESS PATH CALLERS SECONDS METHOD [HEADER=VALUE...]``; prints
-one JSON object. With the header ``Idempotency-Key=*`` each request gets a key of its own.
+one JSON object. With the header ``Idempotency-Key=*`` each request gets a new key.
 """
 
 import http.client
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Drive the load and print what was seen."""
+    """Generate the load and print the results."""
     address, path, callers, seconds, method, *pairs = sys.argv[1:]
     headers = dict(pair.split("=", 1) for pair in pairs)
     took_ms: list[float] = []
--- a/bench/_fleet_optimum.py
+++ b/bench/_fleet_optimum.py
@@ -1,4 +1,4 @@
-"""Baselines for the planner's bench: an exact optimum in hindsight, and planning from scratch."""
+"""Baselines for the planner's benchmark: an offline optimum, and planning from scratch."""
 
 import itertools
 
@@ -12,17 +12,17 @@
 __all__ = ["naive_moves", "optimum"]
 
 NEXT_TO_NOTHING = 1e-4
-"""Weight of the figure that a weighting does not look at, so that ties fall the better way."""
+"""Weight of the secondary objective, which only breaks ties."""
 
 
 def optimum(
     samples: list[Sample], owed: dict[PoolId, int], spare: PoolId, weigh_moves: bool
 ) -> tuple[float, float]:
-    """Return the least moves and the least buffer (host-samples above owed) in hindsight.
+    """Return the minimum moves and the minimum buffer (host-samples above owed) in hindsight.
 
-    A linear programme over all samples at once: in each, every pool has at least as many hosts
-    at work as under the planner, as far as they are owed; hosts fail and return in each pool as
-    they did. It knows the future, so no planner can do better.
+    Solves a linear programme over all samples at once. In each sample, every pool has at least
+    as many available hosts as under the planner, up to the owed number; hosts fail and return
+    in each pool as recorded. The programme knows the future, so no planner can do better.
 
     :param weigh_moves: whether moves are minimised first, else the buffer.
     """
@@ -42,7 +42,7 @@
         )
         for before, after in itertools.pairwise(samples)
     ]
-    # Unknowns of each sample: hosts at work, moved in, moved out, held above what is owed.
+    # Variables of each sample and pool: hosts available, moved in, moved out, above owed.
     at_work, moved_in, moved_out, above = (i * size * times for i in range(4))
     rows, columns, values, right = [], [], [], []
     row = 0
@@ -94,7 +94,7 @@
 
 
 def naive_moves(samples: list[Sample], owed: dict[PoolId, int], spare: PoolId) -> int:
-    """Return the moves of assigning the hosts at work from scratch at each sample."""
+    """Return the moves if the available hosts were assigned from scratch at each sample."""
     before: dict[str, PoolId] = {}
     moves = 0
     for sample in samples:
--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -1,4 +1,4 @@
-"""A fleet in time for the planner's bench: failures, restarts and planned stops, no processes."""
+"""Simulation of a fleet for the planner's benchmark: failures, restarts and planned stops."""
 
 import math
 import random
@@ -41,7 +41,7 @@
 
     :param owed: hosts that each pool owes; the spare pool owes ``spare_owed``.
     :param days: length of the run; a 35th of the racks is maintained each day.
-    :param failures: times as many hosts fail as in the letter's target.
+    :param failures: factor on the host failure rate of the target fleet.
     """
 
     name: str
@@ -58,7 +58,7 @@
     repair_s: float = REPAIR_S
 
     def document(self) -> Document:
-        """Return the document of the site, without stops."""
+        """Return the document of the site, without planned stops."""
         names = [f"p{n:02d}" for n in range(self.pools)]
         plans = tuple(
             a_plan(
@@ -82,7 +82,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Pools at one time: available hosts, and moves in and out since the last sample."""
+    """State of the pools at one time, with the moves since the last sample."""
 
     at: float
     available: dict[PoolId, int]
@@ -92,7 +92,7 @@
 
 
 class Fleet:
-    """A run of a site: the planner decides, its actions are written, and time passes."""
+    """One simulated run of a site; each step plans, writes the actions and advances the clock."""
 
     def __init__(self, site: Site, seed: int = 1) -> None:
         self.site = site
@@ -117,7 +117,7 @@
         self.promises = promises(self.document)
 
     def run(self, sample_every_s: float) -> None:
-        """Run the site for its days."""
+        """Run the site for the configured number of days."""
         for _ in range(3):
             self._step(quiet=True)
         self.moves = 0
@@ -135,10 +135,10 @@
                 next_sample += sample_every_s
 
     def run_one_stop(self, limit_s: float) -> tuple[float, float, float]:
-        """Stop every host once, by one planned stop.
+        """Stop every host once with a single planned stop.
 
-        :return: seconds: predicted, until 99 % of the hosts were through, and until all were;
-            infinite past the limit.
+        :return: predicted seconds, seconds until 99 % of the hosts were done, and seconds until
+            all were done; infinite if this exceeds the limit.
         """
         self.settle()
         stop = PlannedStop(StopId("all"), tuple(self.infos_by_id))
@@ -159,12 +159,12 @@
         return predicted, most, math.inf
 
     def settle(self) -> None:
-        """Put all hosts into their pools."""
+        """Run without failures until all hosts are assigned to pools."""
         for _ in range(3):
             self._step(quiet=True)
 
     def sight(self) -> Sight:
-        """Return what a look goes by now."""
+        """Return the current input of the planner."""
         hosts = tuple(i for h, i in self.infos_by_id.items() if h not in self.back_at)
         records = {pool: record for pool, (record, _) in self.records.items()}
         closable = frozenset(
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,9 +1,9 @@
-"""Claims of idempotency keys: platform writes and added latency, grouped against one each.
+"""Claims of idempotency keys: platform writes and added latency, with and without batching.
 
-Run as ``python -m bench.claims [--seconds S]``. The platform's stand-in is a process of its own;
-the claim owner and its callers are in this one, with the inner protocol between them. Each load
-offers new keys at an even rate; each is claimed, and its outcome told. "One each" commits every
-message in a transaction of its own, without a bound on writes a second.
+Run as ``python -m bench.claims [--seconds S]``. The platform's stand-in runs in a separate
+process; the claim owner and its callers run in this one and use the inner protocol. Each load
+claims new keys at a constant rate and reports their outcomes. The variant ``one_each`` commits
+every message in its own transaction, without a limit on writes per second.
 """
 
 import argparse
@@ -46,7 +46,7 @@
 
 
 class OneMember:
-    """A roster of one process, which owns every shard."""
+    """Membership list of one process, which therefore owns every shard."""
 
     def __init__(self, me: Member) -> None:
         self.me = me
@@ -60,11 +60,11 @@
         return Liveness.ALIVE
 
     def subscribe(self, listener: Any) -> None:
-        """Ignore listeners: nothing changes."""
+        """Ignore the listener, since membership never changes."""
 
 
 class Counted:
-    """Counts the commits of another key-value service."""
+    """Wraps a key-value service and counts its commits."""
 
     def __init__(self, inner: KeyValue) -> None:
         self._inner = inner
@@ -72,7 +72,7 @@
         self.took_ms: list[float] = []
 
     def commit(self, *args: Any, **kwargs: Any) -> Any:
-        """Commit, counted and timed."""
+        """Commit, and record count and duration."""
         self.commits += 1
         began = time.monotonic()
         result = self._inner.commit(*args, **kwargs)
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    """Measure every load both ways."""
+    """Measure every load with both variants."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=4.0, help="length of one measurement")
     seconds = parser.parse_args().seconds
@@ -105,7 +105,7 @@
 
 
 def measure(address: str, way: str, load: int, seconds: float) -> None:
-    """Offer ``load`` new keys a second and print what it cost."""
+    """Claim ``load`` new keys a second and print the figures."""
     grouped = (_owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S)
     writes_per_s = 25.0
     if way == "one_each":
@@ -197,7 +197,7 @@
 
 
 def offer(client: ClaimClient, load: int, seconds: float) -> tuple[list[float], int]:
-    """Claim new keys at an even rate; return the latencies and how many were not claimed."""
+    """Claim new keys at a constant rate; return the latencies and the number of failed claims."""
     took_ms: list[float] = []
     failed: list[ClaimState] = []
 
@@ -220,13 +220,13 @@
 
 
 def warm_up(client: ClaimClient) -> None:
-    """Let every shard be taken over."""
+    """Claim keys until every shard has been taken over."""
     with ThreadPoolExecutor(CALLERS) as pool:
         list(pool.map(lambda _: client.claim(a_claim(), CLAIM_WAIT_S), range(8 * SHARDS)))
 
 
 def wait_told(client: ClaimClient) -> bool:
-    """Wait until every outcome is acknowledged; return whether that was so in time."""
+    """Wait until every outcome is acknowledged; return ``False`` on a timeout."""
     end = time.monotonic() + 10
     while client.untold and time.monotonic() < end:
         time.sleep(0.01)
@@ -270,7 +270,7 @@
             return
         except OSError:
             threading.Event().wait(0.05)
-    raise TimeoutError(f"{address} does not listen")
+    raise TimeoutError(f"nothing listens on {address}")
 
 
 if __name__ == "__main__":
--- a/bench/config.py
+++ b/bench/config.py
@@ -2,9 +2,9 @@
 
 Run as ``python -m bench.config [--changes N] [--rate R] [--seconds S] [--services N]
 [--cut-zone Z]``. Real processes on loopback: 7 entry hosts in 4 zones, each with a gateway and a
-controller. An edit goes to one controller after the other; a process has it in force when its log
-says so (event 501). With more services the document is larger: 50 make one of about the target's
-size. A zone that is cut off from the platform hears of edits from the other zones.
+controller. Edits are sent to the controllers in turn; a process has one in force when it logs event
+501. More services make a larger document: 50 give about the size of the target. A zone that is
+isolated from the platform receives edits from the other zones.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 ZONES, ENTRY_HOSTS_EACH = 4, 2
 LEFT_OUT = frozenset({"gw-4-2", "ct-4-2"})
-"""So that there are 7 entry hosts."""
+"""Not started, which leaves 7 entry hosts."""
 CHANGES_A_DAY = 3000
 DAY_S = 86_400
 SETTLE_S = 5.0
@@ -33,7 +33,7 @@
 
 
 class Bench:
-    """A running site, and edits of its configuration."""
+    """A running site whose configuration is edited."""
 
     def __init__(self, site: Site, services: int) -> None:
         self.site = site
@@ -46,7 +46,7 @@
         self.cut: frozenset[str] = frozenset()
 
     def start(self) -> None:
-        """Start the stand-ins and all processes but those left out."""
+        """Start the stand-ins and all processes except those left out."""
         self.site.start_standins()
         self.site.publish_hosts(frozenset({"entry-4-2"}))
         for name in self.processes:
@@ -57,14 +57,14 @@
         time.sleep(SETTLE_S)
 
     def cut_off(self, zone: int) -> None:
-        """Cut a zone off from the platform, but not from the other zones."""
+        """Isolate a zone from the platform, but not from the other zones."""
         self.edit()
         self.site.set_faults(self.site.control_address, cut=[self.site.platform_address(zone)])
         self.cut = frozenset(n for n in self.controllers if n.startswith(f"ct-{zone}-"))
         time.sleep(SETTLE_S)
 
     def edit(self) -> tuple[float, int]:
-        """Make an edit through the next controller; return when it was sent and its revision."""
+        """Send an edit to the next controller; return the time of sending and the new revision."""
         self.edits += 1
         self.plans[0]["start_within_s"] = 5.0 + self.edits % 1000
         body = {"base": self.revision, "plans": self.plans, "entitlements": self.entitlements}
@@ -80,7 +80,7 @@
         return sent, self.revision
 
     def seen(self, revision: int) -> dict[str, float]:
-        """Return when each process had a revision at least as new in force, if it has."""
+        """Return when each process first had ``revision`` or a later one in force, if it has."""
         found: dict[str, float] = {}
         for name in self.processes:
             log = (self.site.folder / f"{name}.log").read_bytes()
@@ -91,7 +91,7 @@
         return found
 
     def in_force(self, revision: int) -> dict[str, float]:
-        """Wait until every process has ``revision`` in force; return when each had."""
+        """Wait until every process has ``revision`` in force; return the time for each process."""
         end = time.monotonic() + GIVE_UP_S
         while True:
             found = self.seen(revision)
@@ -107,9 +107,11 @@
     """Measure and print one line per figure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--changes", type=int, default=40)
-    parser.add_argument("--rate", type=float, default=2.0, help="changes a second for their cost")
+    parser.add_argument(
+        "--rate", type=float, default=2.0, help="changes per second while measuring their cost"
+    )
     parser.add_argument("--services", type=int, default=5, help="plans and pools of the document")
-    parser.add_argument("--cut-zone", type=int, default=0, help="zone cut off from the platform")
+    parser.add_argument("--cut-zone", type=int, default=0, help="zone to isolate from the platform")
     parser.add_argument("--seconds", type=float, default=15.0, help="length of one measurement")
     options = parser.parse_args()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sink:
@@ -152,7 +154,7 @@
 
 
 def cost(bench: Bench, sink: socket.socket, rate: float, seconds: float) -> None:
-    """Measure a controller at rest and under changes, and give the slope of one change."""
+    """Measure a controller when idle and under changes, and the cost per change."""
     rest = sample(bench, sink, 0.0, seconds)
     busy = sample(bench, sink, rate, seconds)
     made = busy["changes"] / seconds
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What a process at rest costs, against the size of its zone and the number of zones.
+"""Cost of an idle process, by the size of its zone and the number of zones.
 
 Run as ``python -m bench.control [--seconds S]``. Real processes on loopback, no jobs, no hosts;
 processor time and memory are read from /proc, bytes of the inner protocol from statsd.
@@ -17,7 +17,7 @@
 __all__ = ["main"]
 
 SHAPES = ((1, 1), (1, 4), (1, 8), (1, 16), (4, 2), (11, 2))
-"""Zones and entry hosts in each."""
+"""Number of zones, and of entry hosts in each."""
 SETTLE_S = 4.0
 
 
@@ -57,7 +57,7 @@
 
 
 def drain(sink: socket.socket) -> list[str]:
-    """Return the statsd lines that came since the last look."""
+    """Return the statsd lines received since the last call."""
     lines: list[str] = []
     while True:
         try:
--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -1,4 +1,4 @@
-"""How long a failing, unreachable or leaving host goes on getting jobs, and how many it fails.
+"""How long a failing, unreachable or leaving host still receives jobs, and how many fail.
 
 Drives the scheduler's decision code with a fake clock. ``python -m bench.ejection``
 """
@@ -33,7 +33,7 @@
 
 
 class Run:
-    """One pool of which one host goes bad for a while."""
+    """A pool in which one host is faulty for a limited time."""
 
     def __init__(self, verdict: Verdict, budget: int) -> None:
         self.events = Events()
@@ -54,7 +54,7 @@
 
     @property
     def restored_after_s(self) -> float:
-        """Seconds from the end of the fault until the host has all its slots again."""
+        """Seconds from the end of the fault until all slots of the host are available again."""
         return self._restored - FAULT_AT_S - FAULT_S
 
     _restored = END_S
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The planner: moves, buffer and roll-out time against two baselines, its cost, its calls."""
+"""The planner: moves, buffer and roll-out time against two baselines, its cost and its calls."""
 
 import json
 import math
@@ -29,7 +29,7 @@
     Site("jalseva", 5, 8, 4, 8, 5, 1, 35.0, LITTLE_BUFFER),
 )
 ROUGH = Site("jalseva_rough", 5, 8, 4, 8, 5, 1, 35.0, FEW_MOVES, failures=20.0, repair_s=1500.0)
-"""Twenty times the failures, each repaired before the host is given up: loans and returns."""
+"""Twenty times the failures, repaired soon enough that pools only borrow and return hosts."""
 TARGET = Site("target", 52, 85, 11, 84, 60, 4, 0.5, FEW_MOVES, step_s=120.0)
 
 
@@ -69,7 +69,7 @@
 
 
 def cost() -> None:
-    """Show the time and memory of one look, against hosts and pools."""
+    """Show the time and memory of one planning run, by hosts and pools."""
     for pools, hosts in ((52, 21), (52, 42), (52, 85), (13, 340), (26, 170)):
         site = Site("cost", pools, hosts, 11, hosts - 1, hosts - 4, 4, 0.0, FEW_MOVES)
         run = Fleet(site)
@@ -102,7 +102,7 @@
 
 
 def calls() -> None:
-    """Show the calls of all controllers together, at rest and while the document changes."""
+    """Show the total calls of all controllers, when idle and while the document changes."""
     for zones, racks, edits in ((3, 3, 0), (11, 3, 0), (3, 30, 0), (3, 3, 60)):
         names = tuple(f"z{n:02d}" for n in range(zones))
         world = World(Document((a_plan(),), (a_pool(spare=True),)), names)
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,8 +1,8 @@
 """One gateway process against a bare proxy: throughput and added latency.
 
 Run as ``python -m bench.gateway [--seconds S] [--rounds N]``. Endpoints, gateway, proxy, platform
-and callers are processes of their own on loopback; jobs take no time. The ways are measured in
-turn, so that what else the machine does meets all of them.
+and callers are separate processes on loopback; jobs take no time. The variants are measured in
+turn, so that other load on the machine affects all of them.
 """
 
 import argparse
@@ -67,7 +67,7 @@
 
 
 def ran(site: Site, host: HostSpec) -> bool:
-    """Send a job, and return whether ``host`` has run one."""
+    """Send a job, and return whether ``host`` has run any job so far."""
     headers = dict(pair.split("=", 1) for pair in HEADERS)
     url = f"http://{site.caller_address(site.gateways[0])}/{SERVICE}/x"
     site.http.request("GET", url, headers=headers, timeout=15.0)
@@ -91,7 +91,7 @@
 
 
 def measure(ways: dict[str, str], method: str, callers: int, seconds: float, rounds: int) -> None:
-    """Measure each way in turn and print rates, ratio and added latency."""
+    """Measure each variant in turn and print rates, ratios and added latencies."""
     seen_by_way: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
     for _ in range(rounds):
         for way, address in ways.items():
@@ -117,7 +117,7 @@
 def drive(
     address: str, method: str, callers: int, seconds: float, headers: tuple[str, ...]
 ) -> dict[str, float]:
-    """Run the driver once and return what it saw."""
+    """Run the load generator once and return its results."""
     done = subprocess.run(
         [
             sys.executable,
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -1,7 +1,8 @@
 """Processor time of a pool's owner for each task, in a surge of its pool.
 
-A real owner calls endpoints over HTTP, which stand in another process and end each task after a
-while. The store is in memory, so calls to it are left out. ``python -m bench.owner``
+A real owner calls simulated endpoints over HTTP, which run in another process and end each task
+after a delay. The store is in memory, so the cost of calls to it is not included.
+``python -m bench.owner``
 """
 
 import argparse
@@ -40,7 +41,7 @@
 
 
 class Standin:
-    """One endpoint, which ends each task after the time that its job's text says."""
+    """One endpoint, which ends each task after the seconds in the job's spec."""
 
     def __init__(self) -> None:
         self._born_s = time.time()
@@ -97,7 +98,7 @@
 
 
 async def stand_in(count: int) -> None:
-    """Serve ``count`` endpoints, after a line with their ports."""
+    """Print the ports of ``count`` endpoints as one line, and serve them."""
     servers = [await asyncio.start_server(Standin().serve, "127.0.0.1", 0) for _ in range(count)]
     print(json.dumps([server.sockets[0].getsockname()[1] for server in servers]), flush=True)
     await asyncio.Event().wait()
@@ -141,9 +142,9 @@
 
 
 class Surge:
-    """Jobs handed to one owner at an even rate.
+    """Submits jobs to one owner at a constant rate.
 
-    :param ports: of the endpoints.
+    :param ports: ports of the endpoints.
     """
 
     def __init__(self, ports: list[int], rate: float, seconds: float) -> None:
@@ -228,7 +229,7 @@
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process, DEVNULL.open("w") as log:
         assert process.stdout is not None
         ports = json.loads(process.stdout.readline())
-        # What an owner logs costs it time, and belongs to the figure.
+        # Logging is part of the cost of an owner, so it stays enabled.
         sys.stdout = log
         setup("info")
         figures = Surge(ports, args.rate, args.seconds).run()
@@ -236,7 +237,7 @@
         head = {"bench": "owner", "endpoints": args.endpoints, "rate": args.rate}
         lines = [head | {"figure": name, "value": round(figures[name], 3)} for name in figures]
         print(*map(json.dumps, lines), sep="\n", file=shown, flush=True)
-        # The threads of the owner and the log still run, and write to what is closed now.
+        # Threads of the owner and of logging still run and would write to closed files.
         os._exit(0)
 
 
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -1,7 +1,7 @@
 """Cost of the platform's clients: processor time, bytes and latency of each call.
 
-The stand-in runs in a process of its own. Processor time is that of the calling thread. Bytes are
-those of the HTTP exchange, both ways, counted by a relay in a second pass.
+The stand-in runs in a separate process. Processor time is that of the calling thread. Bytes are
+those of the HTTP exchange in both directions, counted by a relay in a second pass.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 
 class Relay:
-    """Passes connections on to ``target`` and counts their bytes."""
+    """Forwards connections to ``target`` and counts their bytes."""
 
     def __init__(self, target: str) -> None:
         self._target = target
@@ -84,7 +84,7 @@
 
 
 def settings(address: str) -> PlatformSettings:
-    """Return settings without a call budget that matters here."""
+    """Return settings with a call budget too large to matter here."""
     return PlatformSettings((address,), address, calls_per_s=1e6)
 
 
@@ -150,7 +150,7 @@
 
 
 def measure_watch(address: str) -> None:
-    """Print what a watch costs its reader for each change of 1 KB."""
+    """Print the cost of a watch for its reader for each change of 1 KB."""
     relay = Relay(address)
     writer = EtcdKeyValue(settings(address), NoMetrics())
     reader = EtcdKeyValue(settings(relay.address), NoMetrics())
--- a/bench/rest.py
+++ b/bench/rest.py
@@ -1,7 +1,7 @@
-"""What an entry host costs at rest, by the number of entry hosts: processor, threads, memory.
+"""Processor time, threads and memory of an idle entry host, by the number of entry hosts.
 
-Starts real processes on a stand-in of the users' platform, waits until all are ready and settled,
-and reads what the kernel charges them over some seconds. Prints one JSON line for each size.
+Starts real processes with a stand-in for the users' platform, waits until all are ready, and
+reads their resource usage from /proc over some seconds. Prints one JSON line for each size.
 """
 
 import argparse
@@ -33,7 +33,7 @@
 
 
 def measure(size: int) -> dict[str, object]:
-    """Return what each of ``size`` entry hosts costs while nothing is asked of them."""
+    """Return the mean and maximum cost of ``size`` entry hosts without load."""
     platform = UsersPlatform(0.1)
     platform.configure(3, QUEUES)
     for pool in QUEUES.values():
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -1,8 +1,8 @@
-"""Every entry host replaced in turn, under callers: what they see, and how long it takes.
+"""Replacement of every entry host in turn under load: answers of callers and duration.
 
 Run as ``python -m bench.rolling``. Real processes on loopback: 3 zones of 2 entry hosts, 30 hosts.
-Callers choose among the gateways that said ready at the balancer's last probe. One round drains
-each process before it is replaced; another kills it.
+Callers choose among the gateways that were ready at the last probe of the load balancer. One
+round drains each process before it is replaced; another kills it.
 """
 
 import random
@@ -28,7 +28,7 @@
 
 
 class Balancer:
-    """Probes ``/readyz`` as the platform's balancer does."""
+    """Probes ``/readyz`` like the platform's load balancer."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -43,12 +43,12 @@
         self._thread.start()
 
     def close(self) -> None:
-        """End the probes."""
+        """Stop probing."""
         self._stopping.set()
         self._thread.join()
 
     def probe(self) -> None:
-        """Ask each gateway whether it is ready."""
+        """Probe every gateway once."""
         self.ready = [name for name in self.site.gateways if self._is_ready(name)]
 
     def _is_ready(self, name: str) -> bool:
@@ -64,7 +64,7 @@
 
 
 class Callers:
-    """Send short jobs that must not run twice, one after the other, and count the answers."""
+    """Callers that send short non-idempotent jobs one after the other and count the answers."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
@@ -76,7 +76,7 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         for thread in self._threads:
             thread.start()
 
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a scheduler and of a gateway's slots, with their slopes.
+"""Processor time and memory of a scheduler and of a gateway's slots, by size.
 
 ``python -m bench.routing_costs``
 """
@@ -39,7 +39,7 @@
 
 
 def a_scheduler(hosts: int, plans: int) -> PoolScheduler:
-    """Return a scheduler of that many hosts and plans, without limits."""
+    """Return a scheduler with ``hosts`` hosts and ``plans`` plans, without limits."""
     scheduler = PoolScheduler(POOL, ZONE, 1, set(), time.monotonic, random.Random(1))
     slots = {HostId(f"h{n}"): SLOTS for n in range(hosts)}
     terms = {PlanId(f"p{n}"): PlanTerms(queue=10**9) for n in range(plans)}
@@ -48,20 +48,20 @@
 
 
 def an_ask(plans: int) -> Ask:
-    """Return an ask of some plan and urgency."""
+    """Return a request for a slot; plans and urgencies take turns."""
     number = next(_requests)
     plan = PlanId(f"p{number % plans}")
     return Ask(RequestId(f"request-{number}"), POOL, plan, number % 3, 600.0, GW.address)
 
 
 def done(granted: Granted) -> Done:
-    """Return the report that a grant is over."""
+    """Return the message that ends a grant."""
     plan = PlanId("p0")
     return Done(granted.pool, granted.grant, granted.host, plan, Verdict.OK, 0.001)
 
 
 def grants(replies: list[Reply]) -> list[Granted]:
-    """Return the grants among replies."""
+    """Return the grants in ``replies``."""
     return [reply.message for reply in replies if isinstance(reply.message, Granted)]
 
 
@@ -78,7 +78,7 @@
 
 
 def grant_cost(hosts: int, queue: int, plans: int) -> None:
-    """Print the cost of one ask, grant and report at a steady queue."""
+    """Print the cost of one ask, grant and report at a constant queue length."""
     scheduler, held = filled(hosts, queue, plans)
     asks = [an_ask(plans) for _ in range(GRANTS)]
     start = time.process_time()
@@ -94,7 +94,7 @@
 
 
 def cancel_cost(queue: int) -> None:
-    """Print the cost of each cancellation when the whole queue leaves."""
+    """Print the cost of each cancellation when the whole queue is cancelled."""
     scheduler = a_scheduler(200, 4)
     requests = []
     while scheduler.waiting < queue:
@@ -129,7 +129,7 @@
 
 
 def tick_cost(hosts: int, queue: int) -> None:
-    """Print the cost of a tick that sweeps, which comes once a second."""
+    """Print the cost of a tick that sweeps, which happens once a second."""
     scheduler, _ = filled(hosts, queue, 4)
     start = time.process_time()
     for n in range(20):
@@ -140,7 +140,7 @@
 
 
 def slots_cost() -> None:
-    """Print what one job costs a gateway whose scheduler is its own, or another's."""
+    """Print the cost of one job for a gateway, with a local and with a remote scheduler."""
     keys, members, fleet = builders.inner_keys(), Members(), Fleet()
     fleet.hosts(*(builders.an_entry(f"h{n}") for n in range(8)))
     gateways = [Gateway(f"gw-{n}", keys, members, fleet) for n in range(2)]
--- a/bench/silence.py
+++ b/bench/silence.py
@@ -1,7 +1,7 @@
-"""Time until a silent connection or endpoint is given up, with the product's own bounds.
+"""Time until a silent connection or endpoint is given up, with the default timeouts.
 
-Run as ``python -m bench.silence``. A socket filter drops all packets of one connection, as if
-something between the two ends had forgotten it, while new connections work. One run of each.
+Run as ``python -m bench.silence``. A socket filter drops all packets of one connection, like a
+stateful firewall that lost its entry, while new connections work. Each case is run once.
 """
 
 import socket
@@ -16,16 +16,16 @@
 
 
 class _Bench(GatewayTestCase):
-    """The tests' gateway with endpoints that follow a script; see :func:`main`."""
+    """The gateway of the tests with scripted endpoints; started by :func:`main`."""
 
-    def runTest(self) -> None:  # noqa: N802 (the name that unittest asks for)
+    def runTest(self) -> None:  # noqa: N802 (name required by unittest)
         """Measure all cases."""
         self.forgotten_connection()
         self.forgotten_order()
         self.silent_endpoint()
 
     def forgotten_connection(self) -> None:
-        """A kept connection is forgotten; a repeatable job goes out on it."""
+        """Send a repeatable job on a reused connection whose packets are dropped."""
         forgotten: list[socket.socket] = []
 
         def script(sock: socket.socket, request: bytes) -> None:
@@ -42,7 +42,7 @@
         figure("silence", "repeatable_job_on_forgotten_connection", took_s, "s", status=status)
 
     def forgotten_order(self) -> None:
-        """An order's new connection is forgotten once the endpoint has the order."""
+        """Send a job that must not be repeated; packets are dropped once the endpoint has it."""
         self.slots.addresses.clear()
         self.an_endpoint(lambda sock, request: drop_all(sock))
         self.a_gateway()
@@ -50,7 +50,7 @@
         figure("silence", "order_on_forgotten_connection", took_s, "s", status=status)
 
     def silent_endpoint(self) -> None:
-        """An endpoint accepts a repeatable job and stays silent; others answered at once."""
+        """Send a repeatable job to an endpoint that accepts it but does not answer."""
         self.slots.addresses.clear()
         endpoint = self.an_endpoint()
         self.an_endpoint()
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,7 +1,7 @@
-"""What the mirrored state costs at fleets of several sizes: bytes, time, memory.
+"""Cost of the mirrored state for fleets of several sizes: bytes, time, memory.
 
-Run as ``python -m bench.state``. One process, no network: the state is built as records of pools
-and zones and a document, taken into a mirror, and one record is changed again and again.
+Run as ``python -m bench.state``. One process, no network: the state is built from records of
+pools and zones and a document, loaded into a mirror, and one record is changed repeatedly.
 """
 
 import resource
@@ -62,7 +62,7 @@
 
 
 def change(mirror: Mirror, key: str, revision: int) -> float:
-    """Write one key again and again; return the seconds that the mirror and the view took."""
+    """Write one key repeatedly; return the seconds spent in the mirror and the view."""
     value = next(item.value for item in mirror.below(key))
     first = max(revision, mirror.complete_to) + 1
     began = time.perf_counter()
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,6 +1,6 @@
-"""Goodput, urgent start times and refusals in surges: grants against other ways.
+"""Goodput, urgent start times and refusals in surges: grants against other algorithms.
 
-Drives the scheduler's decision code with a fake clock; endpoints and the network are events.
+Drives the scheduler's decision code with a fake clock; endpoints and network are simulated.
 ``python -m bench.surge``
 """
 
@@ -65,7 +65,7 @@
 
 
 def main() -> None:
-    """Run every system over the same arrivals."""
+    """Run every system with the same arrivals."""
     for surge_s, seeds in SEEDS_BY_SURGE_S.items():
         for seed in seeds:
             for name in SYSTEMS:
--- a/bench/surge_baselines.py
+++ b/bench/surge_baselines.py
@@ -1,4 +1,4 @@
-"""Other ways to spread jobs over hosts, for the surge bench."""
+"""Other algorithms that distribute jobs over hosts, for the surge benchmark."""
 
 import heapq
 import random
@@ -14,9 +14,9 @@
 
 
 class Blind:
-    """Baseline: each gateway sends to a random host below its own count of that host's jobs.
+    """Baseline: each gateway sends jobs to random hosts, limited only by its own jobs there.
 
-    :param limit: jobs that one gateway sends to a host at once.
+    :param limit: maximum number of jobs of one gateway on a host.
     """
 
     def __init__(self, events: Events, limit: int, seed: int) -> None:
@@ -30,7 +30,7 @@
         self._queues: dict[tuple[int, str], deque[Job]] = {}
 
     def arrive(self, job: Job) -> None:
-        """A caller's job reaches a gateway."""
+        """Handle the arrival of a job at a gateway."""
         queue = self._queues.setdefault((job.gateway, job.pool), deque())
         if len(queue) >= PLAN_QUEUE:
             job.refused = True
@@ -67,9 +67,10 @@
 
 
 class Home:
-    """Each host's slots belong to one gateway; entry gateways send jobs to a random home.
+    """Baseline: the slots of each host belong to one gateway, its home.
 
-    A home queues by urgency and deadline, so order is right for each host but not for the pool.
+    A gateway forwards a job to the home of a random host, which queues by urgency and deadline.
+    The order is right for each host, but not for the pool.
     """
 
     def __init__(self, events: Events, seed: int) -> None:
@@ -81,7 +82,7 @@
         self._free = dict.fromkeys(self._homes, SLOTS)
 
     def arrive(self, job: Job) -> None:
-        """A caller's job reaches a gateway, which sends it on."""
+        """Handle the arrival of a job at a gateway, which forwards it."""
         home = (job.pool, self._rng.randrange(HOSTS))
         self._events.after(HOP_S, lambda: self._queue(job, home))
 
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -1,4 +1,4 @@
-"""Grants from pool schedulers, driven by the surge bench."""
+"""Grants from pool schedulers, for the surge benchmark."""
 
 import random
 import time
@@ -21,7 +21,7 @@
 
 
 class Granting:
-    """Our way: a scheduler a pool and zone, which grants slots to the gateways.
+    """The algorithm of the program: a scheduler for each pool and zone grants slots to gateways.
 
     :param zones: zones over which each pool's hosts are spread evenly.
     """
@@ -50,11 +50,11 @@
 
     @property
     def violations(self) -> int:
-        """Invariants found broken."""
+        """Number of broken invariants."""
         return sum(scheduler.violations for scheduler in self._schedulers.values())
 
     def arrive(self, job: Job) -> None:
-        """A caller's job reaches a gateway of a random zone."""
+        """Handle the arrival of a job at a gateway of a random zone."""
         zone = self._rng.choice(self._zones)
         self._jobs[RequestId(str(job.id))] = job
         self._ask(job, zone, spillable=len(self._zones) > 1, hop_s=HOP_S)
@@ -146,9 +146,9 @@
 
 
 class Returning(Granting):
-    """Grants to callers that come back when they are refused, up to three times.
+    """Grants to callers that retry up to three times when they are refused.
 
-    :param back_s: seconds after which they come back; ``None``: when they are told to.
+    :param back_s: seconds before a retry; ``None`` for the delay given in the refusal.
     """
 
     def __init__(self, events: Events, back_s: float | None, seed: int) -> None:
--- a/bench/surge_load.py
+++ b/bench/surge_load.py
@@ -1,4 +1,4 @@
-"""The load of the surge bench: arrivals, run times, and a discrete-event loop."""
+"""The load of the surge benchmark: arrivals, run times, and a discrete-event loop."""
 
 import heapq
 import itertools
@@ -57,7 +57,7 @@
 
 @dataclass
 class Job:
-    """One job and what became of it."""
+    """One job and its result."""
 
     id: int
     pool: str
@@ -81,7 +81,7 @@
 
 
 class Events:
-    """A discrete-event loop; also the clock of what it drives."""
+    """A discrete-event loop, which is also the clock of the simulated systems."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -107,7 +107,7 @@
 
 
 class Endpoint:
-    """A host's endpoint: runs ``slots`` jobs at once and queues what comes above, in order."""
+    """Endpoint of a host: runs ``slots`` jobs at once and queues further ones in order."""
 
     def __init__(self, events: Events, slots: int = SLOTS) -> None:
         self._events = events
@@ -115,7 +115,7 @@
         self._waiting: deque[tuple[Job, Callable[[], None]]] = deque()
 
     def run(self, job: Job, ended: Callable[[], None]) -> bool:
-        """Run or queue a job; ``False`` if no connection is left."""
+        """Run or queue a job; return ``False`` if no connection is left."""
         if self._free:
             self._start(job, ended)
         elif len(self._waiting) < ENDPOINT_CONNECTIONS - SLOTS:
@@ -139,9 +139,9 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Each pool in turn surges, and is calm in between.
+    """Surges of each pool in turn, with low load in between.
 
-    :ivar surge_s: length of a surge.
+    :ivar surge_s: duration of a surge.
     """
 
     seed: int
@@ -149,7 +149,7 @@
 
     @property
     def end(self) -> float:
-        """When the last calm ends."""
+        """Time at which the low load after the last surge ends."""
         return self.surges(len(POOLS) - 1)[-1][1] + 2 * self.surge_s
 
     def surges(self, pool: int) -> list[tuple[float, float]]:
@@ -159,7 +159,7 @@
         return [(start, start + self.surge_s) for start in starts]
 
     def arrivals(self, slots: int, gateways: int) -> Iterator[Job]:
-        """Yield jobs in order of arrival, over as many slots a pool."""
+        """Yield jobs in order of arrival, for pools of ``slots`` slots."""
         rng = random.Random(self.seed)
         most_per_s = SURGE_FACTOR * MEAN_OF_CAPACITY * slots / MEAN_RUN_S
         streams = [self._stream(n, most_per_s, rng) for n in range(len(POOLS))]
@@ -173,7 +173,7 @@
         found: list[tuple[float, str]] = []
         now = 0.0
         while now < self.end:
-            # Drawn at the highest rate and thinned: a calm gap never reaches into a surge.
+            # Draws at the peak rate and thins out, so that a long gap never reaches into a surge.
             now += rng.expovariate(most_per_s)
             in_surge = any(start <= now < stop for start, stop in self.surges(pool))
             if in_surge or rng.random() < CALM_FACTOR / SURGE_FACTOR:
@@ -195,7 +195,7 @@
 
 
 class Outcome:
-    """All jobs of a run, and what it reports."""
+    """All jobs of a run, and its report."""
 
     def __init__(self, jobs: list[Job], load: Load, slots: int) -> None:
         self.jobs = jobs
@@ -243,7 +243,7 @@
         )
 
     def _fairness(self, surging: list[tuple[str, float, float]]) -> float:
-        """Slot seconds in surges of the plan that offers half, over those of its equal."""
+        """Return slot seconds in surges of plan ``app``, with half the load, over ``orders``."""
         app_s, orders_s = (
             sum(self._used_s(*surge, plan) for surge in surging) for plan in ("app", "orders")
         )
--- a/bench/waits.py
+++ b/bench/waits.py
@@ -1,4 +1,4 @@
-"""Where jobs' time went, from the log lines of entry hosts.
+"""Breakdown of the time that jobs took, from the log lines of entry hosts.
 
 Reads log files (or standard input), keeps the last ``job_ended`` line of each job, and prints one
 JSON line for each queue: jobs, and the seconds that its slowest tenth spent on each cause. Text
@@ -34,7 +34,7 @@
 
 
 def ended_jobs(lines: Iterable[str]) -> list[Ended]:
-    """Return the last end of each job that lines tell of."""
+    """Return the last ``job_ended`` line of each job."""
     by_job: dict[str, Ended] = {}
     for line in lines:
         start = line.find("{")
@@ -43,7 +43,7 @@
         try:
             ended = msgspec.json.decode(line[start:], type=Ended)
         except msgspec.MsgspecError as error:
-            print(f"left out, {error}: {line[:80]}", file=sys.stderr)
+            print(f"skipped line, {error}: {line[:80]}", file=sys.stderr)
             continue
         by_job[ended.job] = ended
     return list(by_job.values())
@@ -66,7 +66,9 @@
 
 def main() -> None:
     """Print one line for each queue."""
-    parser = argparse.ArgumentParser(description="where jobs' time went, from log files")
+    parser = argparse.ArgumentParser(
+        description="breakdown of the time that jobs took, from log files"
+    )
     parser.add_argument("logs", nargs="*", type=Path)
     ended = ended_jobs(_lines(parser.parse_args().logs))
     for queue in sorted({job.queue for job in ended}):
