--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -5,7 +5,7 @@
 
 __all__ = ["main"]
 
-NAMES = (
+BENCHMARKS = (
     "gateway",
     "claims",
     "surge",
@@ -25,7 +25,7 @@
 
 def main() -> int:
     """Run each benchmark in a separate process; return 1 if one of them failed."""
-    names = sys.argv[1:] or NAMES
+    names = sys.argv[1:] or BENCHMARKS
     failed = [name for name in names if _run(name) != 0]
     for name in failed:
         print(f"bench.{name} failed", file=sys.stderr)
--- a/bench/_driver.py
+++ b/bench/_driver.py
@@ -19,26 +19,28 @@
     """Generate the load and print the results."""
     address, path, callers, seconds, method, *pairs = sys.argv[1:]
     headers = dict(pair.split("=", 1) for pair in pairs)
-    took_ms: list[float] = []
-    failed: list[int] = []
+    latencies_ms: list[float] = []
+    failed_statuses: list[int] = []
     end = time.monotonic() + float(seconds)
-    tasks = [
-        threading.Thread(target=call, args=(address, path, method, headers, end, took_ms, failed))
+    threads = [
+        threading.Thread(
+            target=call, args=(address, path, method, headers, end, latencies_ms, failed_statuses)
+        )
         for _ in range(int(callers))
     ]
-    for task in tasks:
-        task.start()
-    for task in tasks:
-        task.join()
-    took_ms.sort()
-    seen = {
-        "count": len(took_ms),
-        "failed": len(failed),
-        "rate": len(took_ms) / float(seconds),
-        "p50_ms": statistics.median(took_ms) if took_ms else 0.0,
-        "p99_ms": took_ms[int(len(took_ms) * 0.99)] if took_ms else 0.0,
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
+    latencies_ms.sort()
+    results = {
+        "count": len(latencies_ms),
+        "failed": len(failed_statuses),
+        "rate": len(latencies_ms) / float(seconds),
+        "p50_ms": statistics.median(latencies_ms) if latencies_ms else 0.0,
+        "p99_ms": latencies_ms[int(len(latencies_ms) * 0.99)] if latencies_ms else 0.0,
     }
-    print(json.dumps(seen))
+    print(json.dumps(results))
 
 
 def call(
@@ -47,8 +49,8 @@
     method: str,
     headers: dict[str, str],
     end: float,
-    took_ms: list[float],
-    failed: list[int],
+    latencies_ms: list[float],
+    failed_statuses: list[int],
 ) -> None:
     """Send requests one after the other until ``end``."""
     host, _, port = address.rpartition(":")
@@ -57,14 +59,14 @@
     while time.monotonic() < end:
         if headers.get("Idempotency-Key") == "*":
             sent["Idempotency-Key"] = uuid.uuid4().hex
-        began = time.monotonic()
+        started = time.monotonic()
         connection.request(method, path, b"text" if method == "POST" else None, sent)
         answer = connection.getresponse()
         answer.read()
         if answer.status == 200:
-            took_ms.append((time.monotonic() - began) * 1000)
+            latencies_ms.append((time.monotonic() - started) * 1000)
         else:
-            failed.append(answer.status)
+            failed_statuses.append(answer.status)
 
 
 if __name__ == "__main__":
--- a/bench/_fleet_optimum.py
+++ b/bench/_fleet_optimum.py
@@ -11,12 +11,12 @@
 
 __all__ = ["naive_moves", "optimum"]
 
-NEXT_TO_NOTHING = 1e-4
+TIE_BREAK_WEIGHT = 1e-4
 """Weight of the secondary objective, which only breaks ties."""
 
 
 def optimum(
-    samples: list[Sample], owed: dict[PoolId, int], spare: PoolId, weigh_moves: bool
+    samples: list[Sample], owed: dict[PoolId, int], spare: PoolId, minimize_moves: bool
 ) -> tuple[float, float]:
     """Return the minimum moves and the minimum buffer (host-samples above owed) in hindsight.
 
@@ -24,12 +24,12 @@
     as many available hosts as under the planner, up to the owed number; hosts fail and return
     in each pool as recorded. The programme knows the future, so no planner can do better.
 
-    :param weigh_moves: whether moves are minimised first, else the buffer.
+    :param minimize_moves: whether moves are minimised first, else the buffer.
     """
     pools = sorted(owed)
     size, times = len(pools), len(samples)
     start = numpy.array([samples[0].available[p] for p in pools], dtype=float)
-    outside = [
+    external_changes = [
         numpy.array(
             [
                 after.available[p]
@@ -43,11 +43,11 @@
         for before, after in itertools.pairwise(samples)
     ]
     # Variables of each sample and pool: hosts available, moved in, moved out, above owed.
-    at_work, moved_in, moved_out, above = (i * size * times for i in range(4))
-    rows, columns, values, right = [], [], [], []
+    available, moved_in, moved_out, above = (i * size * times for i in range(4))
+    rows, columns, values, right_hand_sides = [], [], [], []
     row = 0
 
-    def put(column: int, value: float) -> None:
+    def add_coefficient(column: int, value: float) -> None:
         rows.append(row)
         columns.append(column)
         values.append(value)
@@ -55,41 +55,51 @@
     for t in range(times):
         for p in range(size):
             here = t * size + p
-            put(at_work + here, 1.0)
-            put(moved_in + here, -1.0)
-            put(moved_out + here, 1.0)
+            add_coefficient(available + here, 1.0)
+            add_coefficient(moved_in + here, -1.0)
+            add_coefficient(moved_out + here, 1.0)
             if t:
-                put(at_work + here - size, -1.0)
-            right.append(outside[t - 1][p] if t else start[p])
+                add_coefficient(available + here - size, -1.0)
+            right_hand_sides.append(external_changes[t - 1][p] if t else start[p])
             row += 1
         for p in range(size):
-            put(moved_in + t * size + p, 1.0)
-            put(moved_out + t * size + p, -1.0)
-        right.append(0.0)
+            add_coefficient(moved_in + t * size + p, 1.0)
+            add_coefficient(moved_out + t * size + p, -1.0)
+        right_hand_sides.append(0.0)
         row += 1
-    equal = sparse.csr_array((values, (rows, columns)), shape=(row, 4 * size * times))
-    held = range(size * times)
-    below = sparse.csr_array(
+    equality_matrix = sparse.csr_array((values, (rows, columns)), shape=(row, 4 * size * times))
+    indices = range(size * times)
+    inequality_matrix = sparse.csr_array(
         (
-            [1.0] * len(held) + [-1.0] * len(held),
-            ([*held, *held], [at_work + i for i in held] + [above + i for i in held]),
+            [1.0] * len(indices) + [-1.0] * len(indices),
+            ([*indices, *indices], [available + i for i in indices] + [above + i for i in indices]),
         ),
-        shape=(len(held), 4 * size * times),
+        shape=(len(indices), 4 * size * times),
     )
-    limit = [owed[pools[i % size]] for i in held]
+    upper_bounds = [owed[pools[i % size]] for i in indices]
     bounds = [(min(owed[p], sample.available[p]), None) for sample in samples for p in pools] + [
         (0, None)
     ] * (3 * size * times)
-    moves_weight, buffer_weight = (1.0, NEXT_TO_NOTHING) if weigh_moves else (NEXT_TO_NOTHING, 1.0)
+    moves_weight, buffer_weight = (
+        (1.0, TIE_BREAK_WEIGHT) if minimize_moves else (TIE_BREAK_WEIGHT, 1.0)
+    )
     cost = numpy.zeros(4 * size * times)
     cost[moved_out : moved_out + size * times] = moves_weight
-    for i in held:
+    for i in indices:
         cost[above + i] = 0.0 if pools[i % size] == spare else buffer_weight
-    answer = linprog(cost, below, limit, equal, right, bounds, method="highs")
-    if not answer.success:
-        raise RuntimeError(answer.message)
-    moves = answer.x[moved_out : moved_out + size * times].sum()
-    buffer = sum(answer.x[above + i] for i in held if pools[i % size] != spare)
+    solution = linprog(
+        cost,
+        inequality_matrix,
+        upper_bounds,
+        equality_matrix,
+        right_hand_sides,
+        bounds,
+        method="highs",
+    )
+    if not solution.success:
+        raise RuntimeError(solution.message)
+    moves = solution.x[moved_out : moved_out + size * times].sum()
+    buffer = sum(solution.x[above + i] for i in indices if pools[i % size] != spare)
     return float(moves), float(buffer)
 
 
--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -27,13 +27,13 @@
 MAINTENANCE_S = 600.0
 RESTART_S = 300.0
 REPAIR_S = 4 * 3600.0
-RACK_S = 2 * 3600.0
-ZONE_S = 3600.0
+RACK_REPAIR_S = 2 * 3600.0
+ZONE_REPAIR_S = 3600.0
 TARGET_HOSTS = 4_400.0
-FAILURES_A_DAY = 51 / TARGET_HOSTS
-RESTARTS_A_DAY = 550 / TARGET_HOSTS
-RACKS_A_DAY = 1 / 7 / (TARGET_HOSTS / 4)
-ZONES_A_DAY = 4 / 365 / 11
+FAILURES_PER_DAY = 51 / TARGET_HOSTS
+RESTARTS_PER_DAY = 550 / TARGET_HOSTS
+RACK_FAILURES_PER_DAY = 1 / 7 / (TARGET_HOSTS / 4)
+ZONE_FAILURES_PER_DAY = 4 / 365 / 11
 
 
 class Site(msgspec.Struct, frozen=True):
@@ -71,14 +71,14 @@
         pools = tuple(a_pool(name, spare=n == 0) for n, name in enumerate(names))
         return Document(plans, pools, objective=self.objective)
 
-    def infos(self) -> list[HostInfo]:
+    def host_infos(self) -> list[HostInfo]:
         """Return the hosts of the site, four to a rack."""
-        infos = []
+        host_infos = []
         for n in range(self.pools * self.hosts_per_pool):
             zone = ZoneId(f"z{n // 4 % self.zones:02d}")
             name, rack = HostId(f"h{n:04d}"), RackId(f"r{n // 4:04d}")
-            infos.append(HostInfo(name, f"10.0.0.1:{n}", zone, rack, since=1.0))
-        return infos
+            host_infos.append(HostInfo(name, f"10.0.0.1:{n}", zone, rack, since=1.0))
+        return host_infos
 
 
 class Sample(msgspec.Struct, frozen=True):
@@ -102,13 +102,13 @@
         self.kv = FakeKeyValue()
         self.ledger = Ledger(self.kv, Mirror())
         self.memory = Memory()
-        self.infos_by_id = {info.id: info for info in site.infos()}
-        self.back_at: dict[HostId, float] = {}
+        self.infos_by_id = {info.id: info for info in site.host_infos()}
+        self.returns_at: dict[HostId, float] = {}
         self.records: dict[PoolId, tuple[PoolRecord, Revision]] = {}
         self.moves = 0
         self.plan_s: list[float] = []
         self.waves_by_stop: dict[StopId, WaveReport] = {}
-        self.broken_steps = 0
+        self.samples_over_budget = 0
         self.steps = 0
         self.samples: list[Sample] = []
         self._moved_in: Counter[PoolId] = Counter()
@@ -119,7 +119,7 @@
     def run(self, sample_every_s: float) -> None:
         """Run the site for the configured number of days."""
         for _ in range(3):
-            self._step(quiet=True)
+            self._step(without_failures=True)
         self.moves = 0
         next_sample, next_day, wave = self.now, self.now, 0
         end = self.now + self.site.days * DAY_S
@@ -128,10 +128,10 @@
             if self.now >= next_day:
                 self._stop_racks(racks, wave)
                 wave, next_day = wave + 1, next_day + DAY_S
-            self._step(quiet=False)
+            self._step(without_failures=False)
             if self.now >= next_sample:
                 self._sample()
-                self._note_waves()
+                self._record_waves()
                 next_sample += sample_every_s
 
     def run_one_stop(self, limit_s: float) -> tuple[float, float, float]:
@@ -140,32 +140,32 @@
         :return: predicted seconds, seconds until 99 % of the hosts were done, and seconds until
             all were done; infinite if this exceeds the limit.
         """
-        self.settle()
+        self.assign_all()
         stop = PlannedStop(StopId("all"), tuple(self.infos_by_id))
         self.document = msgspec.structs.replace(self.document, stops=(stop,))
         self._declare()
-        predicted, most = 0.0, math.inf
+        predicted, nearly_all_s = 0.0, math.inf
         end = self.now + limit_s
         while self.now < end:
-            self._step(quiet=False)
+            self._step(without_failures=False)
             self._sample()
             stop_report = report(self.last, {}).stops[0]
             wave = stop_report.wave
             if stop_report.done >= 0.99 * len(stop.hosts):
-                most = min(most, self.now - wave.started)
+                nearly_all_s = min(nearly_all_s, self.now - wave.started)
             predicted = predicted or wave.predicted_s
             if wave.actual_s is not None:
-                return predicted, most, wave.actual_s
-        return predicted, most, math.inf
+                return predicted, nearly_all_s, wave.actual_s
+        return predicted, nearly_all_s, math.inf
 
-    def settle(self) -> None:
+    def assign_all(self) -> None:
         """Run without failures until all hosts are assigned to pools."""
         for _ in range(3):
-            self._step(quiet=True)
+            self._step(without_failures=True)
 
     def sight(self) -> Sight:
         """Return the current input of the planner."""
-        hosts = tuple(i for h, i in self.infos_by_id.items() if h not in self.back_at)
+        hosts = tuple(i for h, i in self.infos_by_id.items() if h not in self.returns_at)
         records = {pool: record for pool, (record, _) in self.records.items()}
         closable = frozenset(
             entry.id
@@ -190,13 +190,13 @@
         self.document = msgspec.structs.replace(self.document, stops=(*recent, stop))
         self._declare()
 
-    def _step(self, quiet: bool) -> None:
+    def _step(self, without_failures: bool) -> None:
         self.now += self.site.step_s
         self.steps += 1
-        if not quiet:
-            self._fail()
-        for host in [h for h, at in self.back_at.items() if at <= self.now]:
-            del self.back_at[host]
+        if not without_failures:
+            self._inject_failures()
+        for host in [h for h, at in self.returns_at.items() if at <= self.now]:
+            del self.returns_at[host]
             info = self.infos_by_id[host]
             self.infos_by_id[host] = msgspec.structs.replace(info, since=self.now)
         decision = plan(self.sight(), self.memory)
@@ -204,35 +204,35 @@
         self._write(decision.actions)
         self._start_maintenance()
 
-    def _fail(self) -> None:
-        share = self.site.step_s / DAY_S
-        failing = FAILURES_A_DAY * self.site.failures
+    def _inject_failures(self) -> None:
+        days = self.site.step_s / DAY_S
+        failures_per_day = FAILURES_PER_DAY * self.site.failures
         for host, info in self.infos_by_id.items():
-            dice = self.random.random()
-            if dice < failing * share:
-                self._lose(host, self.site.repair_s)
-            elif dice < (failing + RESTARTS_A_DAY) * share:
-                self._lose(host, RESTART_S)
-            elif dice < (failing + RESTARTS_A_DAY + RACKS_A_DAY / 4) * share:
-                self._lose_all("rack", info.rack, RACK_S)
+            draw = self.random.random()
+            if draw < failures_per_day * days:
+                self._fail_host(host, self.site.repair_s)
+            elif draw < (failures_per_day + RESTARTS_PER_DAY) * days:
+                self._fail_host(host, RESTART_S)
+            elif draw < (failures_per_day + RESTARTS_PER_DAY + RACK_FAILURES_PER_DAY / 4) * days:
+                self._fail_group("rack", info.rack, RACK_REPAIR_S)
         for zone in {info.zone for info in self.infos_by_id.values()}:
-            if self.random.random() < ZONES_A_DAY * share:
-                self._lose_all("zone", zone, ZONE_S)
+            if self.random.random() < ZONE_FAILURES_PER_DAY * days:
+                self._fail_group("zone", zone, ZONE_REPAIR_S)
 
-    def _lose_all(self, part: str, name: str, seconds: float) -> None:
+    def _fail_group(self, attribute: str, name: str, seconds: float) -> None:
         for host, info in self.infos_by_id.items():
-            if getattr(info, part) == name:
-                self._lose(host, seconds)
+            if getattr(info, attribute) == name:
+                self._fail_host(host, seconds)
 
-    def _lose(self, host: HostId, seconds: float) -> None:
-        self.back_at[host] = max(self.back_at.get(host, 0.0), self.now + seconds)
+    def _fail_host(self, host: HostId, seconds: float) -> None:
+        self.returns_at[host] = max(self.returns_at.get(host, 0.0), self.now + seconds)
 
     def _start_maintenance(self) -> None:
         for record, _ in self.records.values():
             for entry in record.hosts:
                 restarted = self.infos_by_id[entry.id].since > entry.since
                 if entry.phase is HostPhase.STOPPED and not restarted:
-                    self.back_at.setdefault(entry.id, self.now + MAINTENANCE_S)
+                    self.returns_at.setdefault(entry.id, self.now + MAINTENANCE_S)
 
     def _write(self, actions: tuple[Action, ...]) -> None:
         basis = Basis(
@@ -243,20 +243,20 @@
             self.now,
         )
         self.ledger.create([pool.id for pool in self.document.pools], basis).unwrap()
-        steps: dict[PoolId, list[Action]] = {}
-        moves: dict[tuple[PoolId, PoolId], list[HostId]] = {}
+        actions_by_pool: dict[PoolId, list[Action]] = {}
+        hosts_by_move: dict[tuple[PoolId, PoolId], list[HostId]] = {}
         for action in actions:
             if isinstance(action, Close) and action.target is not None:
-                moves.setdefault((action.pool, action.target), []).append(action.host)
+                hosts_by_move.setdefault((action.pool, action.target), []).append(action.host)
             else:
-                steps.setdefault(action.pool, []).append(action)
-        for (pool, target), hosts in moves.items():
+                actions_by_pool.setdefault(action.pool, []).append(action)
+        for (pool, target), hosts in hosts_by_move.items():
             self.ledger.move(pool, target, hosts, basis).unwrap()
             self.moves += len(hosts)
             self._moved_out[pool] += len(hosts)
             self._moved_in[target] += len(hosts)
-        for pool, some in steps.items():
-            self.ledger.apply(pool, some, basis).unwrap()
+        for pool, pool_actions in actions_by_pool.items():
+            self.ledger.apply(pool, pool_actions, basis).unwrap()
 
     def _sample(self) -> None:
         available: Counter[PoolId] = Counter()
@@ -266,7 +266,7 @@
                 if self._available(entry):
                     available[pool] += 1
                     pool_by_host[entry.id] = pool
-        self.broken_steps += any(
+        self.samples_over_budget += any(
             available[pool] < max((f.hosts for f in promise.floors), default=0)
             for pool, promise in self.promises.items()
         )
@@ -276,7 +276,7 @@
         self._moved_in.clear()
         self._moved_out.clear()
 
-    def _note_waves(self) -> None:
+    def _record_waves(self) -> None:
         for stop in report(self.last, {}).stops:
             first = self.waves_by_stop.setdefault(stop.stop, stop.wave)
             self.waves_by_stop[stop.stop] = msgspec.structs.replace(
@@ -284,4 +284,4 @@
             )
 
     def _available(self, entry: HostEntry) -> bool:
-        return entry.phase is HostPhase.SERVING and entry.id not in self.back_at
+        return entry.phase is HostPhase.SERVING and entry.id not in self.returns_at
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -37,15 +37,15 @@
 
 SHARDS = 16
 RETENTION_S = 600.0
-LOADS_PER_S = (10, 50, 100, 200, 400)
+RATES_PER_S = (10, 50, 100, 200, 400)
 CALLERS = 200
-KEPT_KEYS = (1_000, 10_000, 20_000)
-ENTRIES = 500
+RETAINED_KEY_COUNTS = (1_000, 10_000, 20_000)
+ENTRIES_PER_BATCH = 500
 ANSWER = Recorded(200, "application/json", b"x" * 200)
 CLAIM_WAIT_S = 5.0
 
 
-class OneMember:
+class SingleMember:
     """Membership list of one process, which therefore owns every shard."""
 
     def __init__(self, me: Member) -> None:
@@ -63,7 +63,7 @@
         """Ignore the listener, since membership never changes."""
 
 
-class Counted:
+class CountingKeyValue:
     """Wraps a key-value service and counts its commits."""
 
     def __init__(self, inner: KeyValue) -> None:
@@ -88,69 +88,71 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=4.0, help="length of one measurement")
     seconds = parser.parse_args().seconds
-    address, control = _free(), _free()
+    address, control = _free_address(), _free_address()
     platform = subprocess.Popen(
         [sys.executable, "-m", "standins.platform", "--listen", address, "--control", control]
     )
     try:
         _wait_for(address)
-        for load in LOADS_PER_S:
-            for way in ("one_each", "grouped"):
-                measure(address, way, load, seconds)
-        for kept in KEPT_KEYS:
-            take_over(address, kept)
+        for rate_per_s in RATES_PER_S:
+            for variant in ("one_each", "grouped"):
+                measure(address, variant, rate_per_s, seconds)
+        for retained in RETAINED_KEY_COUNTS:
+            take_over(address, retained)
     finally:
         platform.kill()
         platform.wait()
 
 
-def measure(address: str, way: str, load: int, seconds: float) -> None:
-    """Claim ``load`` new keys a second and print the figures."""
-    grouped = (_owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S)
+def measure(address: str, variant: str, rate_per_s: int, seconds: float) -> None:
+    """Claim ``rate_per_s`` new keys a second and print the figures."""
+    defaults = (_owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S)
     writes_per_s = 25.0
-    if way == "one_each":
+    if variant == "one_each":
         _owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S = 1, 1e9, 0.0
         writes_per_s = 1e9
     settings = PlatformSettings((address,), address, f"{uuid.uuid4().hex}/", calls_per_s=1e6)
-    counted = Counted(EtcdKeyValue(settings, NoMetrics()))
+    counted = CountingKeyValue(EtcdKeyValue(settings, NoMetrics()))
     member = a_member()
     node = Node(member.process, member.incarnation, member.inner, keys())
     node.start()
-    roster = OneMember(member)
+    members = SingleMember(member)
     owner = ClaimOwner(
-        node, roster, counted, NoMetrics(), SHARDS, RETENTION_S, writes_per_s=writes_per_s
+        node, members, counted, NoMetrics(), SHARDS, RETENTION_S, writes_per_s=writes_per_s
     )
-    client = ClaimClient(node, roster, SHARDS, RETENTION_S)
+    client = ClaimClient(node, members, SHARDS, RETENTION_S)
     owner.start()
     client.start()
     try:
         warm_up(client)
         before, took_from = counted.commits, len(counted.took_ms)
-        took_ms, failed = offer(client, load, seconds)
-        told = wait_told(client)
-        report(way, load, seconds, counted, before, took_from, took_ms, failed, told)
+        took_ms, failed = claim_at_rate(client, rate_per_s, seconds)
+        acknowledged = wait_acknowledged(client)
+        report(
+            variant, rate_per_s, seconds, counted, before, took_from, took_ms, failed, acknowledged
+        )
     finally:
         client.close()
         owner.close()
         node.close(0.1)
-        _owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S = grouped
+        _owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S = defaults
 
 
-def take_over(address: str, kept: int) -> None:
+def take_over(address: str, retained: int) -> None:
     """Fill one shard with recorded keys, and time its take-over by another process."""
     settings = PlatformSettings((address,), address, f"{uuid.uuid4().hex}/", calls_per_s=1e6)
     platform = EtcdKeyValue(settings, NoMetrics())
-    former = ShardStore(platform, 0, a_member())
-    former.take_over().unwrap()
-    for first in range(0, kept, ENTRIES):
-        entries = tuple(an_entry() for _ in range(min(ENTRIES, kept - first)))
-        batch = Batch(former.next_name(), BatchRecord(time.time(), entries))
-        platform.commit((former.fence(),), former.writes(batch, None)).unwrap()
+    previous_owner = ShardStore(platform, 0, a_member())
+    previous_owner.take_over().unwrap()
+    for first in range(0, retained, ENTRIES_PER_BATCH):
+        entries = tuple(an_entry() for _ in range(min(ENTRIES_PER_BATCH, retained - first)))
+        batch = Batch(previous_owner.next_name(), BatchRecord(time.time(), entries))
+        platform.commit((previous_owner.fence(),), previous_owner.writes(batch, None)).unwrap()
     shard = Shard(platform, 0, a_member(), RETENTION_S, time.time)
     began = time.monotonic()
     done = shard.take_over()
     took_ms = (time.monotonic() - began) * 1000
-    figure("claims", "take_over", round(took_ms), "ms", kept_keys=kept, succeeded=done)
+    figure("claims", "take_over", round(took_ms), "ms", kept_keys=retained, succeeded=done)
 
 
 def an_entry() -> Entry:
@@ -170,24 +172,24 @@
 
 
 def report(
-    way: str,
-    load: int,
+    variant: str,
+    rate_per_s: int,
     seconds: float,
-    counted: Counted,
+    counted: CountingKeyValue,
     before: int,
     took_from: int,
     took_ms: list[float],
     failed: int,
-    told: bool,
+    acknowledged: bool,
 ) -> None:
     """Print the figures of one measurement."""
     commits = counted.commits - before
-    case = {"way": way, "offered_per_s": load}
-    done = len(took_ms)
-    figure("claims", "claimed", round(done / seconds, 1), "1/s", **case)
-    figure("claims", "failed", failed, "claims", outcomes_told=told, **case)
+    case = {"way": variant, "offered_per_s": rate_per_s}
+    claimed = len(took_ms)
+    figure("claims", "claimed", round(claimed / seconds, 1), "1/s", **case)
+    figure("claims", "failed", failed, "claims", outcomes_told=acknowledged, **case)
     figure("claims", "platform_writes", round(commits / seconds, 1), "1/s", **case)
-    figure("claims", "writes_per_1000_jobs", round(1000 * commits / max(1, done)), "1", **case)
+    figure("claims", "writes_per_1000_jobs", round(1000 * commits / max(1, claimed)), "1", **case)
     if took_ms:
         ranked = sorted(took_ms)
         figure("claims", "added_p50", round(statistics.median(ranked), 1), "ms", **case)
@@ -196,12 +198,12 @@
     figure("claims", "commit_p50", round(call_ms, 1), "ms", **case)
 
 
-def offer(client: ClaimClient, load: int, seconds: float) -> tuple[list[float], int]:
+def claim_at_rate(client: ClaimClient, rate_per_s: int, seconds: float) -> tuple[list[float], int]:
     """Claim new keys at a constant rate; return the latencies and the number of failed claims."""
     took_ms: list[float] = []
     failed: list[ClaimState] = []
 
-    def one(due: float) -> None:
+    def claim_one(due: float) -> None:
         claim = a_claim()
         state = client.claim(claim, CLAIM_WAIT_S).state
         if state is not ClaimState.CLAIMED:
@@ -212,10 +214,10 @@
 
     began = time.monotonic()
     with ThreadPoolExecutor(CALLERS) as pool:
-        for n in range(int(load * seconds)):
-            due = began + n / load
+        for n in range(int(rate_per_s * seconds)):
+            due = began + n / rate_per_s
             time.sleep(max(0.0, due - time.monotonic()))
-            pool.submit(one, due)
+            pool.submit(claim_one, due)
     return took_ms, len(failed)
 
 
@@ -225,7 +227,7 @@
         list(pool.map(lambda _: client.claim(a_claim(), CLAIM_WAIT_S), range(8 * SHARDS)))
 
 
-def wait_told(client: ClaimClient) -> bool:
+def wait_acknowledged(client: ClaimClient) -> bool:
     """Wait until every outcome is acknowledged; return ``False`` on a timeout."""
     end = time.monotonic() + 10
     while client.untold and time.monotonic() < end:
@@ -246,7 +248,7 @@
         Role.GATEWAY,
         ZoneId("z1"),
         EntryHostId("e1"),
-        _free(),
+        _free_address(),
         "127.0.0.1:1",
     )
 
@@ -257,7 +259,7 @@
     return msgspec.convert({"public": public.decode(), "secret": secret.decode()}, InnerKeys)
 
 
-def _free() -> str:
+def _free_address() -> str:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
--- a/bench/config.py
+++ b/bench/config.py
@@ -22,22 +22,24 @@
 
 __all__ = ["main"]
 
-ZONES, ENTRY_HOSTS_EACH = 4, 2
-LEFT_OUT = frozenset({"gw-4-2", "ct-4-2"})
+ZONES, ENTRY_HOSTS_PER_ZONE = 4, 2
+EXCLUDED_PROCESSES = frozenset({"gw-4-2", "ct-4-2"})
 """Not started, which leaves 7 entry hosts."""
-CHANGES_A_DAY = 3000
+CHANGES_PER_DAY = 3000
 DAY_S = 86_400
 SETTLE_S = 5.0
 IN_FORCE = re.compile(rb'^{"at":([\d.]+),.*"id":501,.*"revision":(\d+)', re.MULTILINE)
-GIVE_UP_S = 15.0
+IN_FORCE_TIMEOUT_S = 15.0
 
 
-class Bench:
+class EditedSite:
     """A running site whose configuration is edited."""
 
     def __init__(self, site: Site, services: int) -> None:
         self.site = site
-        self.processes = [n for n in site.controllers + site.gateways if n not in LEFT_OUT]
+        self.processes = [
+            n for n in site.controllers + site.gateways if n not in EXCLUDED_PROCESSES
+        ]
         self.controllers = [n for n in self.processes if n.startswith("ct")]
         names = BRAILLE_SERVICES if services == 5 else tuple(f"s{n:03d}" for n in range(services))
         self.plans, self.entitlements = lists(names, 6)
@@ -68,8 +70,8 @@
         self.edits += 1
         self.plans[0]["start_within_s"] = 5.0 + self.edits % 1000
         body = {"base": self.revision, "plans": self.plans, "entitlements": self.entitlements}
-        able = [name for name in self.controllers if name not in self.cut]
-        address = self.site.operator_address(able[self.edits % len(able)])
+        reachable = [name for name in self.controllers if name not in self.cut]
+        address = self.site.operator_address(reachable[self.edits % len(reachable)])
         sent = time.time()
         answer: dict[str, Any] = self.site.request_json(
             "PUT", address, "/v1/config", body, Authorization=f"Bearer {OPERATOR_TOKEN}"
@@ -79,7 +81,7 @@
         self.revision = answer["revision"]
         return sent, self.revision
 
-    def seen(self, revision: int) -> dict[str, float]:
+    def in_force_times(self, revision: int) -> dict[str, float]:
         """Return when each process first had ``revision`` or a later one in force, if it has."""
         found: dict[str, float] = {}
         for name in self.processes:
@@ -90,11 +92,11 @@
                     break
         return found
 
-    def in_force(self, revision: int) -> dict[str, float]:
+    def wait_in_force(self, revision: int) -> dict[str, float]:
         """Wait until every process has ``revision`` in force; return the time for each process."""
-        end = time.monotonic() + GIVE_UP_S
+        end = time.monotonic() + IN_FORCE_TIMEOUT_S
         while True:
-            found = self.seen(revision)
+            found = self.in_force_times(revision)
             if len(found) == len(self.processes):
                 return found
             if time.monotonic() > end:
@@ -119,56 +121,62 @@
         sink.setblocking(False)
         sink.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 22)
         statsd = {"statsd": f"127.0.0.1:{sink.getsockname()[1]}"}
-        site = Site(SiteSpec(ZONES, ENTRY_HOSTS_EACH, (), gateway=statsd, controller=statsd))
+        site = Site(SiteSpec(ZONES, ENTRY_HOSTS_PER_ZONE, (), gateway=statsd, controller=statsd))
         try:
-            bench = Bench(site, options.services)
+            bench = EditedSite(site, options.services)
             bench.start()
             if options.cut_zone:
                 bench.cut_off(options.cut_zone)
-            spread(bench, options.changes)
+            measure_propagation(bench, options.changes)
             if options.cut_zone:
                 return
             size = len(json.dumps([bench.plans, bench.entitlements], separators=(",", ":")))
             figure("config", "lists", size, "bytes", services=options.services)
-            cost(bench, sink, options.rate, options.seconds)
+            measure_cost(bench, sink, options.rate, options.seconds)
         finally:
             site.close()
 
 
-def spread(bench: Bench, changes: int) -> None:
+def measure_propagation(bench: EditedSite, changes: int) -> None:
     """Measure the seconds from sending an edit until every process has it in force."""
-    everywhere, accepted = [], []
+    in_force_s, accepted_s = [], []
     for _ in range(changes):
         began = time.monotonic()
         sent, revision = bench.edit()
-        accepted.append(time.monotonic() - began)
-        when = bench.in_force(revision)
-        everywhere.append(max(when.values()) - sent)
-    where = {"changes": changes, "processes": len(bench.processes), "zones": ZONES}
-    where["zones_cut_off"] = int(bool(bench.cut))
-    for name, values in (("accepted", accepted), ("in_force_everywhere", everywhere)):
+        accepted_s.append(time.monotonic() - began)
+        when = bench.wait_in_force(revision)
+        in_force_s.append(max(when.values()) - sent)
+    context = {"changes": changes, "processes": len(bench.processes), "zones": ZONES}
+    context["zones_cut_off"] = int(bool(bench.cut))
+    for name, values in (("accepted", accepted_s), ("in_force_everywhere", in_force_s)):
         cuts = statistics.quantiles(values, n=100, method="inclusive")
-        figure("config", f"{name}_p50", round(cuts[49], 3), "s", **where)
-        figure("config", f"{name}_p99", round(cuts[98], 3), "s", **where)
-        figure("config", f"{name}_max", round(max(values), 3), "s", **where)
+        figure("config", f"{name}_p50", round(cuts[49], 3), "s", **context)
+        figure("config", f"{name}_p99", round(cuts[98], 3), "s", **context)
+        figure("config", f"{name}_max", round(max(values), 3), "s", **context)
 
 
-def cost(bench: Bench, sink: socket.socket, rate: float, seconds: float) -> None:
+def measure_cost(bench: EditedSite, sink: socket.socket, rate: float, seconds: float) -> None:
     """Measure a controller when idle and under changes, and the cost per change."""
     rest = sample(bench, sink, 0.0, seconds)
     busy = sample(bench, sink, rate, seconds)
-    made = busy["changes"] / seconds
+    changes_per_s = busy["changes"] / seconds
     for name, unit in (("cpu_share", "percent"), ("inner_bytes", "B/s"), ("resident", "MB")):
         figure("config", f"{name}_at_rest", round(rest[name], 3), unit, entry_hosts=7)
-        figure("config", f"{name}_busy", round(busy[name], 3), unit, changes_per_s=round(made, 2))
+        figure(
+            "config",
+            f"{name}_busy",
+            round(busy[name], 3),
+            unit,
+            changes_per_s=round(changes_per_s, 2),
+        )
     for name, unit in (("cpu_share", "percent"), ("inner_bytes", "B/s")):
-        slope = (busy[name] - rest[name]) / made
+        slope = (busy[name] - rest[name]) / changes_per_s
         figure("config", f"{name}_slope", round(slope, 3), f"{unit} per change/s")
-        scaled = slope * CHANGES_A_DAY / DAY_S
+        scaled = slope * CHANGES_PER_DAY / DAY_S
         figure("config", f"{name}_at_3000_a_day", round(scaled, 4), f"{unit} above rest")
 
 
-def sample(bench: Bench, sink: socket.socket, rate: float, seconds: float) -> dict[str, float]:
+def sample(bench: EditedSite, sink: socket.socket, rate: float, seconds: float) -> dict[str, float]:
     """Return the mean cost of a controller over some seconds at a rate of changes."""
     pids = [bench.site.processes_by_name[name].pid for name in bench.controllers]
     drain(sink)
--- a/bench/control.py
+++ b/bench/control.py
@@ -46,12 +46,12 @@
             for role, names in (("controller", site.controllers), ("gateway", site.gateways)):
                 used = [cpu_s(site.processes_by_name[n].pid) - before[n] for n in names]
                 memory = [resident_bytes(site.processes_by_name[n].pid) for n in names]
-                where = {"role": role, "zones": zones, "entry_hosts": entry_hosts}
+                context = {"role": role, "zones": zones, "entry_hosts": entry_hosts}
                 share = 100 * statistics.mean(used) / seconds
-                figure("control", "cpu_share", round(share, 3), "percent", **where)
-                most = 100 * max(used) / seconds
-                figure("control", "cpu_share_max", round(most, 3), "percent", **where)
-                figure("control", "resident", round(max(memory) / 1e6, 1), "MB", **where)
+                figure("control", "cpu_share", round(share, 3), "percent", **context)
+                max_share = 100 * max(used) / seconds
+                figure("control", "cpu_share_max", round(max_share, 3), "percent", **context)
+                figure("control", "resident", round(max(memory) / 1e6, 1), "MB", **context)
             for stat, rate in rates(drain(sink), seconds).items():
                 figure("control", stat, rate, "B/s", zones=zones, entry_hosts=entry_hosts)
 
--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -17,7 +17,7 @@
 
 POOL, PLAN = PoolId("schools"), PlanId("schools")
 GW = Caller(ProcessId("gw"), Incarnation(1), "gw")
-BAD = HostId("h0")
+FAULTY_HOST = HostId("h0")
 RUN_S = 0.2
 LOAD_OF_CAPACITY = 0.7
 FAULT_AT_S = 10.0
@@ -62,27 +62,27 @@
     def _arrive(self) -> None:
         self.jobs += 1
         ask = Ask(RequestId(str(self.jobs)), POOL, PLAN, 1, 30.0, GW.address)
-        self._take(self._scheduler.ask(ask, GW))
+        self._handle_replies(self._scheduler.ask(ask, GW))
         rate = LOAD_OF_CAPACITY * HOSTS * SLOTS / RUN_S
         self.events.after(self._rng.expovariate(rate), self._arrive)
 
-    def _take(self, replies: list[Reply]) -> None:
+    def _handle_replies(self, replies: list[Reply]) -> None:
         for reply in replies:
             if isinstance(reply.message, Granted):
-                self._send(reply.message)
+                self._run_job(reply.message)
 
-    def _send(self, granted: Granted) -> None:
+    def _run_job(self, granted: Granted) -> None:
         now = self.events.now
-        bad = granted.host == BAD and FAULT_AT_S <= now < FAULT_AT_S + FAULT_S
-        verdict = self._verdict if bad else Verdict.OK
-        run_s = FAIL_S_BY_VERDICT[verdict] if bad else RUN_S * self._rng.uniform(0.5, 1.5)
-        if bad:
+        is_faulty = granted.host == FAULTY_HOST and FAULT_AT_S <= now < FAULT_AT_S + FAULT_S
+        verdict = self._verdict if is_faulty else Verdict.OK
+        run_s = FAIL_S_BY_VERDICT[verdict] if is_faulty else RUN_S * self._rng.uniform(0.5, 1.5)
+        if is_faulty:
             self.failed.append(now)
         done = Done(POOL, granted.grant, granted.host, PLAN, verdict, run_s)
-        self.events.after(run_s, lambda: self._take(self._scheduler.done(done)))
+        self.events.after(run_s, lambda: self._handle_replies(self._scheduler.done(done)))
 
     def _tick(self) -> None:
-        self._take(self._scheduler.tick({GW}, lambda caller: False))
+        self._handle_replies(self._scheduler.tick({GW}, lambda caller: False))
         healthy = self._scheduler.hosts.capacity == HOSTS * SLOTS
         if healthy and self.events.now > FAULT_AT_S + FAULT_S:
             self._restored = min(self._restored, self.events.now)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,28 +22,30 @@
 FEW_MOVES = Objective(move_weight=2.0, buffer_weight=1.0)
 LITTLE_BUFFER = Objective(move_weight=1.0, buffer_weight=2.0)
 SPARE = PoolId("p00")
-SAMPLE_S = 600.0
+SAMPLE_INTERVAL_S = 600.0
 
 SITES = (
     Site("braille", 5, 6, 3, 6, 4, 1, 35.0, FEW_MOVES),
     Site("jalseva", 5, 8, 4, 8, 5, 1, 35.0, LITTLE_BUFFER),
 )
-ROUGH = Site("jalseva_rough", 5, 8, 4, 8, 5, 1, 35.0, FEW_MOVES, failures=20.0, repair_s=1500.0)
+HIGH_FAILURE_RATE = Site(
+    "jalseva_rough", 5, 8, 4, 8, 5, 1, 35.0, FEW_MOVES, failures=20.0, repair_s=1500.0
+)
 """Twenty times the failures, repaired soon enough that pools only borrow and return hosts."""
 TARGET = Site("target", 52, 85, 11, 84, 60, 4, 0.5, FEW_MOVES, step_s=120.0)
 
 
-def show(figure: str, value: float, unit: str, **more: object) -> None:
+def show(figure: str, value: float, unit: str, **context: object) -> None:
     """Print one figure."""
     line = {"bench": "fleet", "figure": figure, "value": round(value, 4), "unit": unit}
-    print(json.dumps(line | more), flush=True)
+    print(json.dumps(line | context), flush=True)
 
 
-def rounds(site: Site) -> None:
+def show_run(site: Site) -> None:
     """Show moves and buffer of a run under both weightings, with the baselines beside them."""
     for name, objective in (("few_moves", FEW_MOVES), ("little_buffer", LITTLE_BUFFER)):
         run = Fleet(msgspec.structs.replace(site, objective=objective))
-        run.run(SAMPLE_S)
+        run.run(SAMPLE_INTERVAL_S)
         owed = {pool: promise.owed for pool, promise in run.promises.items()}
         buffer = sum(
             max(0, count - owed[pool])
@@ -51,29 +53,29 @@
             for pool, count in sample.available.items()
             if pool != SPARE
         )
-        hours = SAMPLE_S / 3600
+        hours = SAMPLE_INTERVAL_S / 3600
         best_moves, best_buffer = optimum(run.samples, owed, SPARE, name == "few_moves")
-        more = {"site": site.name, "weighting": name, "days": site.days}
-        show("moves", run.moves, "moves", **more)
-        show("moves_optimum", best_moves, "moves", **more)
-        show("moves_naive", naive_moves(run.samples, owed, SPARE), "moves", **more)
-        show("buffer", buffer * hours, "host-hours", **more)
-        show("buffer_optimum", best_buffer * hours, "host-hours", **more)
-        show("samples_with_overspent_budget", run.broken_steps, "samples", **more)
+        context = {"site": site.name, "weighting": name, "days": site.days}
+        show("moves", run.moves, "moves", **context)
+        show("moves_optimum", best_moves, "moves", **context)
+        show("moves_naive", naive_moves(run.samples, owed, SPARE), "moves", **context)
+        show("buffer", buffer * hours, "host-hours", **context)
+        show("buffer_optimum", best_buffer * hours, "host-hours", **context)
+        show("samples_with_overspent_budget", run.samples_over_budget, "samples", **context)
         waves = [w for w in run.waves_by_stop.values() if w.actual_s is not None]
         count = max(1, len(waves))
-        show("rollout_predicted", sum(w.predicted_s for w in waves) / count, "s", **more)
-        show("rollout_actual", sum(w.actual_s or 0.0 for w in waves) / count, "s", **more)
-        show("waves_done", len(waves), "waves", of=len(run.waves_by_stop), **more)
-        show("platform_commits", run.kv.calls["commit"], "calls", **more)
+        show("rollout_predicted", sum(w.predicted_s for w in waves) / count, "s", **context)
+        show("rollout_actual", sum(w.actual_s or 0.0 for w in waves) / count, "s", **context)
+        show("waves_done", len(waves), "waves", of=len(run.waves_by_stop), **context)
+        show("platform_commits", run.kv.calls["commit"], "calls", **context)
 
 
-def cost() -> None:
+def show_cost() -> None:
     """Show the time and memory of one planning run, by hosts and pools."""
     for pools, hosts in ((52, 21), (52, 42), (52, 85), (13, 340), (26, 170)):
         site = Site("cost", pools, hosts, 11, hosts - 1, hosts - 4, 4, 0.0, FEW_MOVES)
         run = Fleet(site)
-        run.settle()
+        run.assign_all()
         sight, memory = run.sight(), Memory()
         plan(sight, memory)
         times = []
@@ -87,21 +89,21 @@
         tracemalloc.stop()
         encoded = [msgspec.json.encode(record) for record, _ in run.records.values()]
         tracemalloc.start()
-        kept = [msgspec.json.decode(record, type=PoolRecord) for record in encoded]
-        held = tracemalloc.get_traced_memory()[0]
+        decoded = [msgspec.json.decode(record, type=PoolRecord) for record in encoded]
+        records_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         listing = len(msgspec.json.encode(sight.listing))
-        more = {"pools": pools, "hosts": pools * hosts, "actions": len(decision.actions)}
-        show("look_least", min(times) * 1000, "ms", **more)
-        show("look_median", sorted(times)[7] * 1000, "ms", **more)
-        show("look_memory", peak / 1e6, "MB", **more)
-        show("records_memory", held / 1e6, "MB", records=len(kept), **more)
-        show("pool_record_largest", max(map(len, encoded)), "bytes", **more)
-        show("pool_records", sum(map(len, encoded)), "bytes", **more)
-        show("host_list", listing, "bytes", **more)
+        context = {"pools": pools, "hosts": pools * hosts, "actions": len(decision.actions)}
+        show("look_least", min(times) * 1000, "ms", **context)
+        show("look_median", sorted(times)[7] * 1000, "ms", **context)
+        show("look_memory", peak / 1e6, "MB", **context)
+        show("records_memory", records_bytes / 1e6, "MB", records=len(decoded), **context)
+        show("pool_record_largest", max(map(len, encoded)), "bytes", **context)
+        show("pool_records", sum(map(len, encoded)), "bytes", **context)
+        show("host_list", listing, "bytes", **context)
 
 
-def calls() -> None:
+def show_calls() -> None:
     """Show the total calls of all controllers, when idle and while the document changes."""
     for zones, racks, edits in ((3, 3, 0), (11, 3, 0), (3, 30, 0), (3, 3, 60)):
         names = tuple(f"z{n:02d}" for n in range(zones))
@@ -119,33 +121,35 @@
                 world.change(plans=(a_plan(token_sha256=f"{n:064x}"),))
             world.run()
         lists = sum(c.hosts.calls for c in world.controllers) - lists
-        more = {"zones": zones, "hosts": zones * racks * 4, "edits_a_minute": edits}
-        show("list_reads", lists / 60, "1/s", **more)
-        show("key_value_calls", (world.kv.calls.total() - commits) / 60, "1/s", **more)
+        context = {"zones": zones, "hosts": zones * racks * 4, "edits_a_minute": edits}
+        show("list_reads", lists / 60, "1/s", **context)
+        show("key_value_calls", (world.kv.calls.total() - commits) / 60, "1/s", **context)
 
 
-def one_stop(site: Site) -> None:
+def show_one_stop(site: Site) -> None:
     """Show how long one planned stop of the whole fleet takes, with failures as in the target."""
     run = Fleet(site)
-    predicted, most, actual = run.run_one_stop(2 * DAY_S)
+    predicted, nearly_all_s, actual = run.run_one_stop(2 * DAY_S)
     batches = math.ceil(site.hosts_per_pool / site.budget)
-    more = {"site": site.name, "hosts": len(run.infos_by_id), "budget": site.budget}
-    show("whole_fleet_predicted", predicted, "s", **more)
-    show("whole_fleet_99_percent", most, "s", **more)
-    show("whole_fleet_actual", actual, "s", **more)
-    show("whole_fleet_bound", batches * (DRAIN_S + MAINTENANCE_S), "s", **more)
-    show("whole_fleet_moves", run.moves, "moves", **more)
-    show("samples_with_overspent_budget", run.broken_steps, "of", samples=run.steps, **more)
+    context = {"site": site.name, "hosts": len(run.infos_by_id), "budget": site.budget}
+    show("whole_fleet_predicted", predicted, "s", **context)
+    show("whole_fleet_99_percent", nearly_all_s, "s", **context)
+    show("whole_fleet_actual", actual, "s", **context)
+    show("whole_fleet_bound", batches * (DRAIN_S + MAINTENANCE_S), "s", **context)
+    show("whole_fleet_moves", run.moves, "moves", **context)
+    show(
+        "samples_with_overspent_budget", run.samples_over_budget, "of", samples=run.steps, **context
+    )
 
 
 def main() -> None:
     """Run all parts."""
-    cost()
-    calls()
+    show_cost()
+    show_calls()
     for site in (*SITES, TARGET):
-        one_stop(msgspec.structs.replace(site, step_s=60.0))
-    for site in (*SITES, ROUGH, TARGET):
-        rounds(site)
+        show_one_stop(msgspec.structs.replace(site, step_s=60.0))
+    for site in (*SITES, HIGH_FAILURE_RATE, TARGET):
+        show_run(site)
 
 
 if __name__ == "__main__":
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -38,7 +38,7 @@
         bare_proxy(site, "kept", 90) as proxy,
         bare_proxy(site, "new", 91) as proxy_new,
     ):
-        ways = {
+        addresses_by_variant = {
             "direct": site.endpoint_address(site.spec.hosts[0]),
             "bare": proxy,
             "bare_new": proxy_new,
@@ -47,7 +47,7 @@
         for method, callers in CASES:
             if arguments.method not in (None, method):
                 continue
-            measure(ways, method, callers, arguments.seconds, arguments.rounds)
+            measure(addresses_by_variant, method, callers, arguments.seconds, arguments.rounds)
 
 
 @contextlib.contextmanager
@@ -62,11 +62,13 @@
         (folder / "entitlements.json").write_text(json.dumps(entitlements))
         site.ctl("config", "apply", str(folder), "--no-wait")
         site.wait_ready()
-        site.wait_until(lambda: all(ran(site, host) for host in hosts), "all hosts to serve")
+        site.wait_until(
+            lambda: all(has_run_job(site, host) for host in hosts), "all hosts to serve"
+        )
         yield site
 
 
-def ran(site: Site, host: HostSpec) -> bool:
+def has_run_job(site: Site, host: HostSpec) -> bool:
     """Send a job, and return whether ``host`` has run any job so far."""
     headers = dict(pair.split("=", 1) for pair in HEADERS)
     url = f"http://{site.caller_address(site.gateways[0])}/{SERVICE}/x"
@@ -90,27 +92,34 @@
         process.wait()
 
 
-def measure(ways: dict[str, str], method: str, callers: int, seconds: float, rounds: int) -> None:
+def measure(
+    addresses_by_variant: dict[str, str], method: str, callers: int, seconds: float, rounds: int
+) -> None:
     """Measure each variant in turn and print rates, ratios and added latencies."""
-    seen_by_way: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
+    results_by_variant: dict[str, list[dict[str, float]]] = {
+        variant: [] for variant in addresses_by_variant
+    }
     for _ in range(rounds):
-        for way, address in ways.items():
-            seen_by_way[way].append(drive(address, method, callers, seconds, HEADERS))
-    middle = {
-        way: {name: statistics.median(seen[name] for seen in many) for name in many[0]}
-        for way, many in seen_by_way.items()
+        for variant, address in addresses_by_variant.items():
+            results_by_variant[variant].append(drive(address, method, callers, seconds, HEADERS))
+    medians = {
+        variant: {
+            name: statistics.median(results[name] for results in rounds_of_variant)
+            for name in rounds_of_variant[0]
+        }
+        for variant, rounds_of_variant in results_by_variant.items()
     }
     case = {"method": method, "callers": callers}
-    for way, seen in middle.items():
-        figure("gateway", f"rate_{way}", round(seen["rate"]), "1/s", **case)
-        if seen["failed"]:
-            figure("gateway", f"failed_{way}", seen["failed"], "requests", **case)
+    for variant, results in medians.items():
+        figure("gateway", f"rate_{variant}", round(results["rate"]), "1/s", **case)
+        if results["failed"]:
+            figure("gateway", f"failed_{variant}", results["failed"], "requests", **case)
     for base in ("bare", "bare_new"):
-        ratio = middle["gateway"]["rate"] / middle[base]["rate"]
+        ratio = medians["gateway"]["rate"] / medians[base]["rate"]
         figure("gateway", f"rate_ratio_to_{base}", round(ratio, 3), "1", **case)
     for name in ("p50_ms", "p99_ms"):
         for base in ("direct", "bare"):
-            added = middle["gateway"][name] - middle[base][name]
+            added = medians["gateway"][name] - medians[base][name]
             figure("gateway", f"added_{name}_over_{base}", round(added, 2), "ms", **case)
 
 
@@ -135,8 +144,8 @@
         check=True,
         timeout=seconds + 60,
     )
-    seen: dict[str, float] = json.loads(done.stdout)
-    return seen
+    results: dict[str, float] = json.loads(done.stdout)
+    return results
 
 
 if __name__ == "__main__":
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -33,18 +33,18 @@
 DEVNULL = Path(os.devnull)
 OWNER_KEY = "m/o/notices"
 POOL = PoolId("notices")
-PRESSURE_EVERY_S = 0.3
+PRESSURE_INTERVAL_S = 0.3
 SETTLE_S = 2.0
 SEED = 7
 CPU_SPREAD = 0.45
 DURATION_SPREAD = 0.5
 
 
-class Standin:
+class SimulatedEndpoint:
     """One endpoint, which ends each task after the seconds in the job's spec."""
 
     def __init__(self) -> None:
-        self._born_s = time.time()
+        self._started_s = time.time()
         self._runs_by_key: dict[tuple[str, int], None] = {}
         self._ended: list[list[Any]] = []
         self._cursor = 0
@@ -75,13 +75,13 @@
         elif path == "/run-stop":
             self._end(key, "stopped")
         elif path == "/hold":
-            await self._hold(body)
+            await self._poll(body)
             running = [[task, number, "", 100, 0.0] for task, number in self._runs_by_key]
             lists = {"running": running, "ended": self._ended}
-        clock = {"clock_ms": int(1000 * (time.time() - self._born_s)) + 1, "born": 1}
+        clock = {"clock_ms": int(1000 * (time.time() - self._started_s)) + 1, "born": 1}
         return msgspec.json.encode(clock | lists)
 
-    async def _hold(self, body: dict[str, Any]) -> None:
+    async def _poll(self, body: dict[str, Any]) -> None:
         acknowledged = body.get("ack_cursor", -1)
         self._ended = [row for row in self._ended if row[0] > acknowledged]
         if not self._ended and body.get("wait_ms"):
@@ -97,9 +97,11 @@
             self._changed.set()
 
 
-async def stand_in(count: int) -> None:
+async def serve_endpoints(count: int) -> None:
     """Print the ports of ``count`` endpoints as one line, and serve them."""
-    servers = [await asyncio.start_server(Standin().serve, "127.0.0.1", 0) for _ in range(count)]
+    servers = [
+        await asyncio.start_server(SimulatedEndpoint().serve, "127.0.0.1", 0) for _ in range(count)
+    ]
     print(json.dumps([server.sockets[0].getsockname()[1] for server in servers]), flush=True)
     await asyncio.Event().wait()
 
@@ -116,16 +118,16 @@
     )
 
 
-def a_job(number: int, luck: random.Random) -> Job:
+def a_job(number: int, rng: random.Random) -> Job:
     """Return a job of about 13 tasks in one or two steps."""
-    seconds = min(2.0, 0.8 * luck.lognormvariate(-(DURATION_SPREAD**2) / 2, DURATION_SPREAD))
-    cpu = min(4600, int(1500 * luck.lognormvariate(-(CPU_SPREAD**2) / 2, CPU_SPREAD)))
-    count = luck.choice((1, 2, 2))
+    seconds = min(2.0, 0.8 * rng.lognormvariate(-(DURATION_SPREAD**2) / 2, DURATION_SPREAD))
+    cpu = min(4600, int(1500 * rng.lognormvariate(-(CPU_SPREAD**2) / 2, CPU_SPREAD)))
+    count = rng.choice((1, 2, 2))
     steps = tuple(
         Step(
-            max(1, min(32, round(luck.lognormvariate(1.9, 0.6)))),
+            max(1, min(32, round(rng.lognormvariate(1.9, 0.6)))),
             Resources(cpu, 2200),
-            estimate_ms=int(1000 * seconds * luck.lognormvariate(0, 0.6)),
+            estimate_ms=int(1000 * seconds * rng.lognormvariate(0, 0.6)),
             after=(index - 1,) if index else (),
         )
         for index in range(count)
@@ -172,44 +174,44 @@
     def run(self) -> dict[str, float]:
         """Return figures by name."""
         self.owner.start()
-        threading.Thread(target=self._press, daemon=True).start()
+        threading.Thread(target=self._pressure_loop, daemon=True).start()
         time.sleep(SETTLE_S)
-        spent = time.process_time()
-        jobs = self._hand_in()
-        books = [self.owner._jobs.by_id[job.id] for job in jobs]
-        in_time = sum(book.final_stored for book in books)
-        while not all(book.final_stored for book in books):
+        cpu_s = time.process_time()
+        jobs = self._submit_jobs()
+        tracked_jobs = [self.owner._jobs.by_id[job.id] for job in jobs]
+        done_jobs = sum(tracked_job.final_stored for tracked_job in tracked_jobs)
+        while not all(tracked_job.final_stored for tracked_job in tracked_jobs):
             time.sleep(0.01)
-        spent = time.process_time() - spent
+        cpu_s = time.process_time() - cpu_s
         self._ended.set()
         self.owner.close()
         tasks = sum(step.count for job in jobs for step in job.steps)
         took = sorted(
-            book.ended_ms / 1000 - job.accepted_ms / 1000
-            for job, book in zip(jobs, books, strict=True)
+            tracked_job.ended_ms / 1000 - job.accepted_ms / 1000
+            for job, tracked_job in zip(jobs, tracked_jobs, strict=True)
         )
         return {
-            "processor time a task, ms": 1000 * spent / tasks,
+            "processor time a task, ms": 1000 * cpu_s / tasks,
             "tasks": tasks,
-            "jobs done when the last came": in_time / len(jobs),
+            "jobs done when the last came": done_jobs / len(jobs),
             "hand-in to end, half": took[len(took) // 2],
             "hand-in to end, 95 of 100": took[len(took) * 95 // 100],
         }
 
-    def _hand_in(self) -> list[Job]:
-        luck = random.Random(SEED)
+    def _submit_jobs(self) -> list[Job]:
+        rng = random.Random(SEED)
         began = time.monotonic()
         jobs = []
         for number in range(int(self._rate * self._seconds)):
             time.sleep(max(0.0, began + number / self._rate - time.monotonic()))
-            job = a_job(number, luck)
+            job = a_job(number, rng)
             value = msgspec.msgpack.encode(job)
             self.owner.take_job(value, self.kv.put(f"in/{POOL}/j/{job.id}", value))
             jobs.append(job)
         return jobs
 
-    def _press(self) -> None:
-        while not self._ended.wait(PRESSURE_EVERY_S):
+    def _pressure_loop(self) -> None:
+        while not self._ended.wait(PRESSURE_INTERVAL_S):
             self.owner.pressure()
 
 
@@ -222,10 +224,10 @@
     parser.add_argument("--stand-in", type=int, default=0, help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.stand_in:
-        asyncio.run(stand_in(args.stand_in))
+        asyncio.run(serve_endpoints(args.stand_in))
         return
     command = [sys.executable, "-m", "bench.owner", "--stand-in", str(args.endpoints)]
-    shown = sys.stdout
+    original_stdout = sys.stdout
     with subprocess.Popen(command, stdout=subprocess.PIPE) as process, DEVNULL.open("w") as log:
         assert process.stdout is not None
         ports = json.loads(process.stdout.readline())
@@ -236,7 +238,7 @@
         process.terminate()
         head = {"bench": "owner", "endpoints": args.endpoints, "rate": args.rate}
         lines = [head | {"figure": name, "value": round(figures[name], 3)} for name in figures]
-        print(*map(json.dumps, lines), sep="\n", file=shown, flush=True)
+        print(*map(json.dumps, lines), sep="\n", file=original_stdout, flush=True)
         # Threads of the owner and of logging still run and would write to closed files.
         os._exit(0)
 
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -43,9 +43,9 @@
     def _accept(self) -> None:
         host, _, port = self._target.rpartition(":")
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection((host, int(port)))
-            for source, sink in ((near, far), (far, near)):
+            client, _ = self._listener.accept()
+            upstream = socket.create_connection((host, int(port)))
+            for source, sink in ((client, upstream), (upstream, client)):
                 threading.Thread(target=self._pump, args=(source, sink), daemon=True).start()
 
     def _pump(self, source: socket.socket, sink: socket.socket) -> None:
@@ -119,7 +119,7 @@
     urllib3.request("PUT", f"http://{address}/standin/hosts", body=body)
 
 
-def say(figure: str, call: str, value: float, unit: str) -> None:
+def print_figure(figure: str, call: str, value: float, unit: str) -> None:
     """Print one figure."""
     line = {"bench": "platform", "figure": figure, "call": call, "value": value, "unit": unit}
     print(json.dumps(line), flush=True)
@@ -136,8 +136,8 @@
         call()
         latencies.append(time.perf_counter() - started)
     used = time.thread_time() - began
-    say("client_cpu", name, round(used / count * 1e6, 1), "us/call")
-    say("latency_p50", name, round(median(latencies) * 1e3, 3), "ms")
+    print_figure("client_cpu", name, round(used / count * 1e6, 1), "us/call")
+    print_figure("latency_p50", name, round(median(latencies) * 1e3, 3), "ms")
 
 
 def measure_bytes(name: str, call: Callable[[], object], relay: Relay) -> None:
@@ -146,7 +146,7 @@
     before = relay.count
     for _ in range(COUNTED_CALLS):
         call()
-    say("bytes", name, round((relay.count - before) / COUNTED_CALLS), "bytes/call")
+    print_figure("bytes", name, round((relay.count - before) / COUNTED_CALLS), "bytes/call")
 
 
 def measure_watch(address: str) -> None:
@@ -167,8 +167,10 @@
         writes.join()
     used = time.thread_time() - began
     watch.close()
-    say("client_cpu", "watch 1 KB", round(used / seen * 1e6, 1), "us/change, thread start included")
-    say("bytes", "watch 1 KB", round((relay.count - before) / seen), "bytes/change")
+    print_figure(
+        "client_cpu", "watch 1 KB", round(used / seen * 1e6, 1), "us/change, thread start included"
+    )
+    print_figure("bytes", "watch 1 KB", round((relay.count - before) / seen), "bytes/change")
 
 
 def main() -> None:
--- a/bench/rest.py
+++ b/bench/rest.py
@@ -18,7 +18,7 @@
 
 SIZES = (10, 40)
 SETTLE_S = 6.0
-SPAN_S = 10.0
+MEASUREMENT_S = 10.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 QUEUES = {"/proofs/": "notices", "/books/": "library"}
@@ -44,11 +44,13 @@
             raise RuntimeError("not all entry hosts became ready")
         time.sleep(SETTLE_S)
         pids = [process.pid for process in site.processes.values()]
-        before = [_processor_s(pid) for pid in pids]
+        before = [_cpu_s(pid) for pid in pids]
         began = time.monotonic()
-        time.sleep(SPAN_S)
+        time.sleep(MEASUREMENT_S)
         span_s = time.monotonic() - began
-        cores = [(_processor_s(pid) - was) / span_s for pid, was in zip(pids, before, strict=True)]
+        cores = [
+            (_cpu_s(pid) - start_s) / span_s for pid, start_s in zip(pids, before, strict=True)
+        ]
         threads = [len(list(Path(f"/proc/{pid}/task").iterdir())) for pid in pids]
         memory = [_resident_mb(pid) for pid in pids]
     finally:
@@ -65,7 +67,7 @@
     }
 
 
-def _processor_s(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -21,9 +21,9 @@
 __all__ = ["main"]
 
 CALLERS = 12
-PROBE_S = 0.5
-RUN_S = "0.05"
-PAUSE_S = 1.0
+PROBE_INTERVAL_S = 0.5
+JOB_RUN_S = "0.05"
+PAUSE_BETWEEN_HOSTS_S = 1.0
 ANSWER_TIMEOUT_S = 30.0
 
 
@@ -38,7 +38,7 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Probe once, then every ``PROBE_S`` seconds."""
+        """Probe once, then every ``PROBE_INTERVAL_S`` seconds."""
         self.probe()
         self._thread.start()
 
@@ -59,7 +59,7 @@
             return False
 
     def _run(self) -> None:
-        while not self._stopping.wait(PROBE_S):
+        while not self._stopping.wait(PROBE_INTERVAL_S):
             self.probe()
 
 
@@ -87,21 +87,21 @@
             thread.join()
 
     def _run(self, number: int) -> None:
-        chance = random.Random(number)
+        rng = random.Random(number)
         while not self._stopping.is_set():
-            outcome = self._one(chance)
+            outcome = self._send_one(rng)
             with self._lock:
                 self.counts[outcome] += 1
 
-    def _one(self, chance: random.Random) -> str:
-        name = chance.choice(self.balancer.ready)
-        service = chance.choice(BRAILLE_SERVICES)
+    def _send_one(self, rng: random.Random) -> str:
+        name = rng.choice(self.balancer.ready)
+        service = rng.choice(BRAILLE_SERVICES)
         try:
             answer = self.balancer.http.request(
                 "POST",
                 f"http://{self.balancer.site.caller_address(name)}/{service}/emboss",
                 body=b"page",
-                headers={"Authorization": f"Bearer {token(service)}", "Standin-Run-S": RUN_S},
+                headers={"Authorization": f"Bearer {token(service)}", "Standin-Run-S": JOB_RUN_S},
                 timeout=ANSWER_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError as error:
@@ -121,7 +121,7 @@
         replace_all(site, "killed", site.kill)
 
 
-def replace_all(site: Site, how: str, end: Callable[[str], object]) -> None:
+def replace_all(site: Site, method: str, end: Callable[[str], object]) -> None:
     """Replace every entry host's processes, one entry host after the other."""
     balancer = Balancer(site)
     balancer.start()
@@ -133,14 +133,16 @@
             end(name)
             site.start(name)
         site.wait_answer(site.caller_address(gateway), "/readyz")
-        time.sleep(PAUSE_S)
+        time.sleep(PAUSE_BETWEEN_HOSTS_S)
     elapsed_s = time.monotonic() - began
     callers.close()
     balancer.close()
-    figure("rolling", "seconds", round(elapsed_s, 1), "s", how=how, entry_hosts=len(site.gateways))
+    figure(
+        "rolling", "seconds", round(elapsed_s, 1), "s", how=method, entry_hosts=len(site.gateways)
+    )
     total = sum(callers.counts.values())
     for outcome, count in sorted(callers.counts.items()):
-        figure("rolling", outcome, count, "answers", how=how, of=total)
+        figure("rolling", outcome, count, "answers", how=method, of=total)
 
 
 if __name__ == "__main__":
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -32,10 +32,10 @@
 _requests = itertools.count()
 
 
-def show(figure: str, value: float, unit: str, **at: int) -> None:
+def show(figure: str, value: float, unit: str, **context: int) -> None:
     """Print one figure as a line of JSON."""
     line = {"bench": "routing_costs", "figure": figure, "value": round(value, 3), "unit": unit}
-    print(json.dumps(line | at), flush=True)
+    print(json.dumps(line | context), flush=True)
 
 
 def a_scheduler(hosts: int, plans: int) -> PoolScheduler:
@@ -54,7 +54,7 @@
     return Ask(RequestId(f"request-{number}"), POOL, plan, number % 3, 600.0, GW.address)
 
 
-def done(granted: Granted) -> Done:
+def done_message(granted: Granted) -> Done:
     """Return the message that ends a grant."""
     plan = PlanId("p0")
     return Done(granted.pool, granted.grant, granted.host, plan, Verdict.OK, 0.001)
@@ -65,35 +65,35 @@
     return [reply.message for reply in replies if isinstance(reply.message, Granted)]
 
 
-def filled(hosts: int, queue: int, plans: int) -> tuple[PoolScheduler, list[Granted]]:
+def saturated_scheduler(hosts: int, queue: int, plans: int) -> tuple[PoolScheduler, list[Granted]]:
     """Return a scheduler with every slot granted and ``queue`` asks waiting."""
     scheduler = a_scheduler(hosts, plans)
-    held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
-    for granted in held:
-        scheduler.done(done(granted))
-    held = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
+    granted_slots = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
+    for granted in granted_slots:
+        scheduler.done(done_message(granted))
+    granted_slots = [grants(scheduler.ask(an_ask(plans), GW))[0] for _ in range(hosts * SLOTS)]
     for _ in range(queue):
         scheduler.ask(an_ask(plans), GW)
-    return scheduler, held
+    return scheduler, granted_slots
 
 
-def grant_cost(hosts: int, queue: int, plans: int) -> None:
+def show_grant_cost(hosts: int, queue: int, plans: int) -> None:
     """Print the cost of one ask, grant and report at a constant queue length."""
-    scheduler, held = filled(hosts, queue, plans)
+    scheduler, granted_slots = saturated_scheduler(hosts, queue, plans)
     asks = [an_ask(plans) for _ in range(GRANTS)]
     start = time.process_time()
     for n, ask in enumerate(asks):
         if queue:
-            held.extend(grants(scheduler.ask(ask, GW)))
-            held.extend(grants(scheduler.done(done(held[n]))))
+            granted_slots.extend(grants(scheduler.ask(ask, GW)))
+            granted_slots.extend(grants(scheduler.done(done_message(granted_slots[n]))))
         else:
-            scheduler.done(done(held[n]))
-            held.extend(grants(scheduler.ask(ask, GW)))
+            scheduler.done(done_message(granted_slots[n]))
+            granted_slots.extend(grants(scheduler.ask(ask, GW)))
     cost = (time.process_time() - start) / GRANTS
     show("ask, grant and report", cost * 1e6, "us", hosts=hosts, queue=queue, plans=plans)
 
 
-def cancel_cost(queue: int) -> None:
+def show_cancel_cost(queue: int) -> None:
     """Print the cost of each cancellation when the whole queue is cancelled."""
     scheduler = a_scheduler(200, 4)
     requests = []
@@ -109,10 +109,10 @@
     show("cancellation, all at once", cost * 1e6, "us", queue=queue)
 
 
-def memory() -> None:
+def show_memory() -> None:
     """Print the memory of a queued ask and of a grant."""
     asks = [an_ask(4) for _ in range(10_000)]
-    scheduler, _ = filled(400, 0, 4)
+    scheduler, _ = saturated_scheduler(400, 0, 4)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for ask in asks:
@@ -128,9 +128,9 @@
     tracemalloc.stop()
 
 
-def tick_cost(hosts: int, queue: int) -> None:
+def show_tick_cost(hosts: int, queue: int) -> None:
     """Print the cost of a tick that sweeps, which happens once a second."""
-    scheduler, _ = filled(hosts, queue, 4)
+    scheduler, _ = saturated_scheduler(hosts, queue, 4)
     start = time.process_time()
     for n in range(20):
         alive = {GW, Caller(ProcessId("other"), Incarnation(n), "other")}
@@ -139,7 +139,7 @@
     show("sweep", cost * 1e3, "ms", hosts=hosts, queue=queue)
 
 
-def slots_cost() -> None:
+def show_slots_cost() -> None:
     """Print the cost of one job for a gateway, with a local and with a remote scheduler."""
     keys, members, fleet = builders.inner_keys(), Members(), Fleet()
     fleet.hosts(*(builders.an_entry(f"h{n}") for n in range(8)))
@@ -150,33 +150,33 @@
         gateway.start()
     for gateway in gateways:
         own = gateway.routing.placement.is_mine(POOL)
-        one_job(gateway)
-        seconds, cpu = timed(lambda gateway=gateway: one_job(gateway), JOBS)
+        run_one_job(gateway)
+        seconds, cpu = time_steps(lambda gateway=gateway: run_one_job(gateway), JOBS)
         name = "slot from own scheduler" if own else "slot from another process's scheduler"
         show(f"{name}, processor", cpu * 1e6, "us a job, both ends")
         show(f"{name}, wait", seconds * 1e6, "us a job, one at a time")
-        _, cpu = timed(lambda gateway=gateway: crowd(gateway), 1)
+        _, cpu = time_steps(lambda gateway=gateway: run_concurrent_jobs(gateway), 1)
         at_once = f"us a job, both ends, {CALLERS} callers"
         show(f"{name}, processor", cpu / JOBS * 1e6, at_once)
     for gateway in gateways:
         gateway.close()
 
 
-def one_job(gateway: Gateway) -> None:
+def run_one_job(gateway: Gateway) -> None:
     """Acquire, start and release one slot."""
     slot = gateway.slots.acquire(a_job(time.monotonic() + 10.0)).unwrap()
     gateway.slots.start(slot).unwrap()
     gateway.slots.release(slot, Verdict.OK, 0.001)
 
 
-def crowd(gateway: Gateway) -> None:
+def run_concurrent_jobs(gateway: Gateway) -> None:
     """Acquire, start and release slots from many threads."""
     with ThreadPoolExecutor(CALLERS) as threads:
         for _ in range(JOBS):
-            threads.submit(one_job, gateway)
+            threads.submit(run_one_job, gateway)
 
 
-def timed(step: Callable[[], None], count: int) -> tuple[float, float]:
+def time_steps(step: Callable[[], None], count: int) -> tuple[float, float]:
     """Return wall and processor seconds of each of ``count`` steps."""
     wall, cpu = time.monotonic(), time.process_time()
     for _ in range(count):
@@ -187,16 +187,16 @@
 def main() -> None:
     """Print all figures."""
     for hosts in HOSTS:
-        grant_cost(hosts, 0, 4)
+        show_grant_cost(hosts, 0, 4)
     for queue in QUEUES:
-        grant_cost(400, queue, 4)
+        show_grant_cost(400, queue, 4)
     for plans in PLANS:
-        grant_cost(400, 1_000, plans)
+        show_grant_cost(400, 1_000, plans)
     for queue in QUEUES[1:]:
-        cancel_cost(queue)
-        tick_cost(400, queue)
-    memory()
-    slots_cost()
+        show_cancel_cost(queue)
+        show_tick_cost(400, queue)
+    show_memory()
+    show_slots_cost()
 
 
 if __name__ == "__main__":
--- a/bench/silence.py
+++ b/bench/silence.py
@@ -15,38 +15,38 @@
 WAIT_S = 60
 
 
-class _Bench(GatewayTestCase):
+class _Cases(GatewayTestCase):
     """The gateway of the tests with scripted endpoints; started by :func:`main`."""
 
     def runTest(self) -> None:  # noqa: N802 (name required by unittest)
         """Measure all cases."""
-        self.forgotten_connection()
-        self.forgotten_order()
+        self.dropped_reused_connection()
+        self.dropped_job_connection()
         self.silent_endpoint()
 
-    def forgotten_connection(self) -> None:
+    def dropped_reused_connection(self) -> None:
         """Send a repeatable job on a reused connection whose packets are dropped."""
-        forgotten: list[socket.socket] = []
+        dropped: list[socket.socket] = []
 
         def script(sock: socket.socket, request: bytes) -> None:
             sock.sendall(ok())
-            if not forgotten:
-                forgotten.append(sock)
+            if not dropped:
+                dropped.append(sock)
                 drop_all(sock)
 
         self.an_endpoint(script)
         self.an_endpoint()
         self.a_gateway()
         self.call()
-        took_s, status = self.timed("GET")
+        took_s, status = self.timed_call("GET")
         figure("silence", "repeatable_job_on_forgotten_connection", took_s, "s", status=status)
 
-    def forgotten_order(self) -> None:
+    def dropped_job_connection(self) -> None:
         """Send a job that must not be repeated; packets are dropped once the endpoint has it."""
         self.slots.addresses.clear()
         self.an_endpoint(lambda sock, request: drop_all(sock))
         self.a_gateway()
-        took_s, status = self.timed("POST")
+        took_s, status = self.timed_call("POST")
         figure("silence", "order_on_forgotten_connection", took_s, "s", status=status)
 
     def silent_endpoint(self) -> None:
@@ -57,10 +57,10 @@
         self.a_gateway()
         self.call()
         endpoint.script = lambda sock, request: None
-        took_s, status = self.timed("GET")
+        took_s, status = self.timed_call("GET")
         figure("silence", "repeatable_job_on_silent_endpoint", took_s, "s", status=status)
 
-    def timed(self, method: str) -> tuple[float, int]:
+    def timed_call(self, method: str) -> tuple[float, int]:
         """Send one job; return the seconds until its answer, and the status."""
         began = time.monotonic()
         connection = self.connect()
@@ -75,7 +75,7 @@
 
 def main() -> None:
     """Measure all cases and print one line per figure."""
-    result = _Bench().run()
+    result = _Cases().run()
     if result is not None and not result.wasSuccessful():
         raise SystemExit("a case could not be measured")
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -34,11 +34,11 @@
 
 def measure(hosts: int, pools: int, zones: int) -> None:
     """Measure one size."""
-    where = {"hosts": hosts, "pools": pools, "zones": zones}
+    context = {"hosts": hosts, "pools": pools, "zones": zones}
     items = state(hosts, pools, zones)
-    figure("state", "bytes", sum(len(i.value or b"") for i in items), "B", **where)
+    figure("state", "bytes", sum(len(i.value or b"") for i in items), "B", **context)
     largest = max(len(i.value or b"") for i in items)
-    figure("state", "largest_value", largest, "B", **where)
+    figure("state", "largest_value", largest, "B", **context)
     batch = Batch(
         ProcessId("ct-1"),
         Incarnation(1),
@@ -46,22 +46,22 @@
         (StateItems(tuple(items), Revision(0), Revision(len(items))),),
     )
     data = encode(batch)
-    figure("state", "whole_state_on_the_wire", len(data), "B", **where)
+    figure("state", "whole_state_on_the_wire", len(data), "B", **context)
     before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     mirror = Mirror()
     view = FleetView(mirror)
     began = time.perf_counter()
     mirror.replace(decode(data).unwrap().messages[0].items, Revision(len(items)))
-    figure("state", "take_whole", round(1e3 * (time.perf_counter() - began), 2), "ms", **where)
-    grown_mb = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before_kb) / 1024
-    figure("state", "resident_growth", round(grown_mb, 1), "MB", **where)
+    figure("state", "take_whole", round(1e3 * (time.perf_counter() - began), 2), "ms", **context)
+    growth_mb = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before_kb) / 1024
+    figure("state", "resident_growth", round(growth_mb, 1), "MB", **context)
     for name, key in (("document", DOCUMENT_KEY), ("pool", pool_key(PoolId("pool-0")))):
-        took_ms = 1e3 * change(mirror, key, len(items)) / CHANGES
-        figure("state", f"take_{name}_change", round(took_ms, 3), "ms", **where)
+        took_ms = 1e3 * time_changes(mirror, key, len(items)) / CHANGES
+        figure("state", f"take_{name}_change", round(took_ms, 3), "ms", **context)
     assert len(view.hosts_by_id) == hosts
 
 
-def change(mirror: Mirror, key: str, revision: int) -> float:
+def time_changes(mirror: Mirror, key: str, revision: int) -> float:
     """Write one key repeatedly; return the seconds spent in the mirror and the view."""
     value = next(item.value for item in mirror.below(key))
     first = max(revision, mirror.complete_to) + 1
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -7,24 +7,28 @@
 import json
 from collections.abc import Callable
 
-from bench.surge_baselines import GATEWAYS, Blind, Home
-from bench.surge_grants import Granting, Returning
+from bench.surge_baselines import GATEWAYS, PartitionedHosts, RandomHost
+from bench.surge_grants import GrantSystem, RetryingGrantSystem
 from bench.surge_load import HOSTS, SLOTS, Events, Load, Outcome
 
 DRAIN_S = 120.0
 SEEDS_BY_SURGE_S = {10.0: (1, 2), 25.0: (1,)}
 
-System = Granting | Blind | Home
+System = GrantSystem | RandomHost | PartitionedHosts
 
 SYSTEMS: dict[str, Callable[[Events, int], System]] = {
-    "grants, 1 zone": lambda events, seed: Granting(events, 1, seed),
-    "grants, 4 zones": lambda events, seed: Granting(events, 4, seed),
-    "grants, refused come back when told": lambda events, seed: Returning(events, None, seed),
-    "grants, refused come back after 1 s": lambda events, seed: Returning(events, 1.0, seed),
-    "home gateway of each host": lambda events, seed: Home(events, seed),
-    "blind, 1 a gateway": lambda events, seed: Blind(events, 1, seed),
-    "blind, 2 a gateway": lambda events, seed: Blind(events, 2, seed),
-    "blind, 8 a gateway": lambda events, seed: Blind(events, SLOTS, seed),
+    "grants, 1 zone": lambda events, seed: GrantSystem(events, 1, seed),
+    "grants, 4 zones": lambda events, seed: GrantSystem(events, 4, seed),
+    "grants, refused come back when told": lambda events, seed: RetryingGrantSystem(
+        events, None, seed
+    ),
+    "grants, refused come back after 1 s": lambda events, seed: RetryingGrantSystem(
+        events, 1.0, seed
+    ),
+    "home gateway of each host": lambda events, seed: PartitionedHosts(events, seed),
+    "blind, 1 a gateway": lambda events, seed: RandomHost(events, 1, seed),
+    "blind, 2 a gateway": lambda events, seed: RandomHost(events, 2, seed),
+    "blind, 8 a gateway": lambda events, seed: RandomHost(events, SLOTS, seed),
 }
 
 
@@ -56,9 +60,9 @@
         show(name, load, f"refused, urgency {rank}", share, "share of surge's jobs")
         show(name, load, f"accepted but late, urgency {rank}", late, "share of surge's jobs")
     show(name, load, "served in the end, urgency 1", report.normal_served, "share of surge's jobs")
-    show(name, load, "asks of urgency 1", report.normal_tries, "a job")
+    show(name, load, "asks of urgency 1", report.normal_attempts, "a job")
     show(name, load, "slot seconds app/orders", report.fairness, "ratio")
-    if isinstance(driven, Granting):
+    if isinstance(driven, GrantSystem):
         show(name, load, "scheduler processor", driven.cpu_s / driven.grants * 1e6, "us a grant")
         show(name, load, "spilled", driven.spilled / len(outcome.jobs), "share of jobs")
         show(name, load, "invariants broken", driven.violations, "count")
--- a/bench/surge_baselines.py
+++ b/bench/surge_baselines.py
@@ -6,14 +6,14 @@
 
 from bench.surge_load import HOSTS, POOLS, SLOTS, Endpoint, Events, Job
 
-__all__ = ["GATEWAYS", "HOP_S", "PLAN_QUEUE", "Blind", "Home"]
+__all__ = ["GATEWAYS", "HOP_S", "PLAN_QUEUE", "PartitionedHosts", "RandomHost"]
 
 HOP_S = 0.0003
 GATEWAYS = 7
 PLAN_QUEUE = 5000
 
 
-class Blind:
+class RandomHost:
     """Baseline: each gateway sends jobs to random hosts, limited only by its own jobs there.
 
     :param limit: maximum number of jobs of one gateway on a host.
@@ -66,7 +66,7 @@
         return self._counts.get((gateway, pool, host), 0)
 
 
-class Home:
+class PartitionedHosts:
     """Baseline: the slots of each host belong to one gateway, its home.
 
     A gateway forwards a job to the home of a random host, which queues by urgency and deadline.
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -12,15 +12,15 @@
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 from lentilrill.routing._terms import PlanTerms, PoolTerms
 
-__all__ = ["Granting", "Returning"]
+__all__ = ["GrantSystem", "RetryingGrantSystem"]
 
 ZONE_HOP_S = 0.0015
 TICK_S = 0.05
 LOAD_S = 0.2
-TRIES = 4
+MAX_ATTEMPTS = 4
 
 
-class Granting:
+class GrantSystem:
     """The algorithm of the program: a scheduler for each pool and zone grants slots to gateways.
 
     :param zones: zones over which each pool's hosts are spread evenly.
@@ -145,26 +145,27 @@
         self._events.after(LOAD_S, self._loads)
 
 
-class Returning(Granting):
+class RetryingGrantSystem(GrantSystem):
     """Grants to callers that retry up to three times when they are refused.
 
-    :param back_s: seconds before a retry; ``None`` for the delay given in the refusal.
+    :param retry_delay_s: seconds before a retry; ``None`` for the delay given in the refusal.
     """
 
-    def __init__(self, events: Events, back_s: float | None, seed: int) -> None:
+    def __init__(self, events: Events, retry_delay_s: float | None, seed: int) -> None:
         super().__init__(events, 1, seed)
-        self._back_s = back_s
+        self._retry_delay_s = retry_delay_s
 
     def _refused(self, job: Job, message: Refused) -> None:
-        if job.tries == TRIES:
+        if job.attempts == MAX_ATTEMPTS:
             job.refused = True
             return
-        told_s = message.retry_after_s or 0.0
+        advised_s = message.retry_after_s or 0.0
         self._events.after(
-            told_s if self._back_s is None else self._back_s, lambda: self._back(job)
+            advised_s if self._retry_delay_s is None else self._retry_delay_s,
+            lambda: self._retry(job),
         )
 
-    def _back(self, job: Job) -> None:
-        job.tries += 1
+    def _retry(self, job: Job) -> None:
+        job.attempts += 1
         job.arrived = self._events.now
         self.arrive(job)
--- a/bench/surge_load.py
+++ b/bench/surge_load.py
@@ -26,9 +26,9 @@
 SLOTS = 8
 ENDPOINT_CONNECTIONS = 64
 ROUNDS = 2
-MEAN_OF_CAPACITY = 0.6
+MEAN_LOAD_OF_CAPACITY = 0.6
 SURGE_FACTOR = 5.0
-CALM_FACTOR = 0.05
+LOW_LOAD_FACTOR = 0.05
 
 
 @dataclass(frozen=True)
@@ -68,14 +68,14 @@
     started: float = -1.0
     ended: float = -1.0
     refused: bool = False
-    tries: int = 1
-    asked_first: float = 0.0
+    attempts: int = 1
+    first_arrived: float = 0.0
 
     def __post_init__(self) -> None:
-        self.asked_first = self.arrived
+        self.first_arrived = self.arrived
 
     @property
-    def good(self) -> bool:
+    def succeeded(self) -> bool:
         """Whether it started in time and ran to its end."""
         return self.ended >= 0.0 and self.started - self.arrived <= self.kind.wait_s
 
@@ -161,22 +161,22 @@
     def arrivals(self, slots: int, gateways: int) -> Iterator[Job]:
         """Yield jobs in order of arrival, for pools of ``slots`` slots."""
         rng = random.Random(self.seed)
-        most_per_s = SURGE_FACTOR * MEAN_OF_CAPACITY * slots / MEAN_RUN_S
-        streams = [self._stream(n, most_per_s, rng) for n in range(len(POOLS))]
+        peak_per_s = SURGE_FACTOR * MEAN_LOAD_OF_CAPACITY * slots / MEAN_RUN_S
+        streams = [self._stream(n, peak_per_s, rng) for n in range(len(POOLS))]
         ids = itertools.count()
         for when, pool in heapq.merge(*streams):
             kind = rng.choices(PLANS, [kind.share for kind in PLANS])[0]
             run_s = kind.run_s * rng.lognormvariate(-0.125, 0.5)
             yield Job(next(ids), pool, kind, run_s, when, rng.randrange(gateways))
 
-    def _stream(self, pool: int, most_per_s: float, rng: random.Random) -> list[tuple[float, str]]:
+    def _stream(self, pool: int, peak_per_s: float, rng: random.Random) -> list[tuple[float, str]]:
         found: list[tuple[float, str]] = []
         now = 0.0
         while now < self.end:
             # Draws at the peak rate and thins out, so that a long gap never reaches into a surge.
-            now += rng.expovariate(most_per_s)
+            now += rng.expovariate(peak_per_s)
             in_surge = any(start <= now < stop for start, stop in self.surges(pool))
-            if in_surge or rng.random() < CALM_FACTOR / SURGE_FACTOR:
+            if in_surge or rng.random() < LOW_LOAD_FACTOR / SURGE_FACTOR:
                 found.append((now, POOLS[pool]))
         return found
 
@@ -191,7 +191,7 @@
     late_by_urgency: dict[int, float] = field(default_factory=dict)
     fairness: float = 0.0
     normal_served: float = 0.0
-    normal_tries: float = 0.0
+    normal_attempts: float = 0.0
 
 
 class Outcome:
@@ -214,7 +214,7 @@
         in_surge = [
             job
             for job in self.jobs
-            if any(p == job.pool and a <= job.asked_first < b for p, a, b in surging)
+            if any(p == job.pool and a <= job.first_arrived < b for p, a, b in surging)
         ]
         urgent = sorted(
             job.started - job.arrived
@@ -227,19 +227,19 @@
             urgent[int(0.99 * (len(urgent) - 1))] if urgent else -1.0,
             {rank: _share(jobs, lambda j: j.refused) for rank, jobs in by_urgency.items()},
             {
-                rank: _share(jobs, lambda j: not j.refused and not j.good)
+                rank: _share(jobs, lambda j: not j.refused and not j.succeeded)
                 for rank, jobs in by_urgency.items()
             },
             self._fairness(surging),
-            _share(by_urgency[1], lambda job: job.good),
-            sum(job.tries for job in by_urgency[1]) / max(1, len(by_urgency[1])),
+            _share(by_urgency[1], lambda job: job.succeeded),
+            sum(job.attempts for job in by_urgency[1]) / max(1, len(by_urgency[1])),
         )
 
     def _used_s(self, pool: str, start: float, stop: float, plan: str = "") -> float:
         return sum(
             max(0.0, min(job.ended, stop) - max(job.started, start))
             for job in self.jobs
-            if job.pool == pool and job.good and plan in ("", job.kind.plan)
+            if job.pool == pool and job.succeeded and plan in ("", job.kind.plan)
         )
 
     def _fairness(self, surging: list[tuple[str, float, float]]) -> float:
--- a/bench/waits.py
+++ b/bench/waits.py
@@ -52,8 +52,11 @@
 def slowest(ended: list[Ended]) -> dict[str, float]:
     """Return the mean seconds that the slowest tenth spent on each cause."""
     ranked = sorted(ended, key=lambda job: -job.took_s)
-    few = ranked[: max(1, round(len(ranked) * SLOWEST_SHARE))]
-    return {cause: round(sum(getattr(job, cause) for job in few) / len(few), 2) for cause in CAUSES}
+    slowest_jobs = ranked[: max(1, round(len(ranked) * SLOWEST_SHARE))]
+    return {
+        cause: round(sum(getattr(job, cause) for job in slowest_jobs) / len(slowest_jobs), 2)
+        for cause in CAUSES
+    }
 
 
 def _lines(paths: list[Path]) -> Iterator[str]:
