--- a/standins/_http.py
+++ b/standins/_http.py
@@ -67,7 +67,7 @@
         """Send bytes outside the HTTP framing of the response."""
         self._request.conn.wfile.write(data)
 
-    def cut(self, reset: bool = False) -> None:
+    def disconnect(self, reset: bool = False) -> None:
         """Close the connection without sending the response, or the rest of it.
 
         :param reset: whether the client gets a TCP reset instead of an orderly close.
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -138,9 +138,9 @@
             self._handle_control(call)
         elif self.faults.silent:
             call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
-            call.cut()
+            call.disconnect()
         elif self.faults.reset:
-            call.cut(reset=True)
+            call.disconnect(reset=True)
         elif self.faults.fail:
             call.answer_json({"error": "injected fault: every request fails"}, 500)
         elif self.faults.leaving:
@@ -176,10 +176,10 @@
         self._closed.wait(self.faults.slow_s)
         if self.faults.silent:
             call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
-            call.cut()
+            call.disconnect()
             return
         if self._consume_fault("lose_answers"):
-            call.cut()
+            call.disconnect()
             return
         requested_bytes = int(call.header("Standin-Answer-Bytes", "0"))
         summary = {
@@ -201,7 +201,7 @@
         else:
             _write_padding(call, end)
         if end < length:
-            call.cut()
+            call.disconnect()
             return
         run.whole = True
         if self.faults.twice:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -158,9 +158,9 @@
             self._calls_by_kind[call.path] += 1
         if self._is_unreachable(address):
             call.hold_while(lambda: self._is_unreachable(address))
-            call.cut()
+            call.disconnect()
         elif self.faults.down:
-            call.cut()
+            call.disconnect()
         else:
             self._closed.wait(self.faults.slow_s)
             self._answer(call, address)
@@ -192,7 +192,7 @@
             and self.store.revision > before
             and self._consume_lost_answer()
         ):
-            call.cut()
+            call.disconnect()
             return
         call.answer_json(response)
 
@@ -221,7 +221,7 @@
         finally:
             with self._lock:
                 self.watches_waiting -= 1
-        call.cut()
+        call.disconnect()
 
     def _should_end_watches(self) -> bool:
         return self._closed.is_set() or self.faults.down
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -125,7 +125,7 @@
                 return
             answer = self._execute(call.path, body)
         if self._loses_answer():
-            call.cut(reset=True)
+            call.disconnect(reset=True)
             return
         call.answer_json({"clock_ms": self._clock_ms(), "born": self._started_ms} | answer)
 
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -102,7 +102,7 @@
         time.sleep(self.delay_s)
         if answer is None:
             call.hold_while(lambda: not self.held.is_set())
-            call.cut()
+            call.disconnect()
         else:
             call.answer(*answer)
 
@@ -195,7 +195,7 @@
             time.sleep(0.2)
         if self.missing:
             call.hold_while(lambda: not self.ended.is_set())
-            call.cut()
+            call.disconnect()
 
     def test_a_page_that_keeps_arriving_is_read_to_its_end(self) -> None:
         """A host on a slow link asked for the same long list again and again, and got none."""
