--- a/standins/_http.py
+++ b/standins/_http.py
@@ -95,10 +95,10 @@
         except (OSError, ValueError):
             return True
 
-    def hold_while(self, held: Callable[[], bool]) -> None:
-        """Block until ``held`` returns false or the client closes the connection."""
+    def block_while(self, condition: Callable[[], bool]) -> None:
+        """Block until ``condition`` returns false or the client closes the connection."""
         pause = threading.Event()
-        while held() and not self.client_disconnected():
+        while condition() and not self.client_disconnected():
             pause.wait(POLL_INTERVAL_S)
 
 
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -137,7 +137,7 @@
         if call.path.startswith("/standin/"):
             self._handle_control(call)
         elif self.faults.silent:
-            call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
+            call.block_while(lambda: self.faults.silent and not self._closed.is_set())
             call.disconnect()
         elif self.faults.reset:
             call.disconnect(reset=True)
@@ -175,7 +175,7 @@
     def _answer(self, call: Call, run: Run, body: bytes) -> None:
         self._closed.wait(self.faults.slow_s)
         if self.faults.silent:
-            call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
+            call.block_while(lambda: self.faults.silent and not self._closed.is_set())
             call.disconnect()
             return
         if self._consume_fault("lose_answers"):
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -157,7 +157,7 @@
         with self._lock:
             self._calls_by_kind[call.path] += 1
         if self._is_unreachable(address):
-            call.hold_while(lambda: self._is_unreachable(address))
+            call.block_while(lambda: self._is_unreachable(address))
             call.disconnect()
         elif self.faults.down:
             call.disconnect()
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -101,7 +101,7 @@
         answer = self.answers.popleft()
         time.sleep(self.delay_s)
         if answer is None:
-            call.hold_while(lambda: not self.held.is_set())
+            call.block_while(lambda: not self.held.is_set())
             call.disconnect()
         else:
             call.answer(*answer)
@@ -194,7 +194,7 @@
             call.write(part)
             time.sleep(0.2)
         if self.missing:
-            call.hold_while(lambda: not self.ended.is_set())
+            call.block_while(lambda: not self.ended.is_set())
             call.disconnect()
 
     def test_a_page_that_keeps_arriving_is_read_to_its_end(self) -> None:
