--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -161,12 +161,12 @@
 class _Policy:
     """The policy service, which decides where a step may run and issues tickets for it.
 
-    :ivar barred: endpoints that may not run any task.
+    :ivar blocked: endpoints that may not run any task.
     :ivar tickets_required: whether endpoints require a ticket to start a task.
     """
 
     def __init__(self) -> None:
-        self.barred: set[str] = set()
+        self.blocked: set[str] = set()
         self.tickets_required = False
         self._expiry_by_ticket: dict[str, float] = {}
         self._count = itertools.count(1)
@@ -175,7 +175,7 @@
         body = msgspec.json.decode(call.body)
         allowed = []
         for endpoint in body["workers"]:
-            if endpoint not in self.barred:
+            if endpoint not in self.blocked:
                 ticket = f"{body['step']}/{endpoint}/{next(self._count)}"
                 self._expiry_by_ticket[ticket] = time.monotonic() + TICKET_VALIDITY_S
                 allowed.append([endpoint, ticket])
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -83,13 +83,13 @@
         that later steps need another one.
         """
         self.begin(task_s=0.7, advised=True)
-        barred = self.platform.endpoint_of(self.workers[0])
-        self.platform.policy.barred.add(barred)
+        blocked = self.platform.endpoint_of(self.workers[0])
+        self.platform.policy.blocked.add(blocked)
         for number in range(3):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         self.assertTrue(eventually(lambda: self.all_completed("front-1", 3)))
         self.check_runs()
-        self.assertNotIn(barred, {record.endpoint for record in self.platform.records})
+        self.assertNotIn(blocked, {record.endpoint for record in self.platform.records})
 
     def test_a_killed_owner_costs_no_job(self) -> None:
         """A ballot was lost when the host that ran its queue was killed.
