--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -195,7 +195,7 @@
     :param task_s: seconds that each task takes.
     :ivar policy: the policy service.
     :ivar records: every run that was started.
-    :ivar most_down: maximum number of hosts that were down for upkeep at the same time.
+    :ivar max_down: maximum number of hosts that were down for upkeep at the same time.
     :ivar lost_every: the answer to every n-th call that endpoints execute is lost; 0 for none.
     """
 
@@ -205,7 +205,7 @@
         self.lost_every = 0
         self._call_numbers = itertools.count(1)
         self.records: list[RunRecord] = []
-        self.most_down = 0
+        self.max_down = 0
         self._task_s = task_s
         self._lock = threading.RLock()
         self._names = itertools.count(1)
@@ -335,7 +335,7 @@
         entry["state"] = "moving" if pool else "upkeep"
         entry["pool"] = pool or entry["pool"]
         down = sum(1 for other in self._hosts.values() if other["state"] == "upkeep")
-        self.most_down = max(self.most_down, down)
+        self.max_down = max(self.max_down, down)
         self.store.remove(f"servers/{entry['id']}")
         entry["id"] = ""
         endpoint = self._endpoints.pop(host, None)
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -178,7 +178,7 @@
         self.assertTrue(
             eventually(lambda: (self.platform.value(key) or {}).get("state") == "completed")
         )
-        self.assertEqual(1, self.platform.most_down)
+        self.assertEqual(1, self.platform.max_down)
         self.assertEqual(200, self.site.submit("front-0", path(1), JOB))
         self.assertTrue(eventually(lambda: self.site.state("front-0", path(1)) == "completed"))
 
