--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -196,13 +196,13 @@
     :ivar policy: the policy service.
     :ivar records: every run that was started.
     :ivar max_down: maximum number of hosts that were down for upkeep at the same time.
-    :ivar lost_every: the answer to every n-th call that endpoints execute is lost; 0 for none.
+    :ivar lose_every_nth: the answer to every n-th call that endpoints execute is lost; 0 for none.
     """
 
     def __init__(self, task_s: float = 0.2) -> None:
         self.store = UsersStore()
         self.policy = _Policy()
-        self.lost_every = 0
+        self.lose_every_nth = 0
         self._call_numbers = itertools.count(1)
         self.records: list[RunRecord] = []
         self.max_down = 0
@@ -281,7 +281,7 @@
         return self._endpoints[host].name
 
     def _loses_answer(self) -> bool:
-        return bool(self.lost_every) and next(self._call_numbers) % self.lost_every == 0
+        return bool(self.lose_every_nth) and next(self._call_numbers) % self.lose_every_nth == 0
 
     def _tick(self) -> None:
         while not self._closed.wait(TICK_INTERVAL_S):
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -111,7 +111,7 @@
     def test_answers_that_are_lost_run_nothing_twice(self) -> None:
         """A task was carried out and its answer was lost: it ran a second time, or never ended."""
         self.begin(task_s=0.3)
-        self.platform.lost_every = 4
+        self.platform.lose_every_nth = 4
         for number in range(6):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         self.assertTrue(eventually(lambda: self.all_completed("front-1", 6)))
@@ -124,7 +124,7 @@
         of endpoints are lost.
         """
         self.begin(task_s=0.6)
-        self.platform.lost_every = 7
+        self.platform.lose_every_nth = 7
         for number in range(6):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         for _ in range(2):
