--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -28,7 +28,7 @@
 class RunRecord(msgspec.Struct):
     """One run of a task on an endpoint; ``ended`` is 0.0 while it runs.
 
-    :param how: how it ended, as a value of the platform's protocol.
+    :param end_kind: how it ended, as a value of the platform's protocol.
     """
 
     endpoint: str
@@ -36,7 +36,7 @@
     number: int
     began: float
     ended: float = 0.0
-    how: str = ""
+    end_kind: str = ""
 
 
 class _Endpoint:
@@ -75,7 +75,7 @@
     def close(self) -> None:
         with self._changed:
             for record in self._running.values():
-                record.ended, record.how = time.monotonic(), "gone"
+                record.ended, record.end_kind = time.monotonic(), "gone"
             self._running.clear()
         self.closed = True
         self._server.close()
@@ -94,14 +94,14 @@
     def _clock_ms(self) -> int:
         return int(time.time() * 1000) - self._started_ms
 
-    def _end(self, task: str, number: int, how: str) -> None:
+    def _end(self, task: str, number: int, end_kind: str) -> None:
         record = self._running.pop((task, number), None)
         if record is None:
             return
-        record.ended, record.how = time.monotonic(), how
+        record.ended, record.end_kind = time.monotonic(), end_kind
         self._last_finished_run[task] = max(number, self._last_finished_run.get(task, 0))
         self._cursor += 1
-        self._ended.append([self._cursor, task, number, how, ""])
+        self._ended.append([self._cursor, task, number, end_kind, ""])
         self._changed.notify_all()
 
     def _serve(self, call: Call, address: str) -> None:
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -47,7 +47,7 @@
 
     def check_runs(self) -> None:
         """Each task ran to its end once, and never twice at a time."""
-        done = Counter(r.task for r in self.platform.records if r.how == "done")
+        done = Counter(r.task for r in self.platform.records if r.end_kind == "done")
         self.assertEqual({1}, set(done.values()))
         runs_by_task: dict[str, list[Any]] = {}
         for record in self.platform.records:
@@ -191,7 +191,7 @@
         self.assertTrue(eventually(lambda: not self.site.is_ready("front-0")))
         self.assertEqual(503, self.site.submit("front-0", path(2), JOB))
         self.assertTrue(
-            eventually(lambda: all(run.how == "done" for run in self.platform.records[:3]))
+            eventually(lambda: all(run.end_kind == "done" for run in self.platform.records[:3]))
         )
         self.platform.store.down = False
         self.assertTrue(eventually(lambda: self.site.state("front-0", path(1)) == "completed"))
