--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,11 +1,11 @@
-"""Runs measurements: ``python -m bench`` all of them, ``python -m bench NAME...`` some."""
+"""Runs benchmarks: all with ``python -m bench``, selected ones with ``python -m bench NAME...``."""
 
 import subprocess
 import sys
 
 __all__ = ["main"]
 
-NAMES = (
+BENCHMARKS = (
     "gateway",
     "claims",
     "surge",
@@ -24,8 +24,8 @@
 
 
 def main() -> int:
-    """Run each measurement in a process of its own; the exit code is 1 if one of them failed."""
-    names = sys.argv[1:] or NAMES
+    """Run each benchmark in a separate process; return 1 if one of them failed."""
+    names = sys.argv[1:] or BENCHMARKS
     failed = [name for name in names if _run(name) != 0]
     for name in failed:
         print(f"bench.{name} failed", file=sys.stderr)
--- a/bench/_fleet_optimum.py
+++ b/bench/_fleet_optimum.py
@@ -1,4 +1,4 @@
-"""Baselines for the planner's bench: an exact optimum in hindsight, and planning from scratch."""
+"""Baselines for the planner's benchmark: an offline optimum, and planning from scratch."""
 
 import itertools
 
@@ -11,25 +11,25 @@
 
 __all__ = ["naive_moves", "optimum"]
 
-NEXT_TO_NOTHING = 1e-4
-"""Weight of the figure that a weighting does not look at, so that ties fall the better way."""
+TIE_BREAK_WEIGHT = 1e-4
+"""Weight of the secondary objective, which only breaks ties."""
 
 
 def optimum(
-    samples: list[Sample], owed: dict[PoolId, int], spare: PoolId, weigh_moves: bool
+    samples: list[Sample], owed: dict[PoolId, int], spare: PoolId, minimize_moves: bool
 ) -> tuple[float, float]:
-    """Return the least moves and the least buffer (host-samples above owed) in hindsight.
+    """Return the minimum moves and the minimum buffer (host-samples above owed) in hindsight.
 
-    A linear programme over all samples at once: in each, every pool has at least as many hosts
-    at work as under the planner, as far as they are owed; hosts fail and return in each pool as
-    they did. It knows the future, so no planner can do better.
+    Solves a linear programme over all samples at once. In each sample, every pool has at least
+    as many available hosts as under the planner, up to the owed number; hosts fail and return
+    in each pool as recorded. The programme knows the future, so no planner can do better.
 
-    :param weigh_moves: whether moves are minimised first, else the buffer.
+    :param minimize_moves: whether moves are minimised first, else the buffer.
     """
     pools = sorted(owed)
     size, times = len(pools), len(samples)
     start = numpy.array([samples[0].available[p] for p in pools], dtype=float)
-    outside = [
+    external_changes = [
         numpy.array(
             [
                 after.available[p]
@@ -42,12 +42,12 @@
         )
         for before, after in itertools.pairwise(samples)
     ]
-    # Unknowns of each sample: hosts at work, moved in, moved out, held above what is owed.
-    at_work, moved_in, moved_out, above = (i * size * times for i in range(4))
-    rows, columns, values, right = [], [], [], []
+    # Variables of each sample and pool: hosts available, moved in, moved out, above owed.
+    available, moved_in, moved_out, above = (i * size * times for i in range(4))
+    rows, columns, values, right_hand_sides = [], [], [], []
     row = 0
 
-    def put(column: int, value: float) -> None:
+    def add_coefficient(column: int, value: float) -> None:
         rows.append(row)
         columns.append(column)
         values.append(value)
@@ -55,46 +55,56 @@
     for t in range(times):
         for p in range(size):
             here = t * size + p
-            put(at_work + here, 1.0)
-            put(moved_in + here, -1.0)
-            put(moved_out + here, 1.0)
+            add_coefficient(available + here, 1.0)
+            add_coefficient(moved_in + here, -1.0)
+            add_coefficient(moved_out + here, 1.0)
             if t:
-                put(at_work + here - size, -1.0)
-            right.append(outside[t - 1][p] if t else start[p])
+                add_coefficient(available + here - size, -1.0)
+            right_hand_sides.append(external_changes[t - 1][p] if t else start[p])
             row += 1
         for p in range(size):
-            put(moved_in + t * size + p, 1.0)
-            put(moved_out + t * size + p, -1.0)
-        right.append(0.0)
+            add_coefficient(moved_in + t * size + p, 1.0)
+            add_coefficient(moved_out + t * size + p, -1.0)
+        right_hand_sides.append(0.0)
         row += 1
-    equal = sparse.csr_array((values, (rows, columns)), shape=(row, 4 * size * times))
-    held = range(size * times)
-    below = sparse.csr_array(
+    equality_matrix = sparse.csr_array((values, (rows, columns)), shape=(row, 4 * size * times))
+    indices = range(size * times)
+    inequality_matrix = sparse.csr_array(
         (
-            [1.0] * len(held) + [-1.0] * len(held),
-            ([*held, *held], [at_work + i for i in held] + [above + i for i in held]),
+            [1.0] * len(indices) + [-1.0] * len(indices),
+            ([*indices, *indices], [available + i for i in indices] + [above + i for i in indices]),
         ),
-        shape=(len(held), 4 * size * times),
+        shape=(len(indices), 4 * size * times),
     )
-    limit = [owed[pools[i % size]] for i in held]
+    upper_bounds = [owed[pools[i % size]] for i in indices]
     bounds = [(min(owed[p], sample.available[p]), None) for sample in samples for p in pools] + [
         (0, None)
     ] * (3 * size * times)
-    moves_weight, buffer_weight = (1.0, NEXT_TO_NOTHING) if weigh_moves else (NEXT_TO_NOTHING, 1.0)
+    moves_weight, buffer_weight = (
+        (1.0, TIE_BREAK_WEIGHT) if minimize_moves else (TIE_BREAK_WEIGHT, 1.0)
+    )
     cost = numpy.zeros(4 * size * times)
     cost[moved_out : moved_out + size * times] = moves_weight
-    for i in held:
+    for i in indices:
         cost[above + i] = 0.0 if pools[i % size] == spare else buffer_weight
-    answer = linprog(cost, below, limit, equal, right, bounds, method="highs")
-    if not answer.success:
-        raise RuntimeError(answer.message)
-    moves = answer.x[moved_out : moved_out + size * times].sum()
-    buffer = sum(answer.x[above + i] for i in held if pools[i % size] != spare)
+    solution = linprog(
+        cost,
+        inequality_matrix,
+        upper_bounds,
+        equality_matrix,
+        right_hand_sides,
+        bounds,
+        method="highs",
+    )
+    if not solution.success:
+        raise RuntimeError(solution.message)
+    moves = solution.x[moved_out : moved_out + size * times].sum()
+    buffer = sum(solution.x[above + i] for i in indices if pools[i % size] != spare)
     return float(moves), float(buffer)
 
 
 def naive_moves(samples: list[Sample], owed: dict[PoolId, int], spare: PoolId) -> int:
-    """Return the moves of assigning the hosts at work from scratch at each sample."""
+    """Return the moves if the available hosts were assigned from scratch at each sample."""
     before: dict[str, PoolId] = {}
     moves = 0
     for sample in samples:
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What a process at rest costs, against the size of its zone and the number of zones.
+"""Cost of an idle process, by the size of its zone and the number of zones.
 
 Run as ``python -m bench.control [--seconds S]``. Real processes on loopback, no jobs, no hosts;
 processor time and memory are read from /proc, bytes of the inner protocol from statsd.
@@ -17,7 +17,7 @@
 __all__ = ["main"]
 
 SHAPES = ((1, 1), (1, 4), (1, 8), (1, 16), (4, 2), (11, 2))
-"""Zones and entry hosts in each."""
+"""Number of zones, and of entry hosts in each."""
 SETTLE_S = 4.0
 
 
@@ -46,18 +46,18 @@
             for role, names in (("controller", site.controllers), ("gateway", site.gateways)):
                 used = [cpu_s(site.processes_by_name[n].pid) - before[n] for n in names]
                 memory = [resident_bytes(site.processes_by_name[n].pid) for n in names]
-                where = {"role": role, "zones": zones, "entry_hosts": entry_hosts}
+                context = {"role": role, "zones": zones, "entry_hosts": entry_hosts}
                 share = 100 * statistics.mean(used) / seconds
-                figure("control", "cpu_share", round(share, 3), "percent", **where)
-                most = 100 * max(used) / seconds
-                figure("control", "cpu_share_max", round(most, 3), "percent", **where)
-                figure("control", "resident", round(max(memory) / 1e6, 1), "MB", **where)
+                figure("control", "cpu_share", round(share, 3), "percent", **context)
+                max_share = 100 * max(used) / seconds
+                figure("control", "cpu_share_max", round(max_share, 3), "percent", **context)
+                figure("control", "resident", round(max(memory) / 1e6, 1), "MB", **context)
             for stat, rate in rates(drain(sink), seconds).items():
                 figure("control", stat, rate, "B/s", zones=zones, entry_hosts=entry_hosts)
 
 
 def drain(sink: socket.socket) -> list[str]:
-    """Return the statsd lines that came since the last look."""
+    """Return the statsd lines received since the last call."""
     lines: list[str] = []
     while True:
         try:
--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -1,4 +1,4 @@
-"""How long a failing, unreachable or leaving host goes on getting jobs, and how many it fails.
+"""How long a failing, unreachable or leaving host still receives jobs, and how many fail.
 
 Drives the scheduler's decision code with a fake clock. ``python -m bench.ejection``
 """
@@ -17,7 +17,7 @@
 
 POOL, PLAN = PoolId("schools"), PlanId("schools")
 GW = GatewayInstance(ProcessId("gw"), Incarnation(1), "gw")
-BAD = HostId("h0")
+FAULTY_HOST = HostId("h0")
 RUN_S = 0.2
 LOAD_OF_CAPACITY = 0.7
 FAULT_AT_S = 10.0
@@ -33,7 +33,7 @@
 
 
 class Run:
-    """One pool of which one host goes bad for a while."""
+    """A pool in which one host is faulty for a limited time."""
 
     def __init__(self, verdict: Verdict, budget: int) -> None:
         self.events = Events()
@@ -54,7 +54,7 @@
 
     @property
     def restored_after_s(self) -> float:
-        """Seconds from the end of the fault until the host has all its slots again."""
+        """Seconds from the end of the fault until all slots of the host are available again."""
         return self._restored - FAULT_AT_S - FAULT_S
 
     _restored = END_S
@@ -62,27 +62,27 @@
     def _arrive(self) -> None:
         self.jobs += 1
         ask = Ask(RequestId(str(self.jobs)), POOL, PLAN, 1, 30.0, GW.address)
-        self._take(self._scheduler.ask(ask, GW))
+        self._handle_replies(self._scheduler.ask(ask, GW))
         rate = LOAD_OF_CAPACITY * HOSTS * SLOTS / RUN_S
         self.events.after(self._rng.expovariate(rate), self._arrive)
 
-    def _take(self, replies: list[Reply]) -> None:
+    def _handle_replies(self, replies: list[Reply]) -> None:
         for reply in replies:
             if isinstance(reply.message, Granted):
-                self._send(reply.message)
+                self._run_job(reply.message)
 
-    def _send(self, granted: Granted) -> None:
+    def _run_job(self, granted: Granted) -> None:
         now = self.events.now
-        bad = granted.host == BAD and FAULT_AT_S <= now < FAULT_AT_S + FAULT_S
-        verdict = self._verdict if bad else Verdict.OK
-        run_s = FAIL_S_BY_VERDICT[verdict] if bad else RUN_S * self._rng.uniform(0.5, 1.5)
-        if bad:
+        is_faulty = granted.host == FAULTY_HOST and FAULT_AT_S <= now < FAULT_AT_S + FAULT_S
+        verdict = self._verdict if is_faulty else Verdict.OK
+        run_s = FAIL_S_BY_VERDICT[verdict] if is_faulty else RUN_S * self._rng.uniform(0.5, 1.5)
+        if is_faulty:
             self.failed.append(now)
         done = Done(POOL, granted.grant, granted.host, PLAN, verdict, run_s)
-        self.events.after(run_s, lambda: self._take(self._scheduler.on_done(done)))
+        self.events.after(run_s, lambda: self._handle_replies(self._scheduler.on_done(done)))
 
     def _tick(self) -> None:
-        self._take(self._scheduler.tick({GW}, lambda caller: False))
+        self._handle_replies(self._scheduler.tick({GW}, lambda caller: False))
         healthy = self._scheduler.hosts.capacity == HOSTS * SLOTS
         if healthy and self.events.now > FAULT_AT_S + FAULT_S:
             self._restored = min(self._restored, self.events.now)
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,8 +1,8 @@
 """One gateway process against a bare proxy: throughput and added latency.
 
 Run as ``python -m bench.gateway [--seconds S] [--rounds N]``. Endpoints, gateway, proxy, platform
-and callers are processes of their own on loopback; jobs take no time. The ways are measured in
-turn, so that what else the machine does meets all of them.
+and callers are separate processes on loopback; jobs take no time. The variants are measured in
+turn, so that other load on the machine affects all of them.
 """
 
 import argparse
@@ -38,16 +38,16 @@
         bare_proxy(site, "kept", 90) as proxy,
         bare_proxy(site, "new", 91) as proxy_new,
     ):
-        ways = {
-            "direct": site.endpoint(site.spec.hosts[0]),
+        addresses_by_variant = {
+            "direct": site.endpoint_address(site.spec.hosts[0]),
             "bare": proxy,
             "bare_new": proxy_new,
-            "gateway": site.caller(site.gateways[0]),
+            "gateway": site.caller_address(site.gateways[0]),
         }
         for method, callers in CASES:
             if arguments.method not in (None, method):
                 continue
-            measure(ways, method, callers, arguments.seconds, arguments.rounds)
+            measure(addresses_by_variant, method, callers, arguments.seconds, arguments.rounds)
 
 
 @contextlib.contextmanager
@@ -62,23 +62,25 @@
         (folder / "entitlements.json").write_text(json.dumps(entitlements))
         site.ctl("config", "apply", str(folder), "--no-wait")
         site.wait_ready()
-        site.wait(lambda: all(ran(site, host) for host in hosts), "all hosts to serve")
+        site.wait_until(
+            lambda: all(has_run_job(site, host) for host in hosts), "all hosts to serve"
+        )
         yield site
 
 
-def ran(site: Site, host: HostSpec) -> bool:
-    """Send a job, and return whether ``host`` has run one."""
+def has_run_job(site: Site, host: HostSpec) -> bool:
+    """Send a job, and return whether ``host`` has run any job so far."""
     headers = dict(pair.split("=", 1) for pair in HEADERS)
-    url = f"http://{site.caller(site.gateways[0])}/{SERVICE}/x"
+    url = f"http://{site.caller_address(site.gateways[0])}/{SERVICE}/x"
     site.http.request("GET", url, headers=headers, timeout=15.0)
-    return bool(site.record(host))
+    return bool(site.runs_of(host))
 
 
 @contextlib.contextmanager
 def bare_proxy(site: Site, connections: str, number: int) -> Iterator[str]:
     """Yield the address of a bare proxy to the site's endpoints."""
     address = site.address(1, number, 8080)
-    endpoints = [site.endpoint(host) for host in site.spec.hosts]
+    endpoints = [site.endpoint_address(host) for host in site.spec.hosts]
     process = subprocess.Popen(
         [sys.executable, "-m", "bench._bare_proxy", address, connections, *endpoints]
     )
@@ -90,34 +92,41 @@
         process.wait()
 
 
-def measure(ways: dict[str, str], method: str, callers: int, seconds: float, rounds: int) -> None:
-    """Measure each way in turn and print rates, ratio and added latency."""
-    seen_by_way: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
+def measure(
+    addresses_by_variant: dict[str, str], method: str, callers: int, seconds: float, rounds: int
+) -> None:
+    """Measure each variant in turn and print rates, ratios and added latencies."""
+    results_by_variant: dict[str, list[dict[str, float]]] = {
+        variant: [] for variant in addresses_by_variant
+    }
     for _ in range(rounds):
-        for way, address in ways.items():
-            seen_by_way[way].append(drive(address, method, callers, seconds, HEADERS))
-    middle = {
-        way: {name: statistics.median(seen[name] for seen in many) for name in many[0]}
-        for way, many in seen_by_way.items()
+        for variant, address in addresses_by_variant.items():
+            results_by_variant[variant].append(drive(address, method, callers, seconds, HEADERS))
+    medians = {
+        variant: {
+            name: statistics.median(results[name] for results in rounds_of_variant)
+            for name in rounds_of_variant[0]
+        }
+        for variant, rounds_of_variant in results_by_variant.items()
     }
     case = {"method": method, "callers": callers}
-    for way, seen in middle.items():
-        figure("gateway", f"rate_{way}", round(seen["rate"]), "1/s", **case)
-        if seen["failed"]:
-            figure("gateway", f"failed_{way}", seen["failed"], "requests", **case)
+    for variant, results in medians.items():
+        figure("gateway", f"rate_{variant}", round(results["rate"]), "1/s", **case)
+        if results["failed"]:
+            figure("gateway", f"failed_{variant}", results["failed"], "requests", **case)
     for base in ("bare", "bare_new"):
-        ratio = middle["gateway"]["rate"] / middle[base]["rate"]
+        ratio = medians["gateway"]["rate"] / medians[base]["rate"]
         figure("gateway", f"rate_ratio_to_{base}", round(ratio, 3), "1", **case)
     for name in ("p50_ms", "p99_ms"):
         for base in ("direct", "bare"):
-            added = middle["gateway"][name] - middle[base][name]
+            added = medians["gateway"][name] - medians[base][name]
             figure("gateway", f"added_{name}_over_{base}", round(added, 2), "ms", **case)
 
 
 def drive(
     address: str, method: str, callers: int, seconds: float, headers: tuple[str, ...]
 ) -> dict[str, float]:
-    """Run the driver once and return what it saw."""
+    """Run the load generator once and return its results."""
     done = subprocess.run(
         [
             sys.executable,
@@ -135,8 +144,8 @@
         check=True,
         timeout=seconds + 60,
     )
-    seen: dict[str, float] = json.loads(done.stdout)
-    return seen
+    results: dict[str, float] = json.loads(done.stdout)
+    return results
 
 
 if __name__ == "__main__":
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -1,8 +1,8 @@
-"""Every entry host replaced in turn, under callers: what they see, and how long it takes.
+"""Replacement of every entry host in turn under load: answers of callers and duration.
 
 Run as ``python -m bench.rolling``. Real processes on loopback: 3 zones of 2 entry hosts, 30 hosts.
-Callers choose among the gateways that said ready at the balancer's last probe. One round drains
-each process before it is replaced; another kills it.
+Callers choose among the gateways that were ready at the last probe of the load balancer. One
+round drains each process before it is replaced; another kills it.
 """
 
 import random
@@ -21,14 +21,14 @@
 __all__ = ["main"]
 
 CALLERS = 12
-PROBE_S = 0.5
-RUN_S = "0.05"
-PAUSE_S = 1.0
+PROBE_INTERVAL_S = 0.5
+JOB_RUN_S = "0.05"
+PAUSE_BETWEEN_HOSTS_S = 1.0
 ANSWER_TIMEOUT_S = 30.0
 
 
 class Balancer:
-    """Probes ``/readyz`` as the platform's balancer does."""
+    """Probes ``/readyz`` like the platform's load balancer."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -38,33 +38,33 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Probe once, then every ``PROBE_S`` seconds."""
+        """Probe once, then every ``PROBE_INTERVAL_S`` seconds."""
         self.probe()
         self._thread.start()
 
     def close(self) -> None:
-        """End the probes."""
+        """Stop probing."""
         self._stopping.set()
         self._thread.join()
 
     def probe(self) -> None:
-        """Ask each gateway whether it is ready."""
+        """Probe every gateway once."""
         self.ready = [name for name in self.site.gateways if self._is_ready(name)]
 
     def _is_ready(self, name: str) -> bool:
         try:
-            url = f"http://{self.site.caller(name)}/readyz"
+            url = f"http://{self.site.caller_address(name)}/readyz"
             return self.http.request("GET", url, timeout=1.0).status == 200
         except urllib3.exceptions.HTTPError:
             return False
 
     def _run(self) -> None:
-        while not self._stopping.wait(PROBE_S):
+        while not self._stopping.wait(PROBE_INTERVAL_S):
             self.probe()
 
 
 class Callers:
-    """Send short jobs that must not run twice, one after the other, and count the answers."""
+    """Callers that send short non-idempotent jobs one after the other and count the answers."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
@@ -76,7 +76,7 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         for thread in self._threads:
             thread.start()
 
@@ -87,21 +87,21 @@
             thread.join()
 
     def _run(self, number: int) -> None:
-        chance = random.Random(number)
+        rng = random.Random(number)
         while not self._stopping.is_set():
-            outcome = self._one(chance)
+            outcome = self._send_one(rng)
             with self._lock:
                 self.counts[outcome] += 1
 
-    def _one(self, chance: random.Random) -> str:
-        name = chance.choice(self.balancer.ready)
-        service = chance.choice(BRAILLE_SERVICES)
+    def _send_one(self, rng: random.Random) -> str:
+        name = rng.choice(self.balancer.ready)
+        service = rng.choice(BRAILLE_SERVICES)
         try:
             answer = self.balancer.http.request(
                 "POST",
-                f"http://{self.balancer.site.caller(name)}/{service}/emboss",
+                f"http://{self.balancer.site.caller_address(name)}/{service}/emboss",
                 body=b"page",
-                headers={"Authorization": f"Bearer {token(service)}", "Standin-Run-S": RUN_S},
+                headers={"Authorization": f"Bearer {token(service)}", "Standin-Run-S": JOB_RUN_S},
                 timeout=ANSWER_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError as error:
@@ -121,7 +121,7 @@
         replace_all(site, "killed", site.kill)
 
 
-def replace_all(site: Site, how: str, end: Callable[[str], object]) -> None:
+def replace_all(site: Site, method: str, end: Callable[[str], object]) -> None:
     """Replace every entry host's processes, one entry host after the other."""
     balancer = Balancer(site)
     balancer.start()
@@ -132,15 +132,17 @@
         for name in (gateway, gateway.replace("gw", "ct")):
             end(name)
             site.start(name)
-        site.wait_answer(site.caller(gateway), "/readyz")
-        time.sleep(PAUSE_S)
+        site.wait_answer(site.caller_address(gateway), "/readyz")
+        time.sleep(PAUSE_BETWEEN_HOSTS_S)
     elapsed_s = time.monotonic() - began
     callers.close()
     balancer.close()
-    figure("rolling", "seconds", round(elapsed_s, 1), "s", how=how, entry_hosts=len(site.gateways))
+    figure(
+        "rolling", "seconds", round(elapsed_s, 1), "s", how=method, entry_hosts=len(site.gateways)
+    )
     total = sum(callers.counts.values())
     for outcome, count in sorted(callers.counts.items()):
-        figure("rolling", outcome, count, "answers", how=how, of=total)
+        figure("rolling", outcome, count, "answers", how=method, of=total)
 
 
 if __name__ == "__main__":
--- a/bench/silence.py
+++ b/bench/silence.py
@@ -1,7 +1,7 @@
-"""Time until a silent connection or endpoint is given up, with the product's own bounds.
+"""Time until a silent connection or endpoint is given up, with the default timeouts.
 
-Run as ``python -m bench.silence``. A socket filter drops all packets of one connection, as if
-something between the two ends had forgotten it, while new connections work. One run of each.
+Run as ``python -m bench.silence``. A socket filter drops all packets of one connection, like a
+stateful firewall that lost its entry, while new connections work. Each case is run once.
 """
 
 import socket
@@ -15,52 +15,52 @@
 WAIT_S = 60
 
 
-class _Bench(GatewayTestCase):
-    """The tests' gateway with endpoints that follow a script; see :func:`main`."""
+class _Cases(GatewayTestCase):
+    """The gateway of the tests with scripted endpoints; started by :func:`main`."""
 
-    def runTest(self) -> None:  # noqa: N802 (the name that unittest asks for)
+    def runTest(self) -> None:  # noqa: N802 (name required by unittest)
         """Measure all cases."""
-        self.forgotten_connection()
-        self.forgotten_order()
+        self.dropped_reused_connection()
+        self.dropped_job_connection()
         self.silent_endpoint()
 
-    def forgotten_connection(self) -> None:
-        """A kept connection is forgotten; a repeatable job goes out on it."""
-        forgotten: list[socket.socket] = []
+    def dropped_reused_connection(self) -> None:
+        """Send a repeatable job on a reused connection whose packets are dropped."""
+        dropped: list[socket.socket] = []
 
         def script(sock: socket.socket, request: bytes) -> None:
             sock.sendall(ok())
-            if not forgotten:
-                forgotten.append(sock)
+            if not dropped:
+                dropped.append(sock)
                 drop_all(sock)
 
         self.an_endpoint(script)
         self.an_endpoint()
         self.a_gateway()
         self.call()
-        took_s, status = self.timed("GET")
+        took_s, status = self.timed_call("GET")
         figure("silence", "repeatable_job_on_forgotten_connection", took_s, "s", status=status)
 
-    def forgotten_order(self) -> None:
-        """An order's new connection is forgotten once the endpoint has the order."""
+    def dropped_job_connection(self) -> None:
+        """Send a job that must not be repeated; packets are dropped once the endpoint has it."""
         self.slots.addresses.clear()
         self.an_endpoint(lambda sock, request: drop_all(sock))
         self.a_gateway()
-        took_s, status = self.timed("POST")
+        took_s, status = self.timed_call("POST")
         figure("silence", "order_on_forgotten_connection", took_s, "s", status=status)
 
     def silent_endpoint(self) -> None:
-        """An endpoint accepts a repeatable job and stays silent; others answered at once."""
+        """Send a repeatable job to an endpoint that accepts it but does not answer."""
         self.slots.addresses.clear()
         endpoint = self.an_endpoint()
         self.an_endpoint()
         self.a_gateway()
         self.call()
         endpoint.script = lambda sock, request: None
-        took_s, status = self.timed("GET")
+        took_s, status = self.timed_call("GET")
         figure("silence", "repeatable_job_on_silent_endpoint", took_s, "s", status=status)
 
-    def timed(self, method: str) -> tuple[float, int]:
+    def timed_call(self, method: str) -> tuple[float, int]:
         """Send one job; return the seconds until its answer, and the status."""
         began = time.monotonic()
         connection = self.connect()
@@ -75,7 +75,7 @@
 
 def main() -> None:
     """Measure all cases and print one line per figure."""
-    result = _Bench().run()
+    result = _Cases().run()
     if result is not None and not result.wasSuccessful():
         raise SystemExit("a case could not be measured")
 
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -1,4 +1,4 @@
-"""Grants from pool schedulers, driven by the surge bench."""
+"""Grants from pool schedulers, for the surge benchmark."""
 
 import random
 import time
@@ -12,16 +12,16 @@
 from lentilrill.routing._queue import GatewayInstance
 from lentilrill.routing._scheduler import PoolScheduler, Reply
 
-__all__ = ["Granting", "Returning"]
+__all__ = ["GrantSystem", "RetryingGrantSystem"]
 
 ZONE_HOP_S = 0.0015
 TICK_S = 0.05
 LOAD_S = 0.2
-TRIES = 4
+MAX_ATTEMPTS = 4
 
 
-class Granting:
-    """Our way: a scheduler a pool and zone, which grants slots to the gateways.
+class GrantSystem:
+    """The algorithm of the program: a scheduler for each pool and zone grants slots to gateways.
 
     :param zones: zones over which each pool's hosts are spread evenly.
     """
@@ -50,11 +50,11 @@
 
     @property
     def violations(self) -> int:
-        """Invariants found broken."""
+        """Number of broken invariants."""
         return sum(scheduler.violations for scheduler in self._schedulers.values())
 
     def arrive(self, job: Job) -> None:
-        """A caller's job reaches a gateway of a random zone."""
+        """Handle the arrival of a job at a gateway of a random zone."""
         zone = self._rng.choice(self._zones)
         self._jobs[RequestId(str(job.id))] = job
         self._ask(job, zone, spillable=len(self._zones) > 1, hop_s=HOP_S)
@@ -145,26 +145,27 @@
         self._events.after(LOAD_S, self._loads)
 
 
-class Returning(Granting):
-    """Grants to callers that come back when they are refused, up to three times.
+class RetryingGrantSystem(GrantSystem):
+    """Grants to callers that retry up to three times when they are refused.
 
-    :param back_s: seconds after which they come back; ``None``: when they are told to.
+    :param retry_delay_s: seconds before a retry; ``None`` for the delay given in the refusal.
     """
 
-    def __init__(self, events: Events, back_s: float | None, seed: int) -> None:
+    def __init__(self, events: Events, retry_delay_s: float | None, seed: int) -> None:
         super().__init__(events, 1, seed)
-        self._back_s = back_s
+        self._retry_delay_s = retry_delay_s
 
     def _refused(self, job: Job, message: Refused) -> None:
-        if job.tries == TRIES:
+        if job.attempts == MAX_ATTEMPTS:
             job.refused = True
             return
-        told_s = message.retry_after_s or 0.0
+        advised_s = message.retry_after_s or 0.0
         self._events.after(
-            told_s if self._back_s is None else self._back_s, lambda: self._back(job)
+            advised_s if self._retry_delay_s is None else self._retry_delay_s,
+            lambda: self._retry(job),
         )
 
-    def _back(self, job: Job) -> None:
-        job.tries += 1
+    def _retry(self, job: Job) -> None:
+        job.attempts += 1
         job.arrived = self._events.now
         self.arrive(job)
--- a/bench/surge_load.py
+++ b/bench/surge_load.py
@@ -1,4 +1,4 @@
-"""The load of the surge bench: arrivals, run times, and a discrete-event loop."""
+"""The load of the surge benchmark: arrivals, run times, and a discrete-event loop."""
 
 import heapq
 import itertools
@@ -26,9 +26,9 @@
 SLOTS = 8
 ENDPOINT_CONNECTIONS = 64
 ROUNDS = 2
-MEAN_OF_CAPACITY = 0.6
+MEAN_LOAD_OF_CAPACITY = 0.6
 SURGE_FACTOR = 5.0
-CALM_FACTOR = 0.05
+LOW_LOAD_FACTOR = 0.05
 
 
 @dataclass(frozen=True)
@@ -57,7 +57,7 @@
 
 @dataclass
 class Job:
-    """One job and what became of it."""
+    """One job and its result."""
 
     id: int
     pool: str
@@ -68,20 +68,20 @@
     started: float = -1.0
     ended: float = -1.0
     refused: bool = False
-    tries: int = 1
-    asked_first: float = 0.0
+    attempts: int = 1
+    first_arrived: float = 0.0
 
     def __post_init__(self) -> None:
-        self.asked_first = self.arrived
+        self.first_arrived = self.arrived
 
     @property
-    def good(self) -> bool:
+    def succeeded(self) -> bool:
         """Whether it started in time and ran to its end."""
         return self.ended >= 0.0 and self.started - self.arrived <= self.kind.wait_s
 
 
 class Events:
-    """A discrete-event loop; also the clock of what it drives."""
+    """A discrete-event loop, which is also the clock of the simulated systems."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -107,7 +107,7 @@
 
 
 class Endpoint:
-    """A host's endpoint: runs ``slots`` jobs at once and queues what comes above, in order."""
+    """Endpoint of a host: runs ``slots`` jobs at once and queues further ones in order."""
 
     def __init__(self, events: Events, slots: int = SLOTS) -> None:
         self._events = events
@@ -115,7 +115,7 @@
         self._waiting: deque[tuple[Job, Callable[[], None]]] = deque()
 
     def run(self, job: Job, ended: Callable[[], None]) -> bool:
-        """Run or queue a job; ``False`` if no connection is left."""
+        """Run or queue a job; return ``False`` if no connection is left."""
         if self._free:
             self._start(job, ended)
         elif len(self._waiting) < ENDPOINT_CONNECTIONS - SLOTS:
@@ -139,9 +139,9 @@
 
 @dataclass(frozen=True)
 class Load:
-    """Each pool in turn surges, and is calm in between.
+    """Surges of each pool in turn, with low load in between.
 
-    :ivar surge_s: length of a surge.
+    :ivar surge_s: duration of a surge.
     """
 
     seed: int
@@ -149,7 +149,7 @@
 
     @property
     def end(self) -> float:
-        """When the last calm ends."""
+        """Time at which the low load after the last surge ends."""
         return self.surges(len(POOLS) - 1)[-1][1] + 2 * self.surge_s
 
     def surges(self, pool: int) -> list[tuple[float, float]]:
@@ -159,24 +159,24 @@
         return [(start, start + self.surge_s) for start in starts]
 
     def arrivals(self, slots: int, gateways: int) -> Iterator[Job]:
-        """Yield jobs in order of arrival, over as many slots a pool."""
+        """Yield jobs in order of arrival, for pools of ``slots`` slots."""
         rng = random.Random(self.seed)
-        most_per_s = SURGE_FACTOR * MEAN_OF_CAPACITY * slots / MEAN_RUN_S
-        streams = [self._stream(n, most_per_s, rng) for n in range(len(POOLS))]
+        peak_per_s = SURGE_FACTOR * MEAN_LOAD_OF_CAPACITY * slots / MEAN_RUN_S
+        streams = [self._stream(n, peak_per_s, rng) for n in range(len(POOLS))]
         ids = itertools.count()
         for when, pool in heapq.merge(*streams):
             kind = rng.choices(PLANS, [kind.share for kind in PLANS])[0]
             run_s = kind.run_s * rng.lognormvariate(-0.125, 0.5)
             yield Job(next(ids), pool, kind, run_s, when, rng.randrange(gateways))
 
-    def _stream(self, pool: int, most_per_s: float, rng: random.Random) -> list[tuple[float, str]]:
+    def _stream(self, pool: int, peak_per_s: float, rng: random.Random) -> list[tuple[float, str]]:
         found: list[tuple[float, str]] = []
         now = 0.0
         while now < self.end:
-            # Drawn at the highest rate and thinned: a calm gap never reaches into a surge.
-            now += rng.expovariate(most_per_s)
+            # Draws at the peak rate and thins out, so that a long gap never reaches into a surge.
+            now += rng.expovariate(peak_per_s)
             in_surge = any(start <= now < stop for start, stop in self.surges(pool))
-            if in_surge or rng.random() < CALM_FACTOR / SURGE_FACTOR:
+            if in_surge or rng.random() < LOW_LOAD_FACTOR / SURGE_FACTOR:
                 found.append((now, POOLS[pool]))
         return found
 
@@ -191,11 +191,11 @@
     late_by_urgency: dict[int, float] = field(default_factory=dict)
     fairness: float = 0.0
     normal_served: float = 0.0
-    normal_tries: float = 0.0
+    normal_attempts: float = 0.0
 
 
 class Outcome:
-    """All jobs of a run, and what it reports."""
+    """All jobs of a run, and its report."""
 
     def __init__(self, jobs: list[Job], load: Load, slots: int) -> None:
         self.jobs = jobs
@@ -214,7 +214,7 @@
         in_surge = [
             job
             for job in self.jobs
-            if any(p == job.pool and a <= job.asked_first < b for p, a, b in surging)
+            if any(p == job.pool and a <= job.first_arrived < b for p, a, b in surging)
         ]
         urgent = sorted(
             job.started - job.arrived
@@ -227,23 +227,23 @@
             urgent[int(0.99 * (len(urgent) - 1))] if urgent else -1.0,
             {rank: _share(jobs, lambda j: j.refused) for rank, jobs in by_urgency.items()},
             {
-                rank: _share(jobs, lambda j: not j.refused and not j.good)
+                rank: _share(jobs, lambda j: not j.refused and not j.succeeded)
                 for rank, jobs in by_urgency.items()
             },
             self._fairness(surging),
-            _share(by_urgency[1], lambda job: job.good),
-            sum(job.tries for job in by_urgency[1]) / max(1, len(by_urgency[1])),
+            _share(by_urgency[1], lambda job: job.succeeded),
+            sum(job.attempts for job in by_urgency[1]) / max(1, len(by_urgency[1])),
         )
 
     def _used_s(self, pool: str, start: float, stop: float, plan: str = "") -> float:
         return sum(
             max(0.0, min(job.ended, stop) - max(job.started, start))
             for job in self.jobs
-            if job.pool == pool and job.good and plan in ("", job.kind.plan)
+            if job.pool == pool and job.succeeded and plan in ("", job.kind.plan)
         )
 
     def _fairness(self, surging: list[tuple[str, float, float]]) -> float:
-        """Slot seconds in surges of the plan that offers half, over those of its equal."""
+        """Return slot seconds in surges of plan ``app``, with half the load, over ``orders``."""
         app_s, orders_s = (
             sum(self._used_s(*surge, plan) for surge in surging) for plan in ("app", "orders")
         )
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,7 +1,7 @@
-"""Stand-in for an endpoint: runs jobs in slots, keeps a record of them, and fails on demand.
+"""Stand-in for an endpoint: runs jobs in slots, records them, and injects faults on request.
 
 A job runs for the seconds in the header ``Standin-Run-S`` and is answered with a JSON summary of
-its body, or with as many bytes as ``Standin-Answer-Bytes`` asks. Faults are set in the process by
+its body, or with the number of bytes in ``Standin-Answer-Bytes``. Faults are set in the process by
 :meth:`EndpointStandin.set_faults` or by ``POST /standin/faults``.
 """
 
@@ -24,22 +24,22 @@
 
 SLOTS = 8
 DEFAULT_RUN_S = 0.01
-KEPT_RUNS = 200_000
-PART_BYTES = 256 * 1024
+MAX_RECORDED_RUNS = 200_000
+CHUNK_BYTES = 256 * 1024
 STATE_HEADER = "Endpoint-State"
 LEAVING = {STATE_HEADER: "leaving"}
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stand-in does wrong.
+    """Faults of the stand-in that are active.
 
-    :param fail: answers 500 at once and runs nothing.
-    :param truncate: so many next answers end in the middle.
-    :param silent: takes requests, also on open connections, runs and answers none of them.
+    :param fail: answers 500 at once, without running the job.
+    :param truncate: number of next answers that end half-way.
+    :param silent: accepts requests, also on open connections, but neither runs nor answers them.
     :param leaving: refuses new jobs with 503; those in flight finish.
-    :param slow_s: seconds by which each answer is late, after the job ran.
-    :param reset: answers each request by resetting its connection; runs nothing.
-    :param lose_answers: so many next jobs run, then their connections are cut.
+    :param slow_s: seconds by which each answer is delayed after the job ran.
+    :param reset: resets the connection of each request without running the job.
+    :param lose_answers: number of next jobs that run and whose connection is then closed.
     :param twice: sends each answer twice on its connection.
     """
 
@@ -54,12 +54,12 @@
 
 
 class Run(msgspec.Struct):
-    """One job that was run.
+    """One run of a job.
 
     :param job: header ``Standin-Job`` of the request.
     :param started: seconds since the epoch.
-    :param finished: the same; ``None`` while it runs.
-    :param whole: whether the answer was sent to its end.
+    :param finished: seconds since the epoch; ``None`` while it runs.
+    :param whole: whether the answer was sent completely.
     """
 
     job: str
@@ -73,8 +73,8 @@
 class EndpointStandin:
     """One endpoint.
 
-    :param address: ``ip:port`` to listen on; port 0 takes a free one.
-    :param threads: requests taken at once; by default twice the slots and some.
+    :param address: ``ip:port`` to listen on; port 0 selects a free one.
+    :param threads: requests handled at once; by default a few more than twice the slots.
     """
 
     def __init__(
@@ -89,18 +89,18 @@
         self.slots = slots
         self.faults = Faults()
         self.overcommitted = 0
-        self.most_running = 0
+        self.max_running = 0
         self._threads = threads or 2 * slots + 4
-        self._free = threading.Semaphore(slots)
+        self._free_slots = threading.Semaphore(slots)
         self._lock = threading.Lock()
-        self._runs: deque[Run] = deque(maxlen=KEPT_RUNS)
+        self._runs: deque[Run] = deque(maxlen=MAX_RECORDED_RUNS)
         self._numbers = itertools.count(1)
         self._running = 0
         self._closed = threading.Event()
         self._server: Server | None = None
 
     def start(self) -> None:
-        """Serve; after :meth:`close`, again and with the same record."""
+        """Start serving. May be called again after :meth:`close`; the record is kept."""
         self._closed.clear()
         self._server = Server(self.address, self._serve, self._threads)
         self.address = self._server.address
@@ -119,69 +119,69 @@
             self.faults = msgspec.convert(msgspec.to_builtins(self.faults) | changes, Faults)
 
     def record(self) -> list[Run]:
-        """Return the jobs that were begun, in order."""
+        """Return the runs in the order in which they started."""
         with self._lock:
             return [msgspec.structs.replace(run) for run in self._runs]
 
     def status(self) -> dict[str, Any]:
-        """Return counts of what was run."""
+        """Return counters of the runs."""
         return {
             "host": self.host,
             "running": self._running,
             "runs": len(self._runs),
-            "most_running": self.most_running,
+            "most_running": self.max_running,
             "overcommitted": self.overcommitted,
         }
 
     def _serve(self, call: Call, _address: str) -> None:
         if call.path.startswith("/standin/"):
-            self._control(call)
+            self._handle_control(call)
         elif self.faults.silent:
-            call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
-            call.cut()
+            call.block_while(lambda: self.faults.silent and not self._closed.is_set())
+            call.disconnect()
         elif self.faults.reset:
-            call.cut(reset=True)
+            call.disconnect(reset=True)
         elif self.faults.fail:
-            call.answer_json({"error": "this endpoint fails everything"}, 500)
+            call.answer_json({"error": "injected fault: every request fails"}, 500)
         elif self.faults.leaving:
             call.answer(503, b"", LEAVING)
         else:
-            self._take(call)
+            self._run_job(call)
 
-    def _take(self, call: Call) -> None:
+    def _run_job(self, call: Call) -> None:
         body = call.body
-        if not self._free.acquire(blocking=False):
+        if not self._free_slots.acquire(blocking=False):
             with self._lock:
                 self.overcommitted += 1
-            self._free.acquire()
-        run = self._begin(call)
+            self._free_slots.acquire()
+        run = self._record_start(call)
         try:
             self._closed.wait(float(call.header("Standin-Run-S", str(DEFAULT_RUN_S))))
         finally:
             run.finished = time.time()
             with self._lock:
                 self._running -= 1
-            self._free.release()
+            self._free_slots.release()
         self._answer(call, run, body)
 
-    def _begin(self, call: Call) -> Run:
+    def _record_start(self, call: Call) -> Run:
         with self._lock:
             run = Run(call.header("Standin-Job"), call.path, next(self._numbers), time.time())
             self._runs.append(run)
             self._running += 1
-            self.most_running = max(self.most_running, self._running)
+            self.max_running = max(self.max_running, self._running)
         return run
 
     def _answer(self, call: Call, run: Run, body: bytes) -> None:
         self._closed.wait(self.faults.slow_s)
         if self.faults.silent:
-            call.hold_while(lambda: self.faults.silent and not self._closed.is_set())
-            call.cut()
+            call.block_while(lambda: self.faults.silent and not self._closed.is_set())
+            call.disconnect()
             return
-        if self._uses_up("lose_answers"):
-            call.cut()
+        if self._consume_fault("lose_answers"):
+            call.disconnect()
             return
-        wanted = int(call.header("Standin-Answer-Bytes", "0"))
+        requested_bytes = int(call.header("Standin-Answer-Bytes", "0"))
         summary = {
             "host": self.host,
             "bytes": len(body),
@@ -189,38 +189,38 @@
             "run": run.number,
             "job": run.job,
         }
-        shown = msgspec.json.encode(summary)
-        self._send(call, run, shown, wanted or len(shown))
+        encoded = msgspec.json.encode(summary)
+        self._send(call, run, encoded, requested_bytes or len(encoded))
 
-    def _send(self, call: Call, run: Run, shown: bytes, length: int) -> None:
+    def _send(self, call: Call, run: Run, encoded: bytes, length: int) -> None:
         headers = {"Content-Length": str(length), "Content-Type": "application/json"}
         call.begin(200, headers | (LEAVING if self.faults.leaving else {}))
-        end = length // 2 if self._uses_up("truncate") else length
-        if length == len(shown):
-            call.write(shown[:end])
+        end = length // 2 if self._consume_fault("truncate") else length
+        if length == len(encoded):
+            call.write(encoded[:end])
         else:
-            _write_filler(call, end)
+            _write_padding(call, end)
         if end < length:
-            call.cut()
+            call.disconnect()
             return
         run.whole = True
         if self.faults.twice:
-            head = f"HTTP/1.1 200 Again\r\nContent-Length: {len(shown)}\r\n\r\n".encode()
-            call.write_raw(head + shown)
+            head = f"HTTP/1.1 200 Again\r\nContent-Length: {len(encoded)}\r\n\r\n".encode()
+            call.write_raw(head + encoded)
 
-    def _uses_up(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
-            left: int = getattr(self.faults, fault)
-            self.faults = msgspec.structs.replace(self.faults, **{fault: max(0, left - 1)})
-            return left > 0
+            remaining: int = getattr(self.faults, fault)
+            self.faults = msgspec.structs.replace(self.faults, **{fault: max(0, remaining - 1)})
+            return remaining > 0
 
-    def _control(self, call: Call) -> None:
-        what = (call.method, call.path)
-        if what == ("GET", "/standin/record"):
+    def _handle_control(self, call: Call) -> None:
+        request = (call.method, call.path)
+        if request == ("GET", "/standin/record"):
             call.answer_json(self.record())
-        elif what == ("GET", "/standin/status"):
+        elif request == ("GET", "/standin/status"):
             call.answer_json(self.status())
-        elif what == ("POST", "/standin/faults"):
+        elif request == ("POST", "/standin/faults"):
             try:
                 self.set_faults(**msgspec.json.decode(call.body))
                 call.answer_json(self.faults)
@@ -230,22 +230,22 @@
             call.answer_json({"error": "no such control"}, 404)
 
 
-class _Listing(msgspec.Struct, forbid_unknown_fields=True):
+class _EndpointConfig(msgspec.Struct, forbid_unknown_fields=True):
     listen: str
     host: str
     slots: int = SLOTS
 
 
-def _write_filler(call: Call, length: int) -> None:
-    part = b"lentilrill " * (PART_BYTES // 11)
-    left = length
-    while left > 0:
-        call.write(part[:left])
-        left -= min(left, len(part))
+def _write_padding(call: Call, length: int) -> None:
+    chunk = b"lentilrill " * (CHUNK_BYTES // 11)
+    remaining = length
+    while remaining > 0:
+        call.write(chunk[:remaining])
+        remaining -= min(remaining, len(chunk))
 
 
 def main() -> None:
-    """Run one endpoint, or those of a file, until SIGTERM or SIGINT."""
+    """Run one endpoint, or those listed in a file, until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--listen", metavar="IP:PORT")
     parser.add_argument("--host", default="h1")
@@ -255,10 +255,10 @@
     arguments = parser.parse_args()
     if bool(arguments.listen) == bool(arguments.many):
         parser.error("give either --listen or --many")
-    listings = [_Listing(arguments.listen or "", arguments.host, arguments.slots)]
+    configs = [_EndpointConfig(arguments.listen or "", arguments.host, arguments.slots)]
     if arguments.many:
-        listings = msgspec.json.decode(arguments.many.read_bytes(), type=list[_Listing])
-    endpoints = [EndpointStandin(i.listen, i.host, i.slots, arguments.threads) for i in listings]
+        configs = msgspec.json.decode(arguments.many.read_bytes(), type=list[_EndpointConfig])
+    endpoints = [EndpointStandin(i.listen, i.host, i.slots, arguments.threads) for i in configs]
     stopped = stop_event()
     with ThreadPoolExecutor(max_workers=16) as pool:
         list(pool.map(EndpointStandin.start, endpoints))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,9 @@
 """Stand-in for the platform: its key-value service and its host list in one process.
 
-The key-value service answers as etcd's HTTP/JSON gateway does. Faults are set in the process by
-:meth:`PlatformStandin.set_faults` or by ``POST /standin/faults``; a field that is left out stays
-as it is. Each ``--listen`` address can be cut on its own, so that a zone that has an address to
-itself can be cut off.
+The key-value service answers like etcd's HTTP/JSON gateway. Faults are set in the process by
+:meth:`PlatformStandin.set_faults` or by ``POST /standin/faults``; omitted fields keep their
+value. Each ``--listen`` address can be made unreachable on its own, so that a zone with its own
+address can be isolated from the platform.
 """
 
 import argparse
@@ -27,23 +27,23 @@
 
 THREADS = 64
 CONTROL_THREADS = 4
-PROGRESS_S = 1.0
-KEPT_LISTS = 1000
+PROGRESS_INTERVAL_S = 1.0
+MAX_HOST_LISTS = 1000
 GZIP_LEVEL = 4
-WRITES = {"/v3/kv/put", "/v3/kv/deleterange", "/v3/kv/txn"}
-WATCH = "/v3/watch"
+WRITE_PATHS = {"/v3/kv/put", "/v3/kv/deleterange", "/v3/kv/txn"}
+WATCH_PATH = "/v3/watch"
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the stand-in does wrong.
+    """Faults of the stand-in that are active.
 
-    :param down: calls and watches are cut without an answer and without effect.
-    :param slow_s: seconds by which each answer is late.
-    :param lose_answers: so many next writes take effect, then their connections are cut.
-    :param stale: reads and the host list come from the state at which this was set.
+    :param down: closes the connections of calls and watches, without an answer or an effect.
+    :param slow_s: seconds by which each answer is delayed.
+    :param lose_answers: number of next writes that take effect and whose connection is then closed.
+    :param stale: serves reads and the host list from the state at the time this was set.
     :param host_list_lag_s: age of the host list.
-    :param silent_watch: watches stay open and say nothing.
-    :param cut: listening addresses that take calls and never answer them, without effect.
+    :param silent_watch: keeps watches open without sending anything.
+    :param cut: listening addresses that accept calls but neither execute nor answer them.
     """
 
     down: bool = False
@@ -58,12 +58,12 @@
 class PlatformStandin:
     """The platform's two services.
 
-    :param addresses: ``ip:port`` to listen on; port 0 takes a free one.
-    :param control: another address for ``/standin/`` calls, which answers whatever is wrong.
-    :param threads: calls served at once by each address; a waiting watch holds one.
+    :param addresses: ``ip:port`` to listen on; port 0 selects a free one.
+    :param control: another address for ``/standin/`` calls, which answers under every fault.
+    :param threads: calls served at once by each address; an open watch occupies one.
     :param progress_s: seconds between two progress notices of an idle watch.
-    :param clock: monotonic seconds, by which leases lapse.
-    :param now: seconds since the epoch, by which the host list lags.
+    :param clock: monotonic clock in seconds, used for the expiry of leases.
+    :param now: clock in seconds since the epoch, used for the age of the host list.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         *addresses: str,
         control: str = "",
         threads: int = THREADS,
-        progress_s: float = PROGRESS_S,
+        progress_s: float = PROGRESS_INTERVAL_S,
         clock: Callable[[], float] = time.monotonic,
         now: Callable[[], float] = time.time,
     ) -> None:
@@ -81,12 +81,14 @@
         self._control_address = control
         self._threads = threads
         self._progress_s = progress_s
-        self._now = now
+        self._wall_clock = now
         self._lock = threading.Lock()
         self._calls_by_kind: Counter[str] = Counter()
         self._stale_store = self.store
         self._stale_hosts: tuple[float, tuple[HostInfo, ...]] | None = None
-        self._lists: deque[tuple[float, tuple[HostInfo, ...]]] = deque([(0.0, ())], KEPT_LISTS)
+        self._host_lists: deque[tuple[float, tuple[HostInfo, ...]]] = deque(
+            [(0.0, ())], MAX_HOST_LISTS
+        )
         self._closed = threading.Event()
         self._servers: list[Server] = []
         self.addresses = addresses or ("127.0.0.1:0",)
@@ -97,7 +99,7 @@
         return self.addresses[0]
 
     def start(self) -> None:
-        """Serve; after :meth:`close`, again and with the same state."""
+        """Start serving. May be called again after :meth:`close`; the state is kept."""
         self._closed.clear()
         self._servers = [Server(a, self._serve, self._threads) for a in self.addresses]
         self.addresses = tuple(server.address for server in self._servers)
@@ -107,7 +109,7 @@
             server.start()
 
     def close(self) -> None:
-        """Stop serving: later calls are refused a connection."""
+        """Stop serving; later connections are refused."""
         self._closed.set()
         for server in self._servers:
             server.close()
@@ -121,17 +123,17 @@
             self.faults = msgspec.convert(merged, Faults)
             if self.faults.stale and not before.stale:
                 self._stale_store = self.store.copy()
-                self._stale_hosts = self._lagging()
+                self._stale_hosts = self._lagged_hosts()
 
     def set_hosts(self, hosts: tuple[HostInfo, ...]) -> None:
         """Replace the host list."""
         with self._lock:
-            self._lists.append((self._now(), hosts))
+            self._host_lists.append((self._wall_clock(), hosts))
 
     def change_host(self, host: str, **changes: Any) -> None:
-        """Change fields of one host of the list."""
+        """Change fields of one host in the list."""
         with self._lock:
-            hosts = self._lists[-1][1]
+            hosts = self._host_lists[-1][1]
         self.set_hosts(
             tuple(
                 msgspec.convert(msgspec.to_builtins(h) | changes, HostInfo) if h.id == host else h
@@ -140,31 +142,31 @@
         )
 
     def remove_host(self, host: str) -> None:
-        """Take one host off the list."""
-        self.set_hosts(tuple(h for h in self._lists[-1][1] if h.id != host))
+        """Remove one host from the list."""
+        self.set_hosts(tuple(h for h in self._host_lists[-1][1] if h.id != host))
 
     def calls(self) -> dict[str, Any]:
-        """Return the counts of calls by kind, and the watches that wait now."""
+        """Return the number of calls by path, and the number of open watches."""
         with self._lock:
             return {"by_kind": dict(self._calls_by_kind), "watches_waiting": self.watches_waiting}
 
     def _serve(self, call: Call, address: str) -> None:
         if call.path.startswith("/standin/"):
-            self._control(call)
+            self._handle_control(call)
             return
         with self._lock:
             self._calls_by_kind[call.path] += 1
-        if self._out_of_reach(address):
-            call.hold_while(lambda: self._out_of_reach(address))
-            call.cut()
+        if self._is_unreachable(address):
+            call.block_while(lambda: self._is_unreachable(address))
+            call.disconnect()
         elif self.faults.down:
-            call.cut()
+            call.disconnect()
         else:
             self._closed.wait(self.faults.slow_s)
             self._answer(call, address)
 
     def _answer(self, call: Call, address: str) -> None:
-        if call.path == WATCH:
+        if call.path == WATCH_PATH:
             self._watch(call, address)
         elif call.path == "/hosts":
             self._answer_hosts(call)
@@ -178,23 +180,27 @@
             reads = self._stale_store if self.faults.stale else self.store
             before = self.store.revision
             request = msgspec.json.decode(call.body, type=dict)
-            answered = _etcd_http.answer(self.store, reads, call.path, request)
+            response = _etcd_http.execute(self.store, reads, call.path, request)
         except StoreError as error:
-            _refuse(call, error)
+            _answer_error(call, error)
             return
         except (msgspec.DecodeError, ValueError, KeyError) as error:
-            _refuse(call, StoreError(3, f"malformed request: {error}"))
+            _answer_error(call, StoreError(3, f"malformed request: {error}"))
             return
-        if call.path in WRITES and self.store.revision > before and self._loses_answer():
-            call.cut()
+        if (
+            call.path in WRITE_PATHS
+            and self.store.revision > before
+            and self._consume_lost_answer()
+        ):
+            call.disconnect()
             return
-        call.answer_json(answered)
+        call.answer_json(response)
 
-    def _loses_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         with self._lock:
-            left = self.faults.lose_answers
-            self.faults = msgspec.structs.replace(self.faults, lose_answers=max(0, left - 1))
-            return left > 0
+            remaining = self.faults.lose_answers
+            self.faults = msgspec.structs.replace(self.faults, lose_answers=max(0, remaining - 1))
+            return remaining > 0
 
     def _watch(self, call: Call, address: str) -> None:
         create = msgspec.json.decode(call.body, type=dict)["create_request"]
@@ -207,39 +213,39 @@
                 call,
                 create,
                 self._progress_s,
-                self._watch_ends,
-                lambda: self.faults.silent_watch or self._out_of_reach(address),
+                self._should_end_watches,
+                lambda: self.faults.silent_watch or self._is_unreachable(address),
             ).run()
         except OSError:
-            pass  # the watcher hung up
+            pass  # the client closed the connection
         finally:
             with self._lock:
                 self.watches_waiting -= 1
-        call.cut()
+        call.disconnect()
 
-    def _watch_ends(self) -> bool:
+    def _should_end_watches(self) -> bool:
         return self._closed.is_set() or self.faults.down
 
-    def _out_of_reach(self, address: str) -> bool:
+    def _is_unreachable(self, address: str) -> bool:
         return address in self.faults.cut and not self._closed.is_set()
 
-    def _lagging(self) -> tuple[float, tuple[HostInfo, ...]]:
-        at = self._now() - self.faults.host_list_lag_s
-        hosts = next((hosts for made, hosts in reversed(self._lists) if made <= at), ())
+    def _lagged_hosts(self) -> tuple[float, tuple[HostInfo, ...]]:
+        at = self._wall_clock() - self.faults.host_list_lag_s
+        hosts = next((hosts for set_at, hosts in reversed(self._host_lists) if set_at <= at), ())
         return at, hosts
 
     def _answer_hosts(self, call: Call) -> None:
         with self._lock:
             stale = self._stale_hosts if self.faults.stale else None
-            as_of, hosts = stale or self._lagging()
+            as_of, hosts = stale or self._lagged_hosts()
         body = msgspec.json.encode({"as_of": as_of, "hosts": hosts})
         headers = {"Content-Type": "application/json"}
         if "gzip" in call.header("Accept-Encoding"):
             body, headers["Content-Encoding"] = gzip.compress(body, GZIP_LEVEL), "gzip"
         call.answer(200, body, headers)
 
-    def _control(self, call: Call) -> None:
-        _, _, what, *rest = call.path.split("/")
+    def _handle_control(self, call: Call) -> None:
+        _, _, resource, *rest = call.path.split("/")
         controls: dict[tuple[str, str], Callable[[], Any]] = {
             ("POST", "faults"): lambda: self.set_faults(**msgspec.json.decode(call.body)),
             ("GET", "faults"): lambda: self.faults,
@@ -250,7 +256,7 @@
             ("PATCH", "hosts"): lambda: self.change_host(rest[0], **msgspec.json.decode(call.body)),
             ("DELETE", "hosts"): lambda: self.remove_host(rest[0]),
         }
-        control = controls.get((call.method, what))
+        control = controls.get((call.method, resource))
         if control is None:
             call.answer_json({"error": "no such control"}, 404)
             return
@@ -260,7 +266,7 @@
             call.answer_json({"error": str(error)}, 400)
 
 
-def _refuse(call: Call, error: StoreError) -> None:
+def _answer_error(call: Call, error: StoreError) -> None:
     body = {"error": error.message, "code": error.code, "message": error.message}
     call.answer_json(body, _etcd_http.HTTP_STATUS_BY_CODE.get(error.code, 500))
 
@@ -271,7 +277,7 @@
     parser.add_argument("--listen", action="append", required=True, metavar="IP:PORT")
     parser.add_argument("--control", default="", metavar="IP:PORT")
     parser.add_argument("--threads", type=int, default=THREADS)
-    parser.add_argument("--progress-s", type=float, default=PROGRESS_S)
+    parser.add_argument("--progress-s", type=float, default=PROGRESS_INTERVAL_S)
     arguments = parser.parse_args()
     standin = PlatformStandin(
         *arguments.listen,
--- a/standins/users_platform.py
+++ b/standins/users_platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the users' platform: its store, endpoints that run tasks, and the list of hosts.
 
-For tests and the demo; written after the platform's published protocol. All of it runs in threads
-of one process, and keeps a record of every run, from which a test can judge.
+For tests and bench; follows the published protocol of the platform. Everything runs in threads
+of one process, and every run is recorded so that tests can check it.
 """
 
 import base64
@@ -19,16 +19,16 @@
 __all__ = ["RunRecord", "UsersPlatform"]
 
 THREADS = 64
-LOOK_S = 0.02
-ROOM = {"cpu": 16000, "mem_mb": 32768, "gpu": 0}
+TICK_INTERVAL_S = 0.02
+ENDPOINT_CAPACITY = {"cpu": 16000, "mem_mb": 32768, "gpu": 0}
 HOST_DOWN_S = 0.5
-TICKET_S = 1.5
+TICKET_VALIDITY_S = 1.5
 
 
 class RunRecord(msgspec.Struct):
-    """One run of a task on an endpoint; ``ended`` is 0.0 while it is under way.
+    """One run of a task on an endpoint; ``ended`` is 0.0 while it runs.
 
-    :param how: how it ended, in the platform's words.
+    :param end_kind: how it ended, as a value of the platform's protocol.
     """
 
     endpoint: str
@@ -36,14 +36,14 @@
     number: int
     began: float
     ended: float = 0.0
-    how: str = ""
+    end_kind: str = ""
 
 
 class _Endpoint:
-    """One life of an endpoint; tasks take ``task_s`` seconds each.
+    """One instance of an endpoint; each task takes ``task_s`` seconds.
 
-    :param may_start: whether it may start a task on this ticket.
-    :param loses: whether the answer to what was just carried out is lost.
+    :param may_start: returns whether an endpoint may start a task with a ticket.
+    :param loses_answer: returns whether the answer to the current call is lost after its execution.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         records: list[RunRecord],
         task_s: float,
         may_start: Callable[[str, str, str], bool],
-        loses: Callable[[], bool],
+        loses_answer: Callable[[], bool],
     ) -> None:
         self.name = name
         self._may_start = may_start
-        self._loses = loses
-        self._highest_over: dict[str, int] = {}
-        self.dead = False
+        self._loses_answer = loses_answer
+        self._last_finished_run: dict[str, int] = {}
+        self.closed = False
         self._records = records
         self._task_s = task_s
         self._changed = threading.Condition()
-        self._born_ms = int(time.time() * 1000)
+        self._started_ms = int(time.time() * 1000)
         self._token = 0
         self._expires_ms = 0
         self._running: dict[tuple[str, int], RunRecord] = {}
@@ -75,33 +75,33 @@
     def close(self) -> None:
         with self._changed:
             for record in self._running.values():
-                record.ended, record.how = time.monotonic(), "gone"
+                record.ended, record.end_kind = time.monotonic(), "gone"
             self._running.clear()
-        self.dead = True
+        self.closed = True
         self._server.close()
 
     def tick(self) -> None:
-        """End what is through, or whose lease has lapsed."""
+        """End the runs that are complete or whose lease has expired."""
         with self._changed:
-            lapsed = self._clock_ms() > self._expires_ms
+            lease_expired = self._clock_ms() > self._expires_ms
             now = time.monotonic()
             for (task, number), record in list(self._running.items()):
-                if lapsed:
+                if lease_expired:
                     self._end(task, number, "lapsed")
                 elif now - record.began >= self._task_s:
                     self._end(task, number, "done")
 
     def _clock_ms(self) -> int:
-        return int(time.time() * 1000) - self._born_ms
+        return int(time.time() * 1000) - self._started_ms
 
-    def _end(self, task: str, number: int, how: str) -> None:
+    def _end(self, task: str, number: int, end_kind: str) -> None:
         record = self._running.pop((task, number), None)
         if record is None:
             return
-        record.ended, record.how = time.monotonic(), how
-        self._highest_over[task] = max(number, self._highest_over.get(task, 0))
+        record.ended, record.end_kind = time.monotonic(), end_kind
+        self._last_finished_run[task] = max(number, self._last_finished_run.get(task, 0))
         self._cursor += 1
-        self._ended.append([self._cursor, task, number, how, ""])
+        self._ended.append([self._cursor, task, number, end_kind, ""])
         self._changed.notify_all()
 
     def _serve(self, call: Call, address: str) -> None:
@@ -120,22 +120,22 @@
             if call.path == "/run-start" and not self._may_start(self.name, body["task"], ticket):
                 call.answer_json({"clock_ms": self._clock_ms(), "reason": "ticket"}, 409)
                 return
-            if call.path == "/run-start" and self._is_over(body["task"], body["run_id"]):
+            if call.path == "/run-start" and self._is_finished(body["task"], body["run_id"]):
                 call.answer_json({"clock_ms": self._clock_ms(), "reason": "old"}, 409)
                 return
-            answer = self._carry_out(call.path, body)
-        if self._loses():
-            call.cut(reset=True)
+            answer = self._execute(call.path, body)
+        if self._loses_answer():
+            call.disconnect(reset=True)
             return
-        call.answer_json({"clock_ms": self._clock_ms(), "born": self._born_ms} | answer)
+        call.answer_json({"clock_ms": self._clock_ms(), "born": self._started_ms} | answer)
 
-    def _is_over(self, task: str, number: int) -> bool:
-        """Whether this run of a task, or a later one, was stopped or has ended here."""
-        return number <= self._highest_over.get(task, 0)
+    def _is_finished(self, task: str, number: int) -> bool:
+        """Return whether this run of a task, or a later one, has ended or was stopped here."""
+        return number <= self._last_finished_run.get(task, 0)
 
-    def _carry_out(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
+    def _execute(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         if path == "/hold":
-            return self._hold(body)
+            return self._poll(body)
         key = (body["task"], body["run_id"])
         if path == "/run-start" and key not in self._running:
             record = RunRecord(self.name, *key, time.monotonic())
@@ -143,10 +143,10 @@
             self._records.append(record)
         elif path == "/run-stop":
             self._end(*key, "stopped")
-            self._highest_over[key[0]] = max(key[1], self._highest_over.get(key[0], 0))
+            self._last_finished_run[key[0]] = max(key[1], self._last_finished_run.get(key[0], 0))
         return {}
 
-    def _hold(self, body: dict[str, Any]) -> dict[str, Any]:
+    def _poll(self, body: dict[str, Any]) -> dict[str, Any]:
         self._ended = [end for end in self._ended if end[0] > body.get("ack_cursor", 0)]
         if not self._ended:
             self._changed.wait(body.get("wait_ms", 0) / 1000)
@@ -159,61 +159,60 @@
 
 
 class _Policy:
-    """The policy service: which endpoints may run a step, and the tickets for it.
+    """The policy service, which decides where a step may run and issues tickets for it.
 
-    :ivar barred: endpoints that may run nothing.
-    :ivar needed: whether endpoints ask for tickets.
+    :ivar blocked: endpoints that may not run any task.
+    :ivar tickets_required: whether endpoints require a ticket to start a task.
     """
 
     def __init__(self) -> None:
-        self.barred: set[str] = set()
-        self.needed = False
-        self._until_by_ticket: dict[str, float] = {}
+        self.blocked: set[str] = set()
+        self.tickets_required = False
+        self._expiry_by_ticket: dict[str, float] = {}
         self._count = itertools.count(1)
 
     def serve(self, call: Call) -> None:
         body = msgspec.json.decode(call.body)
-        good = []
+        allowed = []
         for endpoint in body["workers"]:
-            if endpoint not in self.barred:
+            if endpoint not in self.blocked:
                 ticket = f"{body['step']}/{endpoint}/{next(self._count)}"
-                self._until_by_ticket[ticket] = time.monotonic() + TICKET_S
-                good.append([endpoint, ticket])
-        call.answer_json({"good": good, "valid_ms": int(TICKET_S * 1000)})
+                self._expiry_by_ticket[ticket] = time.monotonic() + TICKET_VALIDITY_S
+                allowed.append([endpoint, ticket])
+        call.answer_json({"good": allowed, "valid_ms": int(TICKET_VALIDITY_S * 1000)})
 
     def may_start(self, endpoint: str, task: str, ticket: str) -> bool:
-        if not self.needed:
+        if not self.tickets_required:
             return True
         step = task.rpartition(".")[0]
-        is_meant = ticket.startswith(f"{step}/{endpoint}/")
-        return is_meant and time.monotonic() < self._until_by_ticket.get(ticket, 0.0)
+        matches = ticket.startswith(f"{step}/{endpoint}/")
+        return matches and time.monotonic() < self._expiry_by_ticket.get(ticket, 0.0)
 
 
 class UsersPlatform:
     """The whole platform: one store, hosts with an endpoint each, and orders to hosts.
 
     :param task_s: seconds that each task takes.
-    :ivar policy: which endpoints may run steps of queues that need tickets.
-    :ivar records: every run that was ever started.
-    :ivar most_down: most hosts that were down for upkeep at once.
-    :ivar lost_every: of the calls that endpoints carry out, each how manieth loses its answer; 0
-        for none.
+    :ivar policy: the policy service.
+    :ivar records: every run that was started.
+    :ivar max_down: maximum number of hosts that were down for upkeep at the same time.
+    :ivar lose_every_nth: the answer to every n-th call that endpoints execute is lost; 0 for none.
     """
 
     def __init__(self, task_s: float = 0.2) -> None:
         self.store = UsersStore()
         self.policy = _Policy()
-        self.lost_every = 0
-        self._calls = itertools.count(1)
+        self.lose_every_nth = 0
+        self._call_numbers = itertools.count(1)
         self.records: list[RunRecord] = []
-        self.most_down = 0
+        self.max_down = 0
         self._task_s = task_s
         self._lock = threading.RLock()
         self._names = itertools.count(1)
         self._hosts: dict[str, dict[str, Any]] = {}
         self._endpoints: dict[str, _Endpoint] = {}
-        self._fences: dict[str, int] = {}
-        self._ended = threading.Event()
+        self._fencing_tokens: dict[str, int] = {}
+        self._closed = threading.Event()
         self._servers = [
             Server("127.0.0.1:0", lambda call, _: self.store.serve(call), THREADS),
             Server("127.0.0.1:0", lambda call, _: self._serve_hosts(call), 8),
@@ -228,11 +227,11 @@
         self._ticker.start()
 
     def close(self) -> None:
-        """End everything."""
-        self._ended.set()
+        """Stop all threads, endpoints and servers."""
+        self._closed.set()
         self._ticker.join()
         for endpoint in list(self._endpoints.values()):
-            if not endpoint.dead:
+            if not endpoint.closed:
                 endpoint.close()
         for server in self._servers:
             server.close()
@@ -241,16 +240,17 @@
         """Add a host; in the pool ``standby`` it has no endpoint."""
         host = f"m-{next(self._names)}"
         self._hosts[host] = {"machine": host, "pool": pool, "state": "up", "zone": zone, "id": ""}
-        self._settle(host)
+        self._start_endpoint(host)
         return host
 
     def configure(self, version: int, queues: dict[str, str], *, advised: bool = False) -> None:
-        """Put a configuration in force: each queue's pool by its prefix.
+        """Write a configuration to the store.
 
-        :param advised: starts need tickets of the policy service.
+        :param queues: pool of each queue, by the path prefix of the queue.
+        :param advised: whether starts need tickets of the policy service.
         """
-        self.policy.needed = advised
-        advice = {"decide_ms": 1, "period_ms": 1, "valid_ms": int(TICKET_S * 1000)}
+        self.policy.tickets_required = advised
+        advice = {"decide_ms": 1, "period_ms": 1, "valid_ms": int(TICKET_VALIDITY_S * 1000)}
         routes = [
             {"name": f"r{prefix}", "host": "braille.example", "prefix": prefix, "service": pool}
             | {"max_attempts": 3, "stretch": 1.6, "latency_slo_ms": 600, "priority": 0}
@@ -263,35 +263,35 @@
         self.store.put("op/config", msgspec.json.encode(value))
 
     def declare_wave(self, number: int, hosts: list[str], cap: int) -> None:
-        """Ask for the upkeep of hosts."""
+        """Write a wave that requests the upkeep of hosts."""
         value = {"wave": number, "machines": hosts, "within_s": 20, "cap": cap}
         self.store.put(f"op/wave/{number}", msgspec.json.encode(value))
 
     def value(self, key: str) -> dict[str, Any] | None:
-        """Return a key's value, decoded; ``None`` if it is absent."""
+        """Return the decoded value of a key, or ``None`` if it is absent."""
         item = self.store.items.get(key)
         return msgspec.json.decode(base64.b64decode(item["value"])) if item is not None else None
 
     def hosts_of(self, pool: str) -> list[str]:
-        """Return a pool's hosts."""
+        """Return the hosts of a pool."""
         return [name for name, host in self._hosts.items() if host["pool"] == pool]
 
     def endpoint_of(self, host: str) -> str:
-        """Return the endpoint that lives on a host."""
+        """Return the name of the endpoint on a host."""
         return self._endpoints[host].name
 
     def _loses_answer(self) -> bool:
-        return bool(self.lost_every) and next(self._calls) % self.lost_every == 0
+        return bool(self.lose_every_nth) and next(self._call_numbers) % self.lose_every_nth == 0
 
     def _tick(self) -> None:
-        while not self._ended.wait(LOOK_S):
-            self.store.expire()
+        while not self._closed.wait(TICK_INTERVAL_S):
+            self.store.expire_leases()
             for endpoint in list(self._endpoints.values()):
-                if not endpoint.dead:
+                if not endpoint.closed:
                     endpoint.tick()
 
-    def _settle(self, host: str) -> None:
-        """Let a new endpoint live on a host."""
+    def _start_endpoint(self, host: str) -> None:
+        """Start a new endpoint on a host, unless the host is in the standby pool."""
         entry = self._hosts[host]
         entry["state"] = "up"
         if entry["pool"] == "standby":
@@ -303,7 +303,12 @@
         self._endpoints[host] = endpoint
         entry["id"] = name
         value = {"service": entry["pool"], "address": endpoint.address, "state": "ready"}
-        value |= {"zone": entry["zone"], "capacity": ROOM, "labels": ["a", "r1"], "machine": host}
+        value |= {
+            "zone": entry["zone"],
+            "capacity": ENDPOINT_CAPACITY,
+            "labels": ["a", "r1"],
+            "machine": host,
+        }
         self.store.put(f"servers/{name}", msgspec.json.encode(value))
 
     def _serve_hosts(self, call: Call) -> None:
@@ -315,10 +320,10 @@
         body = msgspec.json.decode(call.body)
         host, token = body["machine"], int(call.header("Fencing-Token"))
         with self._lock:
-            if token < self._fences.get(host, 0):
+            if token < self._fencing_tokens.get(host, 0):
                 call.answer_json({"reason": "fence"}, 409)
                 return
-            self._fences[host] = token
+            self._fencing_tokens[host] = token
             if self._hosts[host]["state"] != "up":
                 call.answer_json({"reason": "busy"}, 409)
                 return
@@ -330,15 +335,15 @@
         entry["state"] = "moving" if pool else "upkeep"
         entry["pool"] = pool or entry["pool"]
         down = sum(1 for other in self._hosts.values() if other["state"] == "upkeep")
-        self.most_down = max(self.most_down, down)
+        self.max_down = max(self.max_down, down)
         self.store.remove(f"servers/{entry['id']}")
         entry["id"] = ""
         endpoint = self._endpoints.pop(host, None)
-        threading.Thread(target=self._bring_back, args=(host, endpoint), daemon=True).start()
+        threading.Thread(target=self._bring_up, args=(host, endpoint), daemon=True).start()
 
-    def _bring_back(self, host: str, endpoint: _Endpoint | None) -> None:
+    def _bring_up(self, host: str, endpoint: _Endpoint | None) -> None:
         if endpoint is not None:
             endpoint.close()
-        if not self._ended.wait(HOST_DOWN_S):
+        if not self._closed.wait(HOST_DOWN_S):
             with self._lock:
-                self._settle(host)
+                self._start_endpoint(host)
--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -1,4 +1,4 @@
-"""``make matrix``: play the fault matrix on real processes and write docs/matrix.md."""
+"""``make matrix``: run the fault matrix on real processes and write docs/matrix.md."""
 
 import argparse
 import queue
@@ -13,25 +13,25 @@
 from standins.site import Site
 from tests.matrix._cells import Cell, Outcome, Verdict, all_cells, run_cell
 from tests.matrix._report import write_page
-from tests.matrix._steps import ScarredWorldError
+from tests.matrix._steps import DirtySiteError
 from tests.matrix._world import World, a_site
 
 PAGE = Path("docs/matrix.md")
 
 
-def play(
+def run_cells(
     cells: "queue.Queue[Cell]", outcomes: list[Outcome], folder: Path | None, relayed: bool
 ) -> None:
-    """Play cells on one site after another; a failed cell gets the next one a new site."""
+    """Run cells on one site after another; a new site is started after a failed cell."""
     while not cells.empty():
         with Site(a_site(relayed=relayed)) as site:
             world = World(site)
             world.bring_up()
-            _play_on(world, cells, outcomes, folder)
+            _run_on_site(world, cells, outcomes, folder)
             world.close()
 
 
-def _play_on(
+def _run_on_site(
     world: World, cells: "queue.Queue[Cell]", outcomes: list[Outcome], folder: Path | None
 ) -> None:
     while True:
@@ -41,7 +41,7 @@
             return
         try:
             outcome = run_cell(world, cell)
-        except ScarredWorldError:
+        except DirtySiteError:
             cells.put(cell)
             return
         outcomes.append(outcome)
@@ -54,18 +54,18 @@
             return
 
 
-def _play_all(
+def _run_all(
     cells: "queue.Queue[Cell]",
     outcomes: list[Outcome],
     sites: int,
     folder: Path | None,
     relayed: bool,
 ) -> None:
-    # Told to stop, the sites still have to end their processes: no cell is begun any more.
+    # On a signal, no new cell is started, so that the sites can still end their processes.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: cells.queue.clear())
     arguments = (cells, outcomes, folder, relayed)
-    threads = [threading.Thread(target=play, args=arguments) for _ in range(sites)]
+    threads = [threading.Thread(target=run_cells, args=arguments) for _ in range(sites)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -73,9 +73,9 @@
 
 
 def _merged(path: Path, outcomes: list[Outcome]) -> list[Outcome]:
-    """Put ``outcomes`` in the place of the file's, cell by cell, and return them all."""
-    held = msgspec.json.decode(path.read_bytes(), type=list[Outcome]) if path.exists() else []
-    by_cell = {(o.step, o.injection): o for o in (*held, *outcomes)}
+    """Merge ``outcomes`` into those of the file, replacing cells in both; return all of them."""
+    earlier = msgspec.json.decode(path.read_bytes(), type=list[Outcome]) if path.exists() else []
+    by_cell = {(o.step, o.injection): o for o in (*earlier, *outcomes)}
     path.write_bytes(msgspec.json.encode(list(by_cell.values())))
     return list(by_cell.values())
 
@@ -87,14 +87,16 @@
 
 
 def main() -> int:
-    """Play the cells asked for; 0 if none failed."""
+    """Run the selected cells; return 0 if none failed."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--only", default="", help="play the cells whose name contains this")
-    parser.add_argument("--sites", type=int, default=2, help="sites at the same time")
-    parser.add_argument("--page", type=Path, default=PAGE, help="page to write; - for none")
+    parser.add_argument("--only", default="", help="run the cells whose name contains this text")
+    parser.add_argument("--sites", type=int, default=2, help="number of sites to run in parallel")
+    parser.add_argument("--page", type=Path, default=PAGE, help="page to write, or - for none")
     parser.add_argument("--logs", type=Path, help="folder for the logs of failed cells")
-    parser.add_argument("--outcomes", type=Path, help="file of earlier outcomes to merge with")
-    parser.add_argument("--note", default="", help="a sentence for the page")
+    parser.add_argument(
+        "--outcomes", type=Path, help="file of earlier outcomes to merge the new ones into"
+    )
+    parser.add_argument("--note", default="", help="note to add to the page")
     arguments = parser.parse_args()
     chosen = [cell for cell in all_cells() if arguments.only in cell.name]
     cells: queue.Queue[Cell] = queue.Queue()
@@ -103,7 +105,7 @@
         for cell in chosen:
             if cell.injection.relayed is relayed:
                 cells.put(cell)
-        _play_all(cells, outcomes, arguments.sites, arguments.logs, relayed)
+        _run_all(cells, outcomes, arguments.sites, arguments.logs, relayed)
     if arguments.outcomes:
         outcomes = _merged(arguments.outcomes, outcomes)
     counts = Counter(outcome.verdict for outcome in outcomes)
--- a/tests/matrix/_cells.py
+++ b/tests/matrix/_cells.py
@@ -1,4 +1,4 @@
-"""The matrix: every step crossed with every fault, and one cell's verdict."""
+"""Cells of the matrix, each a step combined with a fault, and their verdicts."""
 
 import time
 from enum import Enum
@@ -7,8 +7,8 @@
 
 from standins.site import Site
 from tests.matrix._injections import INJECTIONS, PAIRS, Injection
-from tests.matrix._steps import NotRunError, ScarredWorldError, Step
-from tests.matrix._world import Ledger, World
+from tests.matrix._steps import DirtySiteError, NotRunError, Step
+from tests.matrix._world import Results, World
 
 __all__ = ["Cell", "Outcome", "Verdict", "all_cells", "run_cell"]
 
@@ -17,7 +17,7 @@
 
 
 class Verdict(Enum):
-    """What became of a cell."""
+    """Result of a cell."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -25,19 +25,19 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One step under one fault."""
+    """One step combined with one fault."""
 
     step: Step
     injection: Injection
 
     @property
     def name(self) -> str:
-        """Step and fault."""
+        """Names of the step and the fault."""
         return f"{self.step.name.lower()} / {self.injection.name}"
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """One cell's verdict, with the reasons of a failure."""
+    """Verdict of a cell, with the reasons for a failure."""
 
     step: str
     injection: str
@@ -48,44 +48,44 @@
 
 
 def all_cells() -> list[Cell]:
-    """Return the whole matrix."""
+    """Return all cells of the matrix."""
     return [Cell(step, injection) for step in Step for injection in INJECTIONS + PAIRS]
 
 
 def run_cell(world: World, cell: Cell) -> Outcome:
-    """Play one cell in a world that is whole, and judge it.
+    """Run one cell on a working site and return its outcome.
 
-    :raises ScarredWorldError: only in a world that has played cells before.
+    :raises DirtySiteError: only if the site has run other cells before.
     """
-    if cell.injection.why_not:
-        return _outcome(cell, Verdict.NOT_RUN, (cell.injection.why_not,))
-    world.ledger = Ledger()
+    if cell.injection.not_run_reason:
+        return _outcome(cell, Verdict.NOT_RUN, (cell.injection.not_run_reason,))
+    world.results = Results()
     began = time.monotonic()
     try:
-        cell.step.scene(world, cell.injection)
-        world.settle()
+        cell.step.run(world, cell.injection)
+        world.wait_until_recovered()
     except NotRunError as error:
         return _outcome(cell, Verdict.NOT_RUN, (str(error),))
-    except ScarredWorldError as error:
-        if world.played:
+    except DirtySiteError as error:
+        if world.cells_run:
             raise
-        world.ledger.note(False, str(error))
+        world.results.check(False, str(error))
     except Exception as error:
         reason = str(error).splitlines()[0] if str(error) else ""
-        world.ledger.note(False, f"{type(error).__name__}: {reason}")
-    world.played += 1
-    reasons = world.ledger.judge(world.runs()) + broken_invariants(world.site)
+        world.results.check(False, f"{type(error).__name__}: {reason}")
+    world.cells_run += 1
+    reasons = world.results.find_failures(world.runs()) + broken_invariants(world.site)
     return _outcome(
         cell,
         Verdict.FAILED if reasons else Verdict.PASSED,
         tuple(reasons[:MAX_REASONS]),
         time.monotonic() - began,
-        world.ledger.counts(),
+        world.results.counts(),
     )
 
 
 def broken_invariants(site: Site) -> list[str]:
-    """Return the log lines in which the program itself found an invariant broken."""
+    """Return the log lines in which the program reports a broken invariant."""
     return [
         f"{path.stem}: {line[line.index(INVARIANT) :]}"
         for path in sorted(site.folder.glob("*.log"))
--- a/tests/matrix/_world.py
+++ b/tests/matrix/_world.py
@@ -1,7 +1,7 @@
-"""A running site, its callers and operators, and what is checked of both.
+"""A running site with its callers and operators, and the checks of their answers.
 
-Everything observed goes into a :class:`Ledger`; its checks are the invariants, judged against the
-endpoints' own records.
+All answers are recorded in a :class:`Results`, which checks the invariants against the runs that
+the endpoints recorded.
 """
 
 import contextlib
@@ -23,23 +23,23 @@
 from standins.site import OPERATOR_TOKEN, HostSpec, Site, SiteSpec
 from standins.sites import lists, token
 
-__all__ = ["SERVICES", "Answer", "Job", "Ledger", "World", "a_site"]
+__all__ = ["SERVICES", "Answer", "Job", "Results", "World", "a_site"]
 
 SERVICES = ("schools", "ballots", "spare")
 WORKERS = 4
 SLOTS = 2
 WAIT_S = 10
 ANSWER_MARGIN_S = 10.0
-OPERATOR_S = 15.0
-SETTLE_S = 40.0
+OPERATOR_TIMEOUT_S = 15.0
+RECOVERY_TIMEOUT_S = 40.0
 IDEMPOTENT_PATH = "/translate"
-ONCE_PATH = "/emboss"
+NON_IDEMPOTENT_PATH = "/emboss"
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One job as its caller knows it.
+    """One job as sent by a caller.
 
-    :param name: unique; the endpoint's record has it.
+    :param name: unique name, also stored in the record of the endpoint.
     :param idempotent: whether the system may run it more than once.
     :param key: idempotency key, or empty.
     """
@@ -54,9 +54,9 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What the caller of a job got.
+    """The answer that the caller of a job received.
 
-    :param status: 0 if the exchange broke.
+    :param status: HTTP status, or 0 if the connection failed.
     :param outcome: ``outcome`` of the problem document, or empty.
     """
 
@@ -69,74 +69,82 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the caller was told success."""
+        """Whether the answer reports success."""
         return self.status == 200
 
 
-class Ledger:
-    """Answers of all callers, and the verdict on them. Safe for threads."""
+class Results:
+    """Records the answers of all callers and the failed checks. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.answers: list[Answer] = []
-        self.wrong: list[str] = []
+        self.failures: list[str] = []
 
     def add(self, answer: Answer) -> None:
-        """Keep one answer."""
+        """Record one answer."""
         with self._lock:
             self.answers.append(answer)
 
-    def note(self, holds: bool, what: str) -> None:
-        """Keep ``what`` as wrong unless it holds."""
-        if not holds:
+    def check(self, condition: bool, failure: str) -> None:
+        """Record ``failure`` unless ``condition`` is true."""
+        if not condition:
             with self._lock:
-                self.wrong.append(what)
+                self.failures.append(failure)
 
     def counts(self) -> dict[str, int]:
-        """Return how many answers there are of each status."""
+        """Return the number of answers by status."""
         return {str(k): n for k, n in sorted(Counter(a.status for a in self.answers).items())}
 
-    def judge(self, runs: list[tuple[str, dict[str, Any]]]) -> list[str]:
-        """Return everything that is wrong, given the endpoints' records."""
-        ran = Counter(run["job"] for _, run in runs)
-        wrong = list(self.wrong)
+    def find_failures(self, runs: list[tuple[str, dict[str, Any]]]) -> list[str]:
+        """Return all failures, given the runs that the endpoints recorded."""
+        run_counts = Counter(run["job"] for _, run in runs)
+        failures = list(self.failures)
         for answer in self.answers:
-            wrong += _judge(answer, ran[answer.job.name])
-        return wrong + self._judge_keyed(ran)
+            failures += _check_answer(answer, run_counts[answer.job.name])
+        return failures + self._check_keyed_jobs(run_counts)
 
-    def _judge_keyed(self, ran: Counter[str]) -> list[str]:
-        """A keyed job may be told ``not_run`` once and run at a repeat, but not never."""
-        told: dict[str, set[str]] = {}
+    def _check_keyed_jobs(self, run_counts: Counter[str]) -> list[str]:
+        """A keyed job that ran must have at least one answer other than ``not_run``."""
+        outcomes_by_job: dict[str, set[str]] = {}
         for answer in self.answers:
             if answer.job.key:
-                told.setdefault(answer.job.name, set()).add(answer.outcome)
-        only_not_run = (name for name, outcomes in told.items() if outcomes == {"not_run"})
-        return [f"{name}: only ever not_run, but it ran" for name in only_not_run if ran[name]]
+                outcomes_by_job.setdefault(answer.job.name, set()).add(answer.outcome)
+        only_not_run = (
+            name for name, outcomes in outcomes_by_job.items() if outcomes == {"not_run"}
+        )
+        return [
+            f"{name}: always answered not_run, but it ran"
+            for name in only_not_run
+            if run_counts[name]
+        ]
 
 
-def _judge(answer: Answer, ran: int) -> Iterator[str]:
+def _check_answer(answer: Answer, run_count: int) -> Iterator[str]:
     job = answer.job
-    if answer.ok and not _is_whole(answer):
-        yield f"{job.name}: 200 with another's or a broken answer ({len(answer.body)} bytes)"
-    if answer.ok and not ran:
-        yield f"{job.name}: 200, but it is in no record"
-    if answer.outcome == "not_run" and ran and not job.key:
-        yield f"{job.name}: not_run, but it ran {ran} time(s)"
-    if ran > 1 and (not job.idempotent or job.key):
-        yield f"{job.name}: must run at most once and ran {ran} times"
+    if answer.ok and not _is_complete(answer):
+        yield f"{job.name}: 200 with a wrong or incomplete answer ({len(answer.body)} bytes)"
+    if answer.ok and not run_count:
+        yield f"{job.name}: 200, but no endpoint recorded a run"
+    if answer.outcome == "not_run" and run_count and not job.key:
+        yield f"{job.name}: not_run, but it ran {run_count} time(s)"
+    if run_count > 1 and (not job.idempotent or job.key):
+        yield f"{job.name}: must run at most once and ran {run_count} times"
     if answer.ended - answer.began > WAIT_S + ANSWER_MARGIN_S:
-        yield f"{job.name}: final answer only after {answer.ended - answer.began:.1f} s"
+        yield f"{job.name}: answered only after {answer.ended - answer.began:.1f} s"
 
 
-def _is_whole(answer: Answer) -> bool:
+def _is_complete(answer: Answer) -> bool:
     job = answer.job
     if job.answer_bytes:
         return len(answer.body) == job.answer_bytes
     try:
-        told = json.loads(answer.body)
+        summary = json.loads(answer.body)
     except ValueError:
         return False
-    return told.get("sha256") == hashlib.sha256(job.body).hexdigest() and told["job"] == job.name
+    return (
+        summary.get("sha256") == hashlib.sha256(job.body).hexdigest() and summary["job"] == job.name
+    )
 
 
 def _outcome(body: bytes) -> str:
@@ -154,12 +162,12 @@
 
 
 class World:
-    """One site for many cells of the matrix: callers, operators, faults."""
+    """A site that runs many cells of the matrix, with its callers and operators."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
-        self.ledger = Ledger()
-        self.played = 0
+        self.results = Results()
+        self.cells_run = 0
         self.http = urllib3.PoolManager(num_pools=100, maxsize=64, retries=False)
         self._numbers = itertools.count(1)
         self._pool = ThreadPoolExecutor(64)
@@ -176,7 +184,7 @@
         return Job(name, service, f"page of {name}".encode(), **changes)
 
     def send(self, job: Job, gateway: str = "gw-1-1") -> Answer:
-        """Send ``job`` through ``gateway``, keep and return its answer."""
+        """Send ``job`` through ``gateway``; record and return its answer."""
         began = time.time()
         try:
             response = self._request(job, gateway, preload_content=True)
@@ -185,18 +193,18 @@
             status, body = 0, b""
         outcome = "" if status in (0, 200) else _outcome(body)
         answer = Answer(job, status, body, outcome, began, time.time())
-        self.ledger.add(answer)
+        self.results.add(answer)
         return answer
 
-    def open(self, job: Job, gateway: str) -> urllib3.BaseHTTPResponse | None:
-        """Send ``job`` and return its answer with the body unread; ``None`` if it broke."""
+    def open_answer(self, job: Job, gateway: str) -> urllib3.BaseHTTPResponse | None:
+        """Send ``job`` and return its answer with the body unread, or ``None`` on a failure."""
         try:
             return self._request(job, gateway, preload_content=False)
         except HTTPError:
             return None
 
-    def rest_of(self, response: urllib3.BaseHTTPResponse) -> bytes | None:
-        """Return the rest of an opened answer, or ``None`` if it is not whole."""
+    def read_rest(self, response: urllib3.BaseHTTPResponse) -> bytes | None:
+        """Return the rest of an opened answer, or ``None`` if it is incomplete."""
         try:
             return response.read()
         except HTTPError:
@@ -213,18 +221,18 @@
             headers["Standin-Answer-Bytes"] = str(job.answer_bytes)
         if job.key:
             headers["Idempotency-Key"] = job.key
-        path = IDEMPOTENT_PATH if job.idempotent else ONCE_PATH
+        path = IDEMPOTENT_PATH if job.idempotent else NON_IDEMPOTENT_PATH
         return self.http.request(
             "POST",
-            f"http://{self.site.caller(gateway)}/{job.service}{path}",
+            f"http://{self.site.caller_address(gateway)}/{job.service}{path}",
             body=job.body,
             headers=headers,
             timeout=WAIT_S + 2 * ANSWER_MARGIN_S,
             preload_content=preload_content,
         )
 
-    def begin(self, job: Job, gateway: str = "gw-1-1") -> "Future[Answer]":
-        """Send ``job`` on a thread of its own."""
+    def send_in_background(self, job: Job, gateway: str = "gw-1-1") -> "Future[Answer]":
+        """Send ``job`` on a separate thread."""
         return self._pool.submit(self.send, job, gateway)
 
     @contextmanager
@@ -253,19 +261,19 @@
 
     # Operators
 
-    def operate(
+    def request_as_operator(
         self,
         method: str,
         path: str,
         body: Any = None,
         controller: str = "ct-1-1",
-        timeout_s: float = OPERATOR_S,
+        timeout_s: float = OPERATOR_TIMEOUT_S,
     ) -> tuple[int, dict[str, Any]]:
-        """Ask a controller; status 0 if it gave no answer."""
+        """Send a request to a controller; the status is 0 if the connection failed."""
         try:
             answer = self.http.request(
                 method,
-                f"http://{self.site.operator(controller)}{path}",
+                f"http://{self.site.operator_address(controller)}{path}",
                 body=None if body is None else json.dumps(body).encode(),
                 headers={"Authorization": f"Bearer {OPERATOR_TOKEN}"},
                 timeout=timeout_s,
@@ -274,57 +282,63 @@
             return 0, {}
         return answer.status, json.loads(answer.data) if answer.data else {}
 
-    def apply(self, mark: float, controller: str = "ct-1-1") -> tuple[int, dict[str, Any]]:
-        """Apply the lists with the first plan's ``start_within_s`` set to ``mark``."""
+    def apply(
+        self, start_within_s: float, controller: str = "ct-1-1"
+    ) -> tuple[int, dict[str, Any]]:
+        """Apply the lists with the first plan's ``start_within_s`` set to the given value."""
         plans, entitlements = lists(SERVICES, WORKERS)
-        plans[0]["start_within_s"] = mark
-        status, config = self.operate("GET", "/v1/config", controller=controller)
+        plans[0]["start_within_s"] = start_within_s
+        status, config = self.request_as_operator("GET", "/v1/config", controller=controller)
         if status != 200:
             return status, config
         body = {"base": config["revision"], "plans": plans, "entitlements": entitlements}
-        return self.operate("PUT", "/v1/config", body, controller)
+        return self.request_as_operator("PUT", "/v1/config", body, controller)
 
-    def revision_at(self, controller: str, timeout_s: float = OPERATOR_S) -> int | None:
+    def revision_at(self, controller: str, timeout_s: float = OPERATOR_TIMEOUT_S) -> int | None:
         """Return the revision in force at a controller, or ``None`` if it does not answer."""
-        status, health = self.operate("GET", "/healthz", controller=controller, timeout_s=timeout_s)
+        status, health = self.request_as_operator(
+            "GET", "/healthz", controller=controller, timeout_s=timeout_s
+        )
         return health["document_revision"] if status == 200 else None
 
     def phases(self, controller: str = "ct-1-1") -> dict[str, tuple[str, str]]:
-        """Return pool and phase of each host as a controller sees them."""
-        status, found = self.operate("GET", "/v1/hosts", controller=controller)
+        """Return pool and phase of each host as reported by a controller."""
+        status, found = self.request_as_operator("GET", "/v1/hosts", controller=controller)
         rows = found.get("hosts", []) if status == 200 else []
         return {row["id"]: (row["pool"], row["phase"]) for row in rows}
 
-    # The whole
+    # The whole site
 
     def bring_up(self) -> None:
-        """Apply the first lists and wait until every pool serves."""
-        self.site.wait(lambda: self.apply(20.0)[0] == 200, "the first lists", SETTLE_S)
-        self.site.wait(self.is_full, "owed hosts", SETTLE_S)
+        """Apply the initial lists and wait until every pool has its hosts."""
+        self.site.wait_until(
+            lambda: self.apply(20.0)[0] == 200, "the first lists", RECOVERY_TIMEOUT_S
+        )
+        self.site.wait_until(self.has_all_hosts, "owed hosts", RECOVERY_TIMEOUT_S)
         self.site.wait_ready()
 
-    def is_full(self) -> bool:
-        """Return whether all hosts serve in some pool."""
+    def has_all_hosts(self) -> bool:
+        """Return whether the pools of both services have all their workers in service."""
         phases = self.phases()
         serving = Counter(pool for pool, phase in phases.values() if phase == "serving")
         return all(serving[s] >= WORKERS for s in SERVICES[:2])
 
-    def settle(self) -> None:
+    def wait_until_recovered(self) -> None:
         """Wait until jobs of both services run through every gateway again."""
         for gateway in self.site.gateways:
             for service in SERVICES[:2]:
-                self.site.wait(
+                self.site.wait_until(
                     lambda g=gateway, s=service: self.send(self.job(s), g).ok,  # type: ignore[misc]
                     f"{service} through {gateway} after the fault",
-                    SETTLE_S,
+                    RECOVERY_TIMEOUT_S,
                 )
 
     def runs(self) -> list[tuple[str, dict[str, Any]]]:
         """Return every run of every endpoint."""
-        return list(self.site.records())
+        return list(self.site.all_runs())
 
     def host_running(self, job: Job) -> str | None:
-        """Return the host that began ``job``."""
+        """Return the host that started ``job``, or ``None``."""
         for host, run in self.runs():
             if run["job"] == job.name:
                 return host
--- a/tests/matrix/test_fixed.py
+++ b/tests/matrix/test_fixed.py
@@ -1,4 +1,4 @@
-"""The part of the fault matrix that CI plays on real processes, the same cells each time."""
+"""The cells of the fault matrix that CI runs on real processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import closing
@@ -29,21 +29,20 @@
 
 class FixedPartTest(TestCase):
     def test_the_fixed_part_passes(self) -> None:
-        # Callers, operators and hosts meet one fault of each kind: each cell's own story is told
-        # by its step and its fault.
+        # Covers callers, operators and hosts with one fault of each kind.
         with ThreadPoolExecutor(SITES) as pool:
-            played = pool.map(_played, (FIXED[n::SITES] for n in range(SITES)))
-            outcomes = [outcome for part in played for outcome in part]
+            results = pool.map(_run_cells, (FIXED[n::SITES] for n in range(SITES)))
+            outcomes = [outcome for part in results for outcome in part]
         self.assertEqual(len(FIXED), len(outcomes))
-        self.assertEqual([], [_shown(o) for o in outcomes if o.verdict is not Verdict.PASSED])
+        self.assertEqual([], [_describe(o) for o in outcomes if o.verdict is not Verdict.PASSED])
 
 
-def _played(names: tuple[str, ...]) -> list[Outcome]:
+def _run_cells(names: tuple[str, ...]) -> list[Outcome]:
     cells = {cell.name: cell for cell in all_cells()}
     with Site(a_site()) as site, closing(World(site)) as world:
         world.bring_up()
         return [run_cell(world, cells[name]) for name in names]
 
 
-def _shown(outcome: Outcome) -> str:
+def _describe(outcome: Outcome) -> str:
     return f"{outcome.step} / {outcome.injection}: {outcome.verdict.value}: {outcome.reasons}"
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -103,8 +103,8 @@
         answer = self.answers.popleft()
         time.sleep(self.delay_s)
         if answer is None:
-            call.hold_while(lambda: not self.released.is_set())
-            call.cut()
+            call.block_while(lambda: not self.released.is_set())
+            call.disconnect()
         else:
             call.answer(*answer)
 
@@ -196,8 +196,8 @@
             call.write(part)
             time.sleep(0.2)
         if self.missing:
-            call.hold_while(lambda: not self.ended.is_set())
-            call.cut()
+            call.block_while(lambda: not self.ended.is_set())
+            call.disconnect()
 
     def test_a_page_that_keeps_arriving_is_read_to_its_end(self) -> None:
         """Guards against endless retries of a long read over a slow link."""
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -47,7 +47,7 @@
 
     def check_runs(self) -> None:
         """Check that each task completed exactly once and that its runs did not overlap."""
-        done = Counter(r.task for r in self.platform.records if r.how == "done")
+        done = Counter(r.task for r in self.platform.records if r.end_kind == "done")
         self.assertEqual({1}, set(done.values()))
         runs_by_task: dict[str, list[Any]] = {}
         for record in self.platform.records:
@@ -84,7 +84,7 @@
         """
         self.begin(task_s=0.7, advised=True)
         blocked_endpoint = self.platform.endpoint_of(self.workers[0])
-        self.platform.policy.barred.add(blocked_endpoint)
+        self.platform.policy.blocked.add(blocked_endpoint)
         for number in range(3):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         self.assertTrue(eventually(lambda: self.all_completed("front-1", 3)))
@@ -111,7 +111,7 @@
     def test_answers_that_are_lost_run_nothing_twice(self) -> None:
         """Guards against a second run, or a missing end, of a task whose answer was lost."""
         self.begin(task_s=0.3)
-        self.platform.lost_every = 4
+        self.platform.lose_every_nth = 4
         for number in range(6):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         self.assertTrue(eventually(lambda: self.all_completed("front-1", 6)))
@@ -124,7 +124,7 @@
         once, and answers of endpoints are lost meanwhile.
         """
         self.begin(task_s=0.6)
-        self.platform.lost_every = 7
+        self.platform.lose_every_nth = 7
         for number in range(6):
             self.assertEqual(200, self.site.submit("front-0", path(number), JOB))
         for _ in range(2):
@@ -178,7 +178,7 @@
         self.assertTrue(
             eventually(lambda: (self.platform.value(key) or {}).get("state") == "completed")
         )
-        self.assertEqual(1, self.platform.most_down)
+        self.assertEqual(1, self.platform.max_down)
         self.assertEqual(200, self.site.submit("front-0", path(1), JOB))
         self.assertTrue(eventually(lambda: self.site.state("front-0", path(1)) == "completed"))
 
@@ -191,7 +191,7 @@
         self.assertTrue(eventually(lambda: not self.site.is_ready("front-0")))
         self.assertEqual(503, self.site.submit("front-0", path(2), JOB))
         self.assertTrue(
-            eventually(lambda: all(run.how == "done" for run in self.platform.records[:3]))
+            eventually(lambda: all(run.end_kind == "done" for run in self.platform.records[:3]))
         )
         self.platform.store.down = False
         self.assertTrue(eventually(lambda: self.site.state("front-0", path(1)) == "completed"))
