--- a/tests/execution/test_idle.py
+++ b/tests/execution/test_idle.py
@@ -44,7 +44,8 @@
         patched = patch("lentilrill.execution._idle.log", self.record_line)
         patched.start()
         self.addCleanup(patched.stop)
-        self.began = time.monotonic()
+        # Whole seconds: (began + IDLE_AFTER_S) - began must be exactly IDLE_AFTER_S.
+        self.began = float(int(time.monotonic()))
 
     def record_line(self, event: Event, **fields: Any) -> None:
         self.assertIs(Event.TASK_IDLE, event)
