--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -46,25 +46,25 @@
     :param forecast: forecast of arriving work.
     :param now: the monotonic clock.
     """
-    rooms = [link.entry.capacity for link in links if link.entry.capacity.cpu]
-    if not rooms:
+    host_sizes = [link.entry.capacity for link in links if link.entry.capacity.cpu]
+    if not host_sizes:
         # The size of a host is unknown until the first one is present.
         waits = any(
             step.has_waiting_tasks for tracked_job, _ in jobs for step in tracked_job.ready_steps()
         )
         return PoolDemand(float(waits), float(waits))
-    host_size = max(rooms, key=lambda room: room.cpu)
+    host_size = max(host_sizes, key=lambda size: size.cpu)
     long_running_shares = NO_SHARES
     # Capacity for everything that can run in parallel: any host beyond that would be idle.
     max_parallel = NO_SHARES
     demands: list[Demand] = []
-    for tracked_job, standing in jobs:
+    for tracked_job, timing in jobs:
         if tracked_job.long_running:
-            long_running_shares = _sum(long_running_shares, _open_share(tracked_job, host_size))
+            long_running_shares = _sum(long_running_shares, _ready_share(tracked_job, host_size))
             continue
         demands += _running(tracked_job, host_size, durations, now)
-        demands += _waiting(tracked_job, standing, host_size, durations)
-        max_parallel = _sum(max_parallel, _open_share(tracked_job, host_size))
+        demands += _waiting(tracked_job, timing, host_size, durations)
+        max_parallel = _sum(max_parallel, _ready_share(tracked_job, host_size))
     served = max(long_running_shares)
     present = sum(1 for link in links if link.reachable and link.registered) - served
     due = required_hosts(demands)
@@ -73,7 +73,7 @@
         forecast_shares = _shares(forecast.resource_seconds, host_size)
         demands += _expected(forecast_shares, forecast)
         max_parallel = _sum(
-            max_parallel, _times(forecast_shares, forecast.duration_s / forecast.arrival_span_s)
+            max_parallel, _scale(forecast_shares, forecast.duration_s / forecast.arrival_span_s)
         )
     with_forecast = min(max(max_parallel), required_hosts(demands, present, LEAD_S))
     return PoolDemand(served + without_forecast, served + with_forecast, due <= present)
@@ -81,14 +81,14 @@
 
 def _expected(host_s: HostShares, forecast: WorkForecast) -> Iterable[Demand]:
     """Return the forecast work as two halves that arrive in the middle of their half spans."""
-    half = _times(host_s, 0.5)
+    half = _scale(host_s, 0.5)
     for share in (0.25, 0.75):
         yield Demand(
             half, share * forecast.arrival_span_s + max(0.0, forecast.slack_s), forecast.duration_s
         )
 
 
-def _open_share(tracked_job: TrackedJob, host_size: Resources) -> HostShares:
+def _ready_share(tracked_job: TrackedJob, host_size: Resources) -> HostShares:
     """Return the capacity that a job's ready steps use if all their tasks run at once."""
     total = NO_SHARES
     for step in tracked_job.ready_steps():
@@ -118,7 +118,7 @@
 
 
 def _waiting(
-    tracked_job: TrackedJob, standing: JobTiming, host_size: Resources, durations: Durations
+    tracked_job: TrackedJob, timing: JobTiming, host_size: Resources, durations: Durations
 ) -> Iterable[Demand]:
     """Return the demand of a job's waiting tasks."""
     host_s = NO_SHARES
@@ -130,23 +130,23 @@
                 continue
             seconds = waiting * durations.expected_ms(tracked_job.job, step.spec, step) / 1000
             host_s = _sum(host_s, _share(step.spec.reserved, host_size, seconds))
-            starts_now = starts_now or _is_open(step, steps)
+            starts_now = starts_now or _is_ready(step, steps)
     if host_s == NO_SHARES:
         return
-    slack_s = max(0.0, standing.slack_s) if standing.can_meet_deadline else OVERDUE_SLACK_S
+    slack_s = max(0.0, timing.slack_s) if timing.can_meet_deadline else OVERDUE_SLACK_S
     # On average a run in progress takes half of its duration until the next step can start.
     before_s = 0.0 if starts_now else durations.longest_ready_ms(tracked_job) / 2000
-    duration_s = max(MIN_REMAINING_S, standing.remaining_s - 2 * before_s)
+    duration_s = max(MIN_REMAINING_S, timing.remaining_s - 2 * before_s)
     yield Demand(host_s, slack_s + before_s, duration_s)
 
 
-def _is_open(step: TrackedStep, steps: list[TrackedStep]) -> bool:
+def _is_ready(step: TrackedStep, steps: list[TrackedStep]) -> bool:
     return all(not steps[index].remaining for index in step.spec.after)
 
 
-def _share(needs: Resources, host_size: Resources, times: float) -> HostShares:
+def _share(needs: Resources, host_size: Resources, factor: float) -> HostShares:
     return _shares(
-        (needs.cpu * times, needs.memory_mb * times, needs.accelerators * times), host_size
+        (needs.cpu * factor, needs.memory_mb * factor, needs.accelerators * factor), host_size
     )
 
 
@@ -164,5 +164,5 @@
     return first[0] + second[0], first[1] + second[1], first[2] + second[2]
 
 
-def _times(shares: HostShares, times: float) -> HostShares:
-    return shares[0] * times, shares[1] * times, shares[2] * times
+def _scale(shares: HostShares, factor: float) -> HostShares:
+    return shares[0] * factor, shares[1] * factor, shares[2] * factor
--- a/src/lentilrill/execution/_idle.py
+++ b/src/lentilrill/execution/_idle.py
@@ -26,7 +26,7 @@
 class RoundView(msgspec.Struct):
     """State of a planning round after placement.
 
-    :param rooms: endpoints that may get new tasks, with their remaining capacity.
+    :param capacity_by_endpoint: endpoints that may get new tasks, with their remaining capacity.
     :param blocked_before: tasks of jobs accepted before this revision are not started, since they
         may run on endpoints that have not been polled yet; 0 if there are none.
     :param unknown_tasks: tasks of unknown runs.
@@ -34,7 +34,7 @@
 
     now: float
     links: Mapping[EndpointId, EndpointLink]
-    rooms: Mapping[EndpointId, EndpointCapacity]
+    capacity_by_endpoint: Mapping[EndpointId, EndpointCapacity]
     blocked_before: int
     unknown_tasks: set[TaskId]
 
@@ -64,18 +64,18 @@
         ]
         before = self._since_by_task
         self._since_by_task = {task.id: before.get(task.id, view.now) for task in idle}
-        long = [t for t in idle if view.now - self._since_by_task[t.id] >= IDLE_AFTER_S]
-        if not long or view.now - self._reported_at < REPORT_INTERVAL_S:
+        idle_long = [t for t in idle if view.now - self._since_by_task[t.id] >= IDLE_AFTER_S]
+        if not idle_long or view.now - self._reported_at < REPORT_INTERVAL_S:
             return
         self._reported_at = view.now
-        task = min(long, key=lambda t: self._since_by_task[t.id])
+        task = min(idle_long, key=lambda t: self._since_by_task[t.id])
         log(
             Event.TASK_IDLE,
             job=task.id.job,
             task=task.id,
             shard=self._pool,
             idle_s=round(view.now - self._since_by_task[task.id], 1),
-            tasks=len(long),
+            tasks=len(idle_long),
             **_idle_reason(task, view),
         )
 
@@ -86,7 +86,7 @@
         for step in tracked_job.ready_steps()
         if step.spec.lasting
         for task in step.tasks
-        if not any(run.phase is RunPhase.UNDER_WAY for run in task.runs)
+        if not any(run.phase is RunPhase.IN_PROGRESS for run in task.runs)
     ]
 
 
@@ -125,24 +125,28 @@
 def _capacity_reason(task: TrackedTask, view: RoundView) -> dict[str, object]:
     spec = task.step.spec
     fitting = [
-        room
-        for room in view.rooms.values()
-        if spec.reserved.fits(room.free) and (not spec.label or spec.label in room.labels)
+        capacity
+        for capacity in view.capacity_by_endpoint.values()
+        if spec.reserved.fits(capacity.free) and (not spec.label or spec.label in capacity.labels)
     ]
-    taken = Counter(run.endpoint for other in task.step.tasks for run in other.runs)
+    run_counts = Counter(run.endpoint for other in task.step.tasks for run in other.runs)
     limit = spec.most_per_endpoint
-    spread = [room for room in fitting if not limit or taken[room.id] < limit]
-    usable = [room for room in spread if room.id not in task.failed_on and not room.probing]
+    below_limit = [capacity for capacity in fitting if not limit or run_counts[capacity.id] < limit]
+    usable = [
+        capacity
+        for capacity in below_limit
+        if capacity.id not in task.failed_on and not capacity.probing
+    ]
     if not fitting:
         reason = "no room"
-    elif not spread:
+    elif not below_limit:
         reason = "as many of its step as may be run where it fits"
     else:
         reason = "passed over" if usable else "failed where it fits"
-    closed = Counter(blocking_reason(link, view.now) or "open" for link in view.links.values())
+    link_counts = Counter(blocking_reason(link, view.now) or "open" for link in view.links.values())
     return {
         "reason": reason,
         "fitting": len(fitting),
         "failed_on": len(task.failed_on),
-        "endpoints": ", ".join(f"{count} {what}" for what, count in sorted(closed.items())),
+        "endpoints": ", ".join(f"{count} {state}" for state, count in sorted(link_counts.items())),
     }
--- a/src/lentilrill/execution/_jobs.py
+++ b/src/lentilrill/execution/_jobs.py
@@ -228,11 +228,11 @@
     def reload_revisions(self) -> None:
         """Re-read the stored revisions after a commit that conflicted or has no known result."""
         read = self._kv.read(progress_key(self._pool, ""))
-        held = self._kv.read(self._owner_key)
-        if isinstance(read, Failure) or isinstance(held, Failure):
+        owner_record = self._kv.read(self._owner_key)
+        if isinstance(read, Failure) or isinstance(owner_record, Failure):
             log(Event.PROGRESS_NOT_STORED, pool=self._pool, reason="the records can't be read")
             return
-        tokens = [i.revision for i in held.unwrap().items if i.key == self._owner_key]
+        tokens = [i.revision for i in owner_record.unwrap().items if i.key == self._owner_key]
         if tokens != [self._token]:
             self._on_fenced("the store knows a newer owner")
             return
--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -89,9 +89,9 @@
         if not work:
             return WorkForecast()
         before = sum(a.estimate.cpu_s for a in self._arrivals) - work
-        times = LEAD_S / WINDOW_S * (SURGE_GROWTH if work > before else 1.0)
+        factor = LEAD_S / WINDOW_S * (SURGE_GROWTH if work > before else 1.0)
         resource_seconds = [
-            sum(a.estimate.resource_seconds[i] for a in last) * times for i in range(3)
+            sum(a.estimate.resource_seconds[i] for a in last) * factor for i in range(3)
         ]
         slack_s = sum(a.estimate.cpu_s * a.slack_s for a in last) / work
         duration_s = sum(a.estimate.cpu_s * a.estimate.remaining_ms for a in last) / work / 1000
--- a/src/lentilrill/execution/_planner.py
+++ b/src/lentilrill/execution/_planner.py
@@ -40,16 +40,20 @@
         self._first_number = token * 1000
         self.feasible = True
 
-    def rooms(
+    def capacity_by_endpoint(
         self, links: Iterable[EndpointLink], now: float
     ) -> dict[EndpointId, EndpointCapacity]:
         """Return the endpoints that may get new tasks, with their free capacity."""
-        return {link.entry.id: _room(link) for link in links if blocking_reason(link, now) is None}
+        return {
+            link.entry.id: _capacity_of(link)
+            for link in links
+            if blocking_reason(link, now) is None
+        }
 
     def place_tasks(
         self,
         jobs: list[tuple[TrackedJob, Queue | None]],
-        rooms: dict[EndpointId, EndpointCapacity],
+        capacity_by_endpoint: dict[EndpointId, EndpointCapacity],
         now: float,
         blocked: bool,
         taken_over_at: int,
@@ -64,27 +68,29 @@
         placed: list[tuple[EndpointId, Run]] = []
         ordered = sorted(
             jobs,
-            key=lambda pair: sort_key(self.standing(pair[0], pair[1], now), feasible=self.feasible),
+            key=lambda pair: sort_key(
+                self.job_timing(pair[0], pair[1], now), feasible=self.feasible
+            ),
         )
-        self._request_tickets(ordered, rooms)
+        self._request_tickets(ordered, capacity_by_endpoint)
         for tracked_job, queue in ordered:
             if blocked and tracked_job.revision < taken_over_at:
                 tracked_job.wait_times.switch_to(WaitCause.TAKE_OVER, now)
                 continue
             steps = tracked_job.ready_steps()
-            if any(room.free.memory_mb > 0 for room in rooms.values()):
+            if any(capacity.free.memory_mb > 0 for capacity in capacity_by_endpoint.values()):
                 for step in steps:
-                    open_rooms = rooms
+                    permitted = capacity_by_endpoint
                     if queue is not None and queue.advice is not None:
-                        open_rooms = self._with_ticket(step, rooms)
-                    placed += self._place_step(step, open_rooms, now, unknown_tasks)
+                        permitted = self._with_ticket(step, capacity_by_endpoint)
+                    placed += self._place_step(step, permitted, now, unknown_tasks)
             tracked_job.wait_times.switch_to(_wait_cause(steps), now)
         return placed
 
     def _request_tickets(
         self,
         ordered: list[tuple[TrackedJob, Queue | None]],
-        rooms: dict[EndpointId, EndpointCapacity],
+        capacity_by_endpoint: dict[EndpointId, EndpointCapacity],
     ) -> None:
         """Request tickets for steps with waiting tasks, then for the steps that follow.
 
@@ -97,8 +103,8 @@
         ]
         if not advised:
             return
-        emptiest = sorted(rooms.values(), key=lambda room: -room.free.cpu)
-        endpoints = tuple(room.id for room in emptiest)
+        emptiest = sorted(capacity_by_endpoint.values(), key=lambda capacity: -capacity.free.cpu)
+        endpoints = tuple(capacity.id for capacity in emptiest)
         first = [
             step
             for tracked_job in advised
@@ -109,18 +115,18 @@
         self._tickets.request([TicketRequest(step.id, endpoints) for step in [*first, *following]])
 
     def _with_ticket(
-        self, step: TrackedStep, rooms: dict[EndpointId, EndpointCapacity]
+        self, step: TrackedStep, capacity_by_endpoint: dict[EndpointId, EndpointCapacity]
     ) -> dict[EndpointId, EndpointCapacity]:
         return {
-            endpoint: room
-            for endpoint, room in rooms.items()
+            endpoint: capacity
+            for endpoint, capacity in capacity_by_endpoint.items()
             if self._tickets.ticket(step.id, endpoint) is not None
         }
 
     def _place_step(
         self,
         step: TrackedStep,
-        rooms: dict[EndpointId, EndpointCapacity],
+        capacity_by_endpoint: dict[EndpointId, EndpointCapacity],
         now: float,
         unknown_tasks: set[TaskId],
     ) -> list[tuple[EndpointId, Run]]:
@@ -132,39 +138,47 @@
         if not waiting:
             return []
         if step.spec.gang:
-            return self._place_gang(step, waiting, rooms)
+            return self._place_gang(step, waiting, capacity_by_endpoint)
         counts = _run_counts(step) if step.spec.most_per_endpoint else {}
         placed = []
         for task in waiting:
-            room = place(step.spec, rooms.values(), lambda e: counts.get(e, 0), task.failed_on)
-            if room is None:
+            capacity = place(
+                step.spec, capacity_by_endpoint.values(), lambda e: counts.get(e, 0), task.failed_on
+            )
+            if capacity is None:
                 break
-            room.reserve(step.spec.reserved, serves=step.spec.lasting or step.spec.filler)
-            counts[room.id] = counts.get(room.id, 0) + 1
-            placed.append((room.id, self._new_run(task, room.id, self._next_number(task))))
+            capacity.reserve(step.spec.reserved, serves=step.spec.lasting or step.spec.filler)
+            counts[capacity.id] = counts.get(capacity.id, 0) + 1
+            placed.append((capacity.id, self._new_run(task, capacity.id, self._next_number(task))))
         return placed
 
     def _place_gang(
         self,
         step: TrackedStep,
         waiting: list[TrackedTask],
-        rooms: dict[EndpointId, EndpointCapacity],
+        capacity_by_endpoint: dict[EndpointId, EndpointCapacity],
     ) -> list[tuple[EndpointId, Run]]:
         """Place all members or none: a partly placed gang would block capacity without progress."""
         if len(waiting) < len(step.tasks):
             return []
-        racks = sorted({room.rack for room in rooms.values()}) if step.spec.same_rack else []
+        racks = (
+            sorted({capacity.rack for capacity in capacity_by_endpoint.values()})
+            if step.spec.same_rack
+            else []
+        )
         for rack in [*racks, None]:
-            chosen = _gang_rooms(step, [r for r in rooms.values() if rack in (None, r.rack)])
+            chosen = _gang_capacities(
+                step, [c for c in capacity_by_endpoint.values() if rack in (None, c.rack)]
+            )
             if chosen is not None:
                 break
         if chosen is None:
             return []
         number = self._next_number(step)
         placed = []
-        for task, room in zip(waiting, chosen, strict=True):
-            room.reserve(step.spec.reserved, serves=False)
-            placed.append((room.id, self._new_run(task, room.id, number)))
+        for task, capacity in zip(waiting, chosen, strict=True):
+            capacity.reserve(step.spec.reserved, serves=False)
+            placed.append((capacity.id, self._new_run(task, capacity.id, number)))
         return placed
 
     def _next_number(self, started: TrackedTask | TrackedStep) -> int:
@@ -176,7 +190,7 @@
         task.runs.append(run)
         return run
 
-    def standing(self, tracked_job: TrackedJob, queue: Queue | None, now: float) -> JobTiming:
+    def job_timing(self, tracked_job: TrackedJob, queue: Queue | None, now: float) -> JobTiming:
         """Return the values by which a job is ordered among others."""
         estimate = self._durations.estimate_work(tracked_job)
         stretch = queue.stretch if queue is not None else 1.0
@@ -199,7 +213,7 @@
         orders = []
         for run in link.runs_by_key.values():
             if (
-                run.phase is not RunPhase.UNDER_WAY
+                run.phase is not RunPhase.IN_PROGRESS
                 or run.percent >= FULL_PACE_PERCENT
                 or not run.pace
             ):
@@ -230,13 +244,13 @@
         shares = [
             run.load / run.task.step.spec.target_ms
             for run in link.runs_by_key.values()
-            if run.task.step.spec.target_ms and run.phase is RunPhase.UNDER_WAY
+            if run.task.step.spec.target_ms and run.phase is RunPhase.IN_PROGRESS
         ]
         link.paced_at = now
         link.pace = next_pace(link.pace, max(shares, default=0.0))
         orders = []
         for run in fillers:
-            if run.phase is RunPhase.UNDER_WAY and run.pace != link.pace:
+            if run.phase is RunPhase.IN_PROGRESS and run.pace != link.pace:
                 run.pace = link.pace
                 orders.append(Order.for_run(OrderKind.PACE, run, link.pace))
         return orders
@@ -263,14 +277,14 @@
 def _wait_cause(steps: list[TrackedStep]) -> WaitCause:
     """Return the wait cause of a job with these ready steps after placement."""
     if any(step.has_waiting_tasks for step in steps):
-        return WaitCause.ROOM
+        return WaitCause.CAPACITY
     runs = (run for step in steps for task in step.tasks for run in task.runs)
     if any(run.is_unconfirmed and run.phase is RunPhase.ORDERED for run in runs):
         return WaitCause.ORDER
     return WaitCause.WORK
 
 
-def _room(link: EndpointLink) -> EndpointCapacity:
+def _capacity_of(link: EndpointLink) -> EndpointCapacity:
     free = link.entry.capacity
     serving = 0
     for run in link.runs_by_key.values():
@@ -295,20 +309,28 @@
     return counts
 
 
-def _gang_rooms(step: TrackedStep, rooms: list[EndpointCapacity]) -> list[EndpointCapacity] | None:
+def _gang_capacities(
+    step: TrackedStep, capacities: list[EndpointCapacity]
+) -> list[EndpointCapacity] | None:
     trial = {
-        room.id: EndpointCapacity(
-            room.id, room.rack, room.labels, room.free, room.runs, room.serving, room.probing
+        capacity.id: EndpointCapacity(
+            capacity.id,
+            capacity.rack,
+            capacity.labels,
+            capacity.free,
+            capacity.runs,
+            capacity.serving,
+            capacity.probing,
         )
-        for room in rooms
+        for capacity in capacities
     }
     counts: dict[EndpointId, int] = {}
     chosen = []
     for _ in step.tasks:
-        room = place(step.spec, trial.values(), lambda e: counts.get(e, 0), set())
-        if room is None:
+        capacity = place(step.spec, trial.values(), lambda e: counts.get(e, 0), set())
+        if capacity is None:
             return None
-        room.reserve(step.spec.reserved, serves=False)
-        counts[room.id] = counts.get(room.id, 0) + 1
-        chosen.append(next(r for r in rooms if r.id == room.id))
+        capacity.reserve(step.spec.reserved, serves=False)
+        counts[capacity.id] = counts.get(capacity.id, 0) + 1
+        chosen.append(next(c for c in capacities if c.id == capacity.id))
     return chosen
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -182,7 +182,7 @@
                 self._writer.schedule(urgent=False)
             elif not tracked_job.long_running:
                 now = time.monotonic()
-                slack_s = self._planner.standing(
+                slack_s = self._planner.job_timing(
                     tracked_job, self._queue_of(tracked_job), now
                 ).slack_s
                 self._offered.record_arrival(
@@ -202,7 +202,10 @@
             now = time.monotonic()
             links = list(self._links.by_id.values())
             jobs = [
-                (tracked_job, self._planner.standing(tracked_job, self._queue_of(tracked_job), now))
+                (
+                    tracked_job,
+                    self._planner.job_timing(tracked_job, self._queue_of(tracked_job), now),
+                )
                 for tracked_job in self._jobs.live_by_id.values()
             ]
             demand = demand_of(jobs, links, self._durations, self._offered.forecast(now), now)
@@ -325,11 +328,15 @@
                     continue
                 jobs.append((tracked_job, self._queue_of(tracked_job)))
             blocked = self._links.is_blocked
-            rooms = self._planner.rooms(self._links.by_id.values(), now)
+            capacity_by_endpoint = self._planner.capacity_by_endpoint(
+                self._links.by_id.values(), now
+            )
             unknown_tasks = {
                 key[0] for link in self._links.by_id.values() for key in link.unknown_since_by_key
             }
-            placed = self._planner.place_tasks(jobs, rooms, now, blocked, self.token, unknown_tasks)
+            placed = self._planner.place_tasks(
+                jobs, capacity_by_endpoint, now, blocked, self.token, unknown_tasks
+            )
             for endpoint, run in placed:
                 link = self._links.by_id[endpoint]
                 link.runs_by_key[run.key] = run
@@ -337,7 +344,7 @@
             view = RoundView(
                 now,
                 self._links.by_id,
-                rooms,
+                capacity_by_endpoint,
                 self.token if blocked else 0,
                 unknown_tasks,
             )
--- a/src/lentilrill/execution/_pressure.py
+++ b/src/lentilrill/execution/_pressure.py
@@ -34,12 +34,12 @@
 def backlog_of(jobs: Iterable[tuple[TrackedJob, JobTiming]]) -> Backlog:
     """Return the unfinished work of jobs that are not final."""
     backlog = Backlog({}, set())
-    for tracked_job, standing in jobs:
+    for tracked_job, timing in jobs:
         queue = tracked_job.job.queue
         if tracked_job.state is JobState.QUEUED and not tracked_job.job.occurrences:
             backlog.waiting_by_queue[queue] = backlog.waiting_by_queue.get(queue, 0) + 1
-        work = 0.0 if tracked_job.long_running else standing.remaining_work
-        if standing.can_meet_deadline:
+        work = 0.0 if tracked_job.long_running else timing.remaining_work
+        if timing.can_meet_deadline:
             backlog.work += work
         else:
             backlog.overdue_jobs.add(tracked_job.job.id)
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -95,7 +95,7 @@
             run.started_at = None if run.task.checkpoint else started_at
             run.task.step.tracked_job.mark_running()
             if run.phase is RunPhase.ORDERED:
-                run.phase = RunPhase.UNDER_WAY
+                run.phase = RunPhase.IN_PROGRESS
             return None
         if verdict is Verdict.UNKNOWN or (verdict is Verdict.UNREACHABLE and run.is_unconfirmed):
             # A start is idempotent, and the answer to a resent one also covers the first one.
@@ -219,7 +219,7 @@
         if running.checkpoint:
             run.task.checkpoint = running.checkpoint
         if run.phase is RunPhase.ORDERED:
-            run.phase = RunPhase.UNDER_WAY
+            run.phase = RunPhase.IN_PROGRESS
             run.confirmed_at = run.confirmed_at or time.monotonic()
             run.progressed_at = link.reported_at
             run.task.step.tracked_job.mark_running()
@@ -258,7 +258,7 @@
         if tracked_job is None or task is None:
             return None
         run = Run(task, running.number, link.entry.id, task.step.spec.reserved)
-        run.phase = RunPhase.UNDER_WAY
+        run.phase = RunPhase.IN_PROGRESS
         run.confirmed_at = time.monotonic()
         run.progressed_at = link.reported_at
         link.runs_by_key[run.key] = run
--- a/src/lentilrill/execution/_release.py
+++ b/src/lentilrill/execution/_release.py
@@ -30,7 +30,7 @@
     orders: list[Order] = []
     reason = "tasks are finishing"
     for run in list(link.runs_by_key.values()):
-        if run.phase is not RunPhase.UNDER_WAY:
+        if run.phase is not RunPhase.IN_PROGRESS:
             continue
         spec = run.task.step.spec
         if spec.lasting:
--- a/src/lentilrill/execution/_tracking.py
+++ b/src/lentilrill/execution/_tracking.py
@@ -26,7 +26,7 @@
 
     ORDERED = "ordered"
     """Its start order is queued, in flight or unanswered; the run may be in progress."""
-    UNDER_WAY = "under-way"
+    IN_PROGRESS = "under-way"
     STOPPING = "stopping"
 
 
@@ -97,7 +97,7 @@
 
         An endpoint reports a run that is being stopped as working until it has ended.
         """
-        return self.phase is RunPhase.UNDER_WAY and self.percent >= 100
+        return self.phase is RunPhase.IN_PROGRESS and self.percent >= 100
 
 
 class TrackedTask:
@@ -299,9 +299,9 @@
         steps_by_key = {}
         for occurrence, steps in self.steps_by_occurrence.items():
             for step in steps:
-                kept = _step_progress(step)
-                if kept != StepProgress():
-                    steps_by_key[f"{occurrence}.{step.id.step}"] = kept
+                step_progress = _step_progress(step)
+                if step_progress != StepProgress():
+                    steps_by_key[f"{occurrence}.{step.id.step}"] = step_progress
         return JobProgress(self.state, 0, steps_by_key)
 
     def restore(self, progress: JobProgress, now_ms: int) -> None:
@@ -312,12 +312,12 @@
         if self.final_stored:
             return
         self.open_occurrences(now_ms)
-        for key, kept in progress.steps_by_key.items():
+        for key, step_progress in progress.steps_by_key.items():
             occurrence, _, index = key.partition(".")
             # An occurrence that has begun must survive a clock that was set back.
             while self.next_occurrence <= int(occurrence):
                 self.open_occurrences(self.job.due_ms(self.next_occurrence))
-            _restore_step(self.steps_by_occurrence[int(occurrence)][int(index)], kept)
+            _restore_step(self.steps_by_occurrence[int(occurrence)][int(index)], step_progress)
 
 
 def _step_progress(step: TrackedStep) -> StepProgress:
@@ -332,13 +332,13 @@
     )
 
 
-def _restore_step(step: TrackedStep, kept: StepProgress) -> None:
-    done = int(kept.done, 16)
+def _restore_step(step: TrackedStep, step_progress: StepProgress) -> None:
+    done = int(step_progress.done, 16)
     for index, task in enumerate(step.tasks):
         if done >> index & 1:
             step.finish(task)
-        task.failed_runs = set(kept.failed_runs_by_index.get(index, ()))
-        task.checkpoint = kept.saved_by_index.get(index, "")
+        task.failed_runs = set(step_progress.failed_runs_by_index.get(index, ()))
+        task.checkpoint = step_progress.saved_by_index.get(index, "")
 
 
 def encode_progress(progress: JobProgress) -> bytes:
--- a/src/lentilrill/execution/_wait_times.py
+++ b/src/lentilrill/execution/_wait_times.py
@@ -12,7 +12,7 @@
     """The job is accepted, but the pool has no owner or its owner has not read the job yet."""
     TAKE_OVER = "take_over"
     """Its tasks may run on endpoints that the pool's new owner has not polled yet."""
-    ROOM = "room"
+    CAPACITY = "room"
     """Some of its tasks are ready, and no endpoint has capacity for them."""
     ORDER = "order"
     """A start order got no answer; all other ready tasks run."""
--- a/tests/execution/test_idle.py
+++ b/tests/execution/test_idle.py
@@ -37,7 +37,7 @@
         self.tracked_job = TrackedJob(a_job("a", a_step(2, lasting=True)), Revision(5), 0.0)
         self.tracked_job.open_occurrences(0)
         self.task, self.other = self.tracked_job.tasks()
-        self.a_run(self.other, RunPhase.UNDER_WAY)
+        self.a_run(self.other, RunPhase.IN_PROGRESS)
         self.idle = IdleTasks(PoolId("notices"))
         self.blocked_before = 0
         self.lines: list[dict[str, Any]] = []
@@ -65,8 +65,8 @@
             link.update_clock(1_000_000, self.began)
             link.answered_at = now
         seen = {self.task.id} if unknown_tasks else set()
-        rooms = self.planner.rooms(self.links.values(), now)
-        view = RoundView(now, self.links, rooms, self.blocked_before, seen)
+        capacity_by_endpoint = self.planner.capacity_by_endpoint(self.links.values(), now)
+        view = RoundView(now, self.links, capacity_by_endpoint, self.blocked_before, seen)
         self.idle.sweep([self.tracked_job], view)
 
     def reason(self, *, unknown_tasks: bool = False) -> str:
@@ -80,7 +80,7 @@
     def test_a_task_that_starts_soon_is_not_logged(self) -> None:
         self.sweep(0.0)
         self.sweep(IDLE_AFTER_S - 0.1)
-        run = self.a_run(self.task, RunPhase.UNDER_WAY)
+        run = self.a_run(self.task, RunPhase.IN_PROGRESS)
         self.sweep(IDLE_AFTER_S + 1.0)
         self.task.runs.remove(run)
         self.sweep(IDLE_AFTER_S + 2.1)
@@ -95,7 +95,7 @@
         self.assertIn(len(self.lines), range(2, int(max_lines) + 1))
         self.assertLess(SWEEP_INTERVAL_S, REPORT_INTERVAL_S)
 
-    def test_no_room(self) -> None:
+    def test_no_capacity(self) -> None:
         for link in self.links.values():
             link.released = True
         self.assertEqual("no room", self.reason())
@@ -106,7 +106,7 @@
         self.assertEqual("failed where it fits", self.reason())
         self.assertEqual(2, self.lines[0]["failed_on"])
 
-    def test_passed_over_though_there_is_room(self) -> None:
+    def test_passed_over_despite_free_capacity(self) -> None:
         """Idleness that the placement can't explain is reported too, since it is a defect."""
         self.assertEqual("passed over", self.reason())
         self.assertEqual((2, "2 open"), (self.lines[0]["fitting"], self.lines[0]["endpoints"]))
@@ -117,7 +117,7 @@
         self.tracked_job.open_occurrences(0)
         self.task, *others = self.tracked_job.tasks()
         for other, endpoint in zip(others, ("e1", "e2", "e3"), strict=True):
-            self.a_run(other, RunPhase.UNDER_WAY).endpoint = EndpointId(endpoint)
+            self.a_run(other, RunPhase.IN_PROGRESS).endpoint = EndpointId(endpoint)
         self.assertEqual("as many of its step as may be run where it fits", self.reason())
 
     def test_an_unknown_run(self) -> None:
@@ -147,7 +147,7 @@
 
 
 class OwnerTest(TestCase):
-    def test_an_owner_logs_a_task_that_it_can_not_start(self) -> None:
+    def test_an_owner_logs_a_task_that_it_cannot_start(self) -> None:
         """End to end: an endpoint is drained, and the long-running task has no other one."""
         lines: list[dict[str, Any]] = []
         patched = patch(
--- a/tests/execution/test_late_reads.py
+++ b/tests/execution/test_late_reads.py
@@ -29,7 +29,7 @@
         run = self.run_of(self.add(a_step(1)), confirmed=False)
         self.link.update_clock(START_MS, self.now)
         self.reconciler.apply_answer(self.link, Order.for_run(OrderKind.START, run), Verdict.DONE)
-        self.assertIs(RunPhase.UNDER_WAY, run.phase)
+        self.assertIs(RunPhase.IN_PROGRESS, run.phase)
         return run
 
     def read(self, result: PollResult, delay_s: float) -> None:
@@ -45,7 +45,7 @@
         self.read(PollResult(Verdict.DONE, START_MS + after_ms, 0, (running,)), delay_s)
         return len(a_planner().stop_stuck_runs(self.link))
 
-    def test_a_run_is_not_stuck_since_a_look_at_it_is_read_late(self) -> None:
+    def test_a_run_whose_poll_is_read_late_is_not_stuck(self) -> None:
         """Guards against a slow owner that stops healthy tasks and counts endpoint failures."""
         self.assertEqual(0, self.poll_run(after_ms=10, delay_s=DELAY_S))
 
@@ -54,14 +54,14 @@
         self.assertEqual(0, self.poll_run(after_ms=10, delay_s=0.0))
         self.assertEqual(1, self.poll_run(after_ms=4000, delay_s=0.0))
 
-    def test_the_owners_lateness_is_not_its_tasks_duration(self) -> None:
+    def test_the_delay_of_an_owner_is_not_counted_as_task_duration(self) -> None:
         """Guards against a slow owner that overestimates durations and requests more hosts."""
         end = RunEnd(1, self.run_.task.id, self.run_.number, EndKind.DONE, "")
         self.read(PollResult(Verdict.DONE, START_MS + 200, 0, (), (end,)), DELAY_S)
         self.assertTrue(self.run_.task.step.completed)
         self.assertAlmostEqual(200.0, self.run_.task.step.mean_ms, delta=1.0)
 
-    def test_a_start_whose_answer_is_read_late_began_when_it_was_given(self) -> None:
+    def test_a_start_time_is_when_its_answer_was_sent_not_read(self) -> None:
         """Guards against a slow owner that underestimates durations and places too many tasks."""
         run = self.run_of(self.add(a_step(1), name="b"), confirmed=False)
         order = Order.for_run(OrderKind.START, run)
@@ -69,7 +69,7 @@
         self.reconciler.apply_answer(self.link, order, Verdict.DONE, START_MS)
         self.assertAlmostEqual(START_S, run.started_at or 0.0, delta=0.001)
 
-    def test_a_start_whose_answer_is_read_after_a_look_is_not_stuck(self) -> None:
+    def test_a_run_whose_start_answer_is_read_after_a_poll_is_not_stuck(self) -> None:
         """Guards against stopping a working task when its start's answer is read after a poll."""
         run = self.run_of(self.add(a_step(1), name="b"), confirmed=False)
         running = ReportedRun(run.task.id, run.number, "", 50, 0.0)
@@ -77,7 +77,7 @@
         order = Order.for_run(OrderKind.START, run)
         self.reconciler.apply_answer(self.link, order, Verdict.DONE, START_MS)
         a_planner().stop_stuck_runs(self.link)
-        self.assertIs(RunPhase.UNDER_WAY, run.phase)
+        self.assertIs(RunPhase.IN_PROGRESS, run.phase)
 
     def test_a_slow_clock_is_followed(self) -> None:
         """Guards against start times that are seconds too early for an endpoint's slow clock."""
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -70,7 +70,7 @@
         self.link.runs_by_key[run.key] = run
         if confirmed:
             run.confirmed_at = time.monotonic()
-            run.phase = RunPhase.UNDER_WAY
+            run.phase = RunPhase.IN_PROGRESS
         return run
 
     def poll(
@@ -80,10 +80,10 @@
         return self.reconciler.apply_poll(self.link, seen, time.monotonic())
 
     def starts(self, unknown_tasks: set | None = None) -> list:
-        rooms = a_planner().rooms([self.link], time.monotonic())
+        capacity_by_endpoint = a_planner().capacity_by_endpoint([self.link], time.monotonic())
         jobs = [(tracked_job, None) for tracked_job in self.jobs.values()]
         return a_planner().place_tasks(
-            jobs, rooms, time.monotonic(), False, 0, unknown_tasks or set()
+            jobs, capacity_by_endpoint, time.monotonic(), False, 0, unknown_tasks or set()
         )
 
 
@@ -246,12 +246,12 @@
 class CauseTest(TrackedJobCase):
     """Wait cause of a job after placement."""
 
-    def test_a_job_without_room_waits_for_room(self) -> None:
+    def test_a_job_without_capacity_waits_for_capacity(self) -> None:
         """Some tasks of the job run, and there is no capacity for the others."""
         tracked_job = self.add(a_step(6))
         self.link.registered = True
         self.assertEqual(4, len(self.starts()))
-        self.assertIs(WaitCause.ROOM, self.cause_of(tracked_job))
+        self.assertIs(WaitCause.CAPACITY, self.cause_of(tracked_job))
 
     def test_a_job_that_runs_waits_for_its_work(self) -> None:
         tracked_job = self.add(a_step(2))
@@ -266,8 +266,10 @@
 
     def test_a_job_that_a_take_over_blocks(self) -> None:
         tracked_job = self.add(a_step(1))
-        rooms = a_planner().rooms([self.link], time.monotonic())
-        a_planner().place_tasks([(tracked_job, None)], rooms, time.monotonic(), True, 9, set())
+        capacity_by_endpoint = a_planner().capacity_by_endpoint([self.link], time.monotonic())
+        a_planner().place_tasks(
+            [(tracked_job, None)], capacity_by_endpoint, time.monotonic(), True, 9, set()
+        )
         self.assertIs(WaitCause.TAKE_OVER, self.cause_of(tracked_job))
 
     def cause_of(self, tracked_job: TrackedJob) -> WaitCause:
@@ -334,9 +336,9 @@
         tracked_job = self.add(a_step(1, needs=Resources(host_size.cpu // 2, 1), estimate_ms=2000))
         run = self.run_of(tracked_job)
         run.started_at = 100.0
-        standings = [(tracked_job, a_job_timing(remaining_s=2.0, deadline_s=20.0))]
-        self.assertAlmostEqual(0.5, self.demand(standings, now=100.0), delta=0.01)
-        self.assertAlmostEqual(0.5, self.demand(standings, now=101.0), delta=0.01)
+        timings = [(tracked_job, a_job_timing(remaining_s=2.0, deadline_s=20.0))]
+        self.assertAlmostEqual(0.5, self.demand(timings, now=100.0), delta=0.01)
+        self.assertAlmostEqual(0.5, self.demand(timings, now=101.0), delta=0.01)
 
     def test_long_running_tasks_always_count(self) -> None:
         host_size = self.link.entry.capacity
@@ -356,8 +358,8 @@
         """Guards against a request for twenty hosts by an urgent job that can use only two."""
         host_size = self.link.entry.capacity
         tracked_job = self.add(a_step(2, needs=Resources(host_size.cpu, 1), estimate_ms=4000))
-        standing = a_job_timing(remaining_s=4.0, deadline_s=4.1)
-        self.assertAlmostEqual(2.0, self.demand([(tracked_job, standing)]), delta=0.01)
+        timing = a_job_timing(remaining_s=4.0, deadline_s=4.1)
+        self.assertAlmostEqual(2.0, self.demand([(tracked_job, timing)]), delta=0.01)
 
     def test_whether_the_present_hosts_are_enough(self) -> None:
         """Guards against ordering by time left in overload, which made nearly all jobs late."""
@@ -369,28 +371,28 @@
             result = demand_of(jobs, [self.link], Durations(), WorkForecast(), 0.0)
             self.assertEqual(feasible, result.feasible)
 
-    def demand(self, standings: list[tuple[TrackedJob, JobTiming]], now: float = 0.0) -> float:
-        return demand_of(standings, [self.link], Durations(), WorkForecast(), now).without_forecast
+    def demand(self, timings: list[tuple[TrackedJob, JobTiming]], now: float = 0.0) -> float:
+        return demand_of(timings, [self.link], Durations(), WorkForecast(), now).without_forecast
 
     def test_endpoints_with_only_overdue_jobs_are_listed(self) -> None:
         """Guards against overdue work on each host of a pool that keeps all hosts from others."""
         late, timely = self.add(a_step(1), name="a"), self.add(a_step(1), name="b")
         self.run_of(late)
         self.link.registered = True
-        standings = [(late, a_job_timing(age_s=60.0)), (timely, a_job_timing(age_s=0.0))]
-        result = self.pressure(standings)
+        timings = [(late, a_job_timing(age_s=60.0)), (timely, a_job_timing(age_s=0.0))]
+        result = self.pressure(timings)
         self.assertEqual((self.link.entry.id,), result.late)
         self.run_of(timely)
-        self.assertEqual((), self.pressure(standings).late)
+        self.assertEqual((), self.pressure(timings).late)
 
     def test_the_end_of_a_surge_lists_cheaply_drained_endpoints(self) -> None:
         """Guards against jobs that wait for hosts with only a task or two of another pool."""
         self.link.registered = True
         tracked_job = self.add(a_step(1))
         self.run_of(tracked_job)
-        standings = [(tracked_job, a_job_timing())]
-        self.assertEqual((self.link.entry.id,), self.pressure(standings, need=0.0).light)
-        self.assertEqual((), self.pressure(standings, need=0.2).light)
+        timings = [(tracked_job, a_job_timing())]
+        self.assertEqual((self.link.entry.id,), self.pressure(timings, need=0.0).light)
+        self.assertEqual((), self.pressure(timings, need=0.2).light)
 
     def test_endpoints_with_checkpointed_tasks_come_first(self) -> None:
         """Guards against stopping a task that loses its work instead of a checkpointed one."""
@@ -413,16 +415,16 @@
 
     def pressure(
         self,
-        standings: list[tuple[TrackedJob, JobTiming]],
+        timings: list[tuple[TrackedJob, JobTiming]],
         need: float = 0.0,
         links: list[EndpointLink] | None = None,
     ) -> PoolPressure:
-        backlog = backlog_of(standings)
+        backlog = backlog_of(timings)
         demand = PoolDemand(need, need)
         return pressure_of(PoolId("notices"), TOKEN, backlog, demand, links or [self.link], 0.0)
 
 
-class RoomTest(TrackedJobCase):
+class PlanningTest(TrackedJobCase):
     def test_an_endpoint_takes_no_more_than_its_capacity(self) -> None:
         self.add(a_step(9))
         self.assertEqual(4, len(self.starts()))
@@ -465,7 +467,7 @@
         self.link.failures = 5
         self.add(a_step(2))
         self.assertEqual(1, len(self.starts()))
-        self.assertIs(RunPhase.UNDER_WAY, lasting.phase)
+        self.assertIs(RunPhase.IN_PROGRESS, lasting.phase)
 
     def test_a_run_without_progress_is_stopped(self) -> None:
         """Guards against a job that never ends as its tasks hang on an answering endpoint."""
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -82,7 +82,7 @@
         self.assertTrue(eventually(lambda: len(self.pool.endpoints["e2"].starts) == 2))
         self.assertEqual({self.job.id}, {t.job for t, _ in self.pool.endpoints["e2"].starts})
 
-    def test_a_host_is_not_released_by_an_owner_that_has_not_looked(self) -> None:
+    def test_an_owner_releases_no_host_that_it_has_not_polled(self) -> None:
         """Guards against a job that loses two tasks at once during a wave of upkeep.
 
         The store was slow, and a new owner had claimed the pool without having loaded its runs.
@@ -124,7 +124,7 @@
         self.assertTrue(eventually(lambda: bool(states)))
         self.assertEqual(ReleaseState.WAIT, states[0])
 
-    def test_an_owner_that_has_not_loaded_tells_no_pressure(self) -> None:
+    def test_an_owner_reports_no_pressure_before_it_has_loaded(self) -> None:
         """Guards against a queue reported as empty while six jobs waited in it for five seconds.
 
         A new owner that had not loaded the former owner's records reported to all hosts that no
@@ -140,7 +140,7 @@
         assert pressure is not None
         self.assertEqual({QueueId("proofs"): 1}, pressure.waiting_by_queue)
 
-    def test_a_failure_that_is_told_again_counts_once(self) -> None:
+    def test_a_failure_that_is_reported_again_counts_once(self) -> None:
         """Guards against a job that fails although its task failed in one of two attempts.
 
         The owner stored the failure and handed the pool over before it could acknowledge the end,
@@ -166,7 +166,7 @@
         item = self.pool.kv.items_by_key.get(key)
         return item.value or b"" if item is not None else b""
 
-    def test_a_newer_owner_is_yielded_to(self) -> None:
+    def test_an_owner_stops_when_a_newer_owner_has_polled(self) -> None:
         """Guards against two owners of one pool that give orders at the same time.
 
         The former owner was suspended beyond the end of its lease. When it resumes, its next poll
--- a/tests/execution/test_wait_times.py
+++ b/tests/execution/test_wait_times.py
@@ -11,17 +11,22 @@
         """The times of four causes add up to the nine seconds that a job took."""
         waits = WaitTimes(100.0)
         for cause, now in (
-            (WaitCause.ROOM, 101.0),
+            (WaitCause.CAPACITY, 101.0),
             (WaitCause.WORK, 103.0),
             (WaitCause.WORK, 104.0),
-            (WaitCause.ROOM, 105.0),
+            (WaitCause.CAPACITY, 105.0),
             (WaitCause.WORK, 106.0),
             (WaitCause.STORE, 108.5),
         ):
             waits.switch_to(cause, now)
         spent = waits.seconds_by_cause(109.0)
         self.assertEqual(
-            {WaitCause.OWNER: 1.0, WaitCause.ROOM: 3.0, WaitCause.WORK: 4.5, WaitCause.STORE: 0.5},
+            {
+                WaitCause.OWNER: 1.0,
+                WaitCause.CAPACITY: 3.0,
+                WaitCause.WORK: 4.5,
+                WaitCause.STORE: 0.5,
+            },
             spent,
         )
 
