--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -48,7 +48,11 @@
 
 
 class EndKind(Enum):
-    """How a run ended."""
+    """How a run ended, as reported by its endpoint.
+
+    ``DONE`` completes a task that is not long-running, and ``FAILED`` uses up one of its attempts.
+    After an end of any other kind the task waits to be placed again and keeps its attempts.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -57,6 +61,7 @@
     BROKEN = "broken"
     ALONE = "alone"
     UNEXPECTED = "odd"
+    """Any kind that this enumeration does not list."""
 
 
 class StartOrder(msgspec.Struct, frozen=True):
--- a/src/lentilrill/execution/_jobs.py
+++ b/src/lentilrill/execution/_jobs.py
@@ -234,7 +234,7 @@
             return
         tokens = [i.revision for i in owner_record.unwrap().items if i.key == self._owner_key]
         if tokens != [self._token]:
-            self._on_fenced("the store knows a newer owner")
+            self._on_fenced("the store records a newer owner")
             return
         with self._lock:
             for item in read.unwrap().items:
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -156,7 +156,7 @@
         self._ended = threading.Event()
         self._woken = threading.Event()
         self._poll_thread = threading.Thread(
-            target=self._poll_loop, name=f"look-{entry.id}", daemon=True
+            target=self._poll_loop, name=f"poll-{entry.id}", daemon=True
         )
 
     def start(self) -> None:
@@ -257,7 +257,7 @@
 
     def _poll_loop(self) -> None:
         while not self._ended.is_set():
-            if not guarded(f"look {self.entry.id}", self._poll):
+            if not guarded(f"poll of {self.entry.id}", self._poll):
                 self._pause(RETRY_S)
         self._calls.close()
 
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -300,7 +300,7 @@
 
     def _refresh_links(self) -> None:
         if not self._links.refresh(self._entries(self.pool)):
-            self._on_fenced("the store knows a newer owner")
+            self._on_fenced("the store records a newer owner")
 
     def _remove_expired(self) -> None:
         self._jobs.remove_expired(int(time.time() * 1000))
--- a/src/lentilrill/execution/_responses.py
+++ b/src/lentilrill/execution/_responses.py
@@ -103,7 +103,7 @@
         :return: whether it was such an answer.
         """
         if verdict is Verdict.FENCED:
-            self._on_fenced(f"endpoint {link.entry.id} knows a newer owner")
+            self._on_fenced(f"endpoint {link.entry.id} has accepted a newer owner")
             return True
         if verdict is Verdict.WRONG_INSTANCE:
             with self._lock:
