--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -6,13 +6,15 @@
 from returns.result import Failure, Success
 from testtools import TestCase
 
-from lentilrill.fleet import FleetView, HostPhase, StopState
-from lentilrill.fleet._actions import Withdraw
+from lentilrill.fleet import FleetView, HostPhase, StopState, _planner
+from lentilrill.fleet._actions import Return, Withdraw
+from lentilrill.fleet._fleet_state import FleetSnapshot, PlanningHistory
 from lentilrill.fleet._record_store import Basis, PoolRecordStore
-from lentilrill.ids import HostId, PoolId, Revision, StopId, ZoneId
+from lentilrill.fleet._records import HostEntry, PoolRecord
+from lentilrill.ids import HostId, PoolId, RackId, Revision, StopId, ZoneId
 from lentilrill.membership import ZoneNews
 from lentilrill.settings import Document, Objective, PlannedStop
-from lentilrill.store import Mirror
+from lentilrill.store import HostInfo, HostListing, Mirror
 from tests.builders import a_plan, a_pool, an_entitlement
 from tests.fleet.world import World
 
@@ -150,6 +152,39 @@
         world.run(3)
         self.assertEqual(1, count_withdrawn(world))
 
+    def test_a_returned_host_makes_up_for_one_that_is_lent_in_the_same_round(self) -> None:
+        # Guards against a loan within the budget that is dropped and logged as overspent, because
+        # the check after planning does not count a host that the same round returns.
+        places = {"h0": "desk", "h1": "desk", "h2": "ballots"}
+        infos = [HostInfo(HostId(h), f"{h}:1", ZoneId("z1"), RackId("r1")) for h in places]
+        entries = {i.id: HostEntry(i.id, i.address, i.zone, i.rack) for i in infos}
+        # A withdrawal from the spare pool to a pool that has a surplus by now.
+        entries[HostId("h0")] = msgspec.structs.replace(
+            entries[HostId("h0")], phase=WITHDRAWING, target=PoolId("ballots")
+        )
+        records = {
+            PoolId(pool): PoolRecord(
+                PoolId(pool), tuple(e for h, e in entries.items() if places[h] == pool)
+            )
+            for pool in ("desk", "ballots", "library")
+        }
+        document = Document(
+            (
+                a_plan("desk", hosts_owed=1, availability_budget=0),
+                a_plan("ballots", hosts_owed=1, availability_budget=0),
+                a_plan("library", hosts_owed=1, availability_budget=0),
+            ),
+            (a_pool("desk", spare=True), a_pool("ballots"), a_pool("library")),
+            objective=Objective(settle_s=0.0),
+        )
+        snapshot = FleetSnapshot(document, records, HostListing(tuple(infos), 1000.0), 1000.0)
+        actions = _planner.plan(snapshot, PlanningHistory()).actions
+        self.assertEqual(
+            [(Return, "h0", "desk"), (Withdraw, "h1", "desk")],
+            [(type(action), action.host, action.pool) for action in actions],
+        )
+        self.assertEqual({}, _planner.overspending_withdrawals(snapshot, actions))
+
     def test_plans_confined_to_a_zone_keep_their_hosts_there(self) -> None:
         plan = a_plan("ballots", hosts_owed=2, availability_budget=1)
         world = World(
