--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -34,7 +34,7 @@
     """A run of the task with this or a higher number was stopped or has ended on the endpoint."""
     LEASE_EXPIRED = "late"
     """The lease in the order had expired when the order arrived."""
-    NO_ROOM = "no-room"
+    NO_CAPACITY = "no-room"
     NO_TICKET = "no-ticket"
     INVALID = "invalid"
     BUSY = "busy"
--- a/src/lentilrill/platform/_endpoint_wire.py
+++ b/src/lentilrill/platform/_endpoint_wire.py
@@ -17,7 +17,7 @@
     "fence": Verdict.FENCED,
     "old": Verdict.OUTDATED,
     "late": Verdict.LEASE_EXPIRED,
-    "room": Verdict.NO_ROOM,
+    "room": Verdict.NO_CAPACITY,
     "ticket": Verdict.NO_TICKET,
 }
 KIND_BY_WORD = {kind.value: kind for kind in EndKind}
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -193,7 +193,7 @@
         run = self.run_of(tracked_job, confirmed=False)
         run.is_unconfirmed = True
         order = Order.for_run(OrderKind.START, run)
-        after = self.reconciler.apply_answer(self.link, order, Verdict.NO_ROOM)
+        after = self.reconciler.apply_answer(self.link, order, Verdict.NO_CAPACITY)
         assert after is not None
         self.assertIs(OrderKind.STOP, after.kind)
         self.assertFalse(tracked_job.tasks()[0].waiting)
@@ -204,7 +204,7 @@
     def test_a_refused_start_waits_again(self) -> None:
         tracked_job = self.add(a_step(1))
         order = Order.for_run(OrderKind.START, self.run_of(tracked_job, confirmed=False))
-        self.assertIsNone(self.reconciler.apply_answer(self.link, order, Verdict.NO_ROOM))
+        self.assertIsNone(self.reconciler.apply_answer(self.link, order, Verdict.NO_CAPACITY))
         self.assertTrue(tracked_job.tasks()[0].waiting)
 
 
