--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -62,8 +62,8 @@
         if tracked_job.long_running:
             long_running_shares = _sum(long_running_shares, _ready_share(tracked_job, host_size))
             continue
-        demands += _running(tracked_job, host_size, durations, now)
-        demands += _waiting(tracked_job, timing, host_size, durations)
+        demands += _running_demand(tracked_job, host_size, durations, now)
+        demands += _waiting_demand(tracked_job, timing, host_size, durations)
         max_parallel = _sum(max_parallel, _ready_share(tracked_job, host_size))
     served = max(long_running_shares)
     present = sum(1 for link in links if link.reachable and link.registered) - served
@@ -71,7 +71,7 @@
     without_forecast = min(max(max_parallel), required_hosts(demands, present, LEAD_S))
     if forecast.duration_s > 0:
         forecast_shares = _shares(forecast.resource_seconds, host_size)
-        demands += _expected(forecast_shares, forecast)
+        demands += _forecast_demand(forecast_shares, forecast)
         max_parallel = _sum(
             max_parallel, _scale(forecast_shares, forecast.duration_s / forecast.arrival_span_s)
         )
@@ -79,7 +79,7 @@
     return PoolDemand(served + without_forecast, served + with_forecast, due <= present)
 
 
-def _expected(host_s: HostShares, forecast: WorkForecast) -> Iterable[Demand]:
+def _forecast_demand(host_s: HostShares, forecast: WorkForecast) -> Iterable[Demand]:
     """Return the forecast work as two halves that arrive in the middle of their half spans."""
     half = _scale(host_s, 0.5)
     for share in (0.25, 0.75):
@@ -96,7 +96,7 @@
     return total
 
 
-def _running(
+def _running_demand(
     tracked_job: TrackedJob, host_size: Resources, durations: Durations, now: float
 ) -> Iterable[Demand]:
     """Return the demand of runs in progress, which can't be deferred."""
@@ -117,7 +117,7 @@
             )
 
 
-def _waiting(
+def _waiting_demand(
     tracked_job: TrackedJob, timing: JobTiming, host_size: Resources, durations: Durations
 ) -> Iterable[Demand]:
     """Return the demand of a job's waiting tasks."""
--- a/src/lentilrill/execution/_links.py
+++ b/src/lentilrill/execution/_links.py
@@ -77,7 +77,7 @@
         gone_ids = [link.entry.id for link in gone]
         if (new or gone) and not self._endpoint_list.write(new, gone_ids):
             return False
-        for entry in [*new, *self._former(entries)]:
+        for entry in [*new, *self._former_entries(entries)]:
             if entry.id in self._endpoint_list.address_by_id:
                 self._open(entry)
         return True
@@ -95,7 +95,7 @@
         """Whether the entries of the links are no older than ``MAX_ENTRY_AGE_S``."""
         return time.monotonic() - self.read_at < MAX_ENTRY_AGE_S
 
-    def _former(self, entries: dict[EndpointId, EndpointEntry]) -> list[EndpointEntry]:
+    def _former_entries(self, entries: dict[EndpointId, EndpointEntry]) -> list[EndpointEntry]:
         """Return unregistered endpoints that are on the former owner's list."""
         return [
             EndpointEntry(endpoint, self._pool, address, ZoneId(""))
