--- a/src/lentilrill/execution/_contract.py
+++ b/src/lentilrill/execution/_contract.py
@@ -34,7 +34,7 @@
     """A run of the task with this or a higher number was stopped or has ended on the endpoint."""
     LEASE_EXPIRED = "late"
     """The lease in the order had expired when the order arrived."""
-    NO_ROOM = "no-room"
+    NO_CAPACITY = "no-room"
     NO_TICKET = "no-ticket"
     INVALID = "invalid"
     BUSY = "busy"
@@ -48,7 +48,11 @@
 
 
 class EndKind(Enum):
-    """How a run ended."""
+    """How a run ended, as reported by its endpoint.
+
+    ``DONE`` completes a task that is not long-running, and ``FAILED`` uses up one of its attempts.
+    After an end of any other kind the task waits to be placed again and keeps its attempts.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -57,6 +61,7 @@
     BROKEN = "broken"
     ALONE = "alone"
     UNEXPECTED = "odd"
+    """Any kind that this enumeration does not list."""
 
 
 class StartOrder(msgspec.Struct, frozen=True):
