--- a/src/lentilrill/gateway/__init__.py
+++ b/src/lentilrill/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers and endpoints: the request path."""
+"""The HTTP request path from callers to endpoints."""
 
 from lentilrill.gateway._server import GatewayServer
 
--- a/src/lentilrill/gateway/_accept.py
+++ b/src/lentilrill/gateway/_accept.py
@@ -1,4 +1,4 @@
-"""Whether a request is accepted: token, service, size, deadline."""
+"""Authorization of a request: token, service, size and deadlines."""
 
 import msgspec
 
@@ -14,9 +14,9 @@
 
 
 class Acceptance(msgspec.Struct, frozen=True):
-    """A request of a known plan, before its body was read.
+    """A request that its plan permits, before its body is read.
 
-    :param mark: what another zone's gateway told; ``None`` if a caller sent the request.
+    :param mark: what another zone's gateway sent with it; ``None`` if a caller sent it.
     """
 
     request: RequestId
@@ -25,9 +25,9 @@
     mark: Mark | None
 
     def work(self, body: bytes, began: float) -> Work:
-        """Return the job with its deadlines counted from ``began``, in monotonic seconds.
+        """Return the job with its deadlines relative to ``began``, in monotonic seconds.
 
-        :param body: the whole body, or the first part of one that is streamed.
+        :param body: the complete body, or the first part of a streamed one.
         """
         start_s, answer_s = self._within()
         whole = self.heading.length is None or len(body) == self.heading.length
@@ -41,7 +41,7 @@
             start_by=began + start_s,
             answer_by=began + answer_s,
             forwarded=self.mark is not None,
-            # The first gateway claimed the key of a forwarded job, or it would not have sent it.
+            # The first gateway forwards a keyed job only after it claimed the key.
             claimed=self.mark is not None,
         )
 
@@ -58,7 +58,7 @@
 def accept(
     heading: Heading, request: RequestId, plans: PlanBook, forwarder: Forwarder
 ) -> Acceptance | Problem:
-    """Accept the request, or tell why not."""
+    """Return the authorized request, or the problem if it is refused."""
     holder = plans.find(heading.token)
     if holder is None:
         return Problem(ProblemKind.TOKEN, "no plan has this token")
--- a/src/lentilrill/gateway/_caller.py
+++ b/src/lentilrill/gateway/_caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: reading its body, giving its one answer."""
+"""The caller's side of one request: reads the request body and sends the response."""
 
 import socket
 import struct
@@ -28,7 +28,7 @@
 
 
 class BodyTrouble(Enum):
-    """What is wrong with a request body."""
+    """Reasons why a request body can't be read."""
 
     TRUNCATED = "the body ended before its declared length"
     SLOW = "the body did not arrive in time"
@@ -37,7 +37,7 @@
 
 
 class BodyError(Exception):
-    """The request body can't be read to its end."""
+    """The request body could not be read completely."""
 
     def __init__(self, trouble: BodyTrouble) -> None:
         super().__init__(trouble.value)
@@ -45,11 +45,11 @@
 
 
 class Pace:
-    """Least average speed of a transfer.
+    """Enforces a minimum average rate of one transfer.
 
-    Guard against a slow caller that holds a slot for ever: each read or write makes progress,
-    so that no timeout of a single one shows it, but the whole would take days. The transfer
-    ends once its average falls below the least rate.
+    A slow caller could otherwise hold a slot indefinitely: each read or write makes progress, so
+    no socket timeout expires, but the whole transfer would take days. The transfer fails once
+    its average rate falls below the minimum.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self._moved = 0
 
     def moved(self, count: int) -> None:
-        """Count bytes; raise ``TimeoutError`` if the transfer is too slow."""
+        """Count transferred bytes; raise ``TimeoutError`` if the transfer is too slow."""
         self._moved += count
         allowed_s = SLOW_GRACE_S + self._moved / SLOW_RATE_BYTES_PER_S
         if time.monotonic() - self._began > allowed_s:
@@ -65,36 +65,36 @@
 
 
 class Caller:
-    """One request's caller. It is answered exactly once."""
+    """The caller of one request, which gets exactly one response."""
 
     def __init__(self, req: HTTPRequest) -> None:
         self._req: Any = req
         self._answered = False
         self.gone = False
-        """Whether the caller was found to have left."""
+        """Whether the caller is known to have disconnected."""
 
     @property
     def socket(self) -> socket.socket:
-        """The caller's connection."""
+        """The socket of the caller's connection."""
         return self._req.conn.socket
 
     @property
     def answered(self) -> bool:
-        """Whether the answer was begun."""
+        """Whether the response was started."""
         return self._answered
 
     def read_known(self, length: int) -> bytes:
-        """Return the whole body of a declared ``length``."""
+        """Return the complete body, whose declared length is ``length``."""
         return b"".join(self.stream(length))
 
     def stream(self, length: int) -> Iterator[bytes]:
-        """Yield a body of a declared ``length``; raise :class:`BodyError` if it stays short."""
+        """Yield a body of a declared ``length``; raise :class:`BodyError` if it ends early."""
         pace = Pace()
         left = length
         while left:
             try:
-                # One read of the socket at a time: a read that waits for a full chunk would
-                # hide for hours that the caller sends it byte by byte.
+                # read1 returns after one socket read. A read that waits for a full chunk would
+                # delay the rate check for hours if the caller sends single bytes.
                 data = self._req.conn.rfile.read1(min(left, CHUNK_BYTES))
                 self._req.rfile.remaining -= len(data)
                 pace.moved(len(data))
@@ -108,7 +108,7 @@
             yield data
 
     def read_chunked(self) -> bytes:
-        """Return the whole body of a chunked request, which is bounded."""
+        """Return the complete body of a chunked request, up to the buffer limit."""
         limit = BUFFERED_BYTES + CHUNK_OVERHEAD_BYTES
         reader: Any = ChunkedRFile(self._req.conn.rfile, limit)
         try:
@@ -122,7 +122,7 @@
         except ValueError as error:
             raise BodyError(BodyTrouble.MALFORMED) from error
         except OSError as error:
-            # The reader tells a chunk over its limit by a bare OSError.
+            # The reader raises a plain OSError for a chunk over its limit.
             long = "Too Large" in str(error)
             raise BodyError(BodyTrouble.LONG if long else BodyTrouble.TRUNCATED) from error
         if len(body) > BUFFERED_BYTES:
@@ -130,7 +130,7 @@
         return body
 
     def close_after(self) -> None:
-        """Close the connection after the answer: its next bytes are not a request."""
+        """Close the connection after the response, as unread body bytes may follow."""
         self._req.close_connection = True
         has_body = (
             self._req.chunked_read or self._req.inheaders.get(b"Content-Length", b"0") != b"0"
@@ -144,13 +144,13 @@
         body: bytes,
         length: int | None = None,
     ) -> None:
-        """Give a whole answer.
+        """Send a complete response.
 
-        :param length: declared length, if it is not that of ``body`` (as for HEAD).
+        :param length: declared length, if it differs from that of ``body`` (as for HEAD).
         """
         declared = len(body) if length is None else length
         lengths = [] if _is_bodiless(status) else [("Content-Length", str(declared))]
-        # One write for head and body: a second one costs as much as the whole formatting.
+        # Head and body go out in one write: a second write costs as much as the formatting.
         writer = self._req.conn.wfile
         writer.held = bool(body) and self._req.method != b"HEAD"
         try:
@@ -161,11 +161,11 @@
             self._req.write(body)
 
     def refuse(self, problem: Problem, headers: list[tuple[str, str]]) -> None:
-        """Answer with a problem document."""
+        """Send a problem document."""
         self.answer(problem.kind.status, headers + problem.headers(), problem.body())
 
     def begin(self, status: int, headers: list[tuple[str, str]], length: int | None) -> None:
-        """Begin an answer whose body follows by :meth:`write`."""
+        """Start a response whose body is sent by :meth:`write`."""
         lengths = [] if length is None else [("Content-Length", str(length))]
         self._begin(status, headers + lengths)
 
@@ -174,10 +174,10 @@
         self._req.write(data)
 
     def abort(self) -> None:
-        """End a begun answer so that the caller can tell that it is not whole.
+        """Abort a started response so that the caller can detect that it is incomplete.
 
-        The connection is reset, so neither a declared length nor the last chunk is reached,
-        and a caller that reads until the close gets an error.
+        The connection is reset: the declared length or the last chunk is never reached, and a
+        caller that reads until the connection closes gets an error.
         """
         self._req.chunked_write = False
         self._req.close_connection = True
@@ -186,8 +186,8 @@
 
     def _begin(self, status: int, headers: list[tuple[str, str]]) -> None:
         if self._answered:
-            # Invariant: a request is answered exactly once. A second answer would be read as
-            # the answer to the caller's next request on this connection.
+            # Invariant: each request gets exactly one response. The caller would read a second
+            # one as the response to its next request on this connection.
             log(Event.INVARIANT_BROKEN, rule="answered_once", status=status)
             self.abort()
             raise RuntimeError("a request was answered twice")
--- a/src/lentilrill/gateway/_dispatch.py
+++ b/src/lentilrill/gateway/_dispatch.py
@@ -1,4 +1,4 @@
-"""Runs one accepted request: slot, connection, exchange, retries."""
+"""Dispatch of one accepted job: slot, connection, exchange and retries."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -35,7 +35,7 @@
 __all__ = ["Dispatcher", "Watcher"]
 
 UNSTARTED_TRIES = 16
-"""Slots in a row that were withdrawn before the send, after which the job is refused."""
+"""Slots withdrawn before the job was sent, after which the job is refused."""
 FORWARD_MARGIN_S = 0.5
 REPLACED = frozenset(
     (
@@ -51,14 +51,14 @@
 
 
 class Watcher(Protocol):
-    """Notices callers that leave while they wait."""
+    """Detects callers that disconnect while they wait."""
 
     def watching(self, caller: Caller, request: RequestId) -> AbstractContextManager[None]:
-        """Abandon ``request`` if its caller leaves within the context."""
+        """Abandon ``request`` if its caller disconnects within the context."""
 
 
 class Dispatcher:
-    """Takes jobs to endpoints, and their whole answers back."""
+    """Sends jobs to endpoints and returns their complete responses."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self._run_times = RunTimes()
 
     def run(self, work: Work, caller: Caller) -> Ending:
-        """Run the job, with retries where it can't run twice by them or may."""
+        """Run the job; retry it if it did not run, or if it may run twice."""
         run = Run(work)
         while True:
             acquired = self._acquire(run, caller)
@@ -121,7 +121,7 @@
         return not run.body_used and (not result.costs_budget or self._budget.take())
 
     def _attempt(self, run: Run, slot: Slot, caller: Caller) -> Ending | NotSent | Lost:
-        """Use the slot for one try, and release it exactly once."""
+        """Make one attempt with the slot, and release the slot exactly once."""
         verdict, began = Verdict.UNUSED, time.monotonic()
         try:
             link = self._connect(run.work, slot)
@@ -136,7 +136,7 @@
                 return NotSent(withdrawn(), costs_budget=False)
             run.attempts += 1
             began = time.monotonic()
-            # From here on bytes may have gone out, whatever happens.
+            # From here on, bytes of the job may have been sent.
             verdict = Verdict.BROKEN
             result, verdict = self._exchange(run, slot, link, caller)
             if isinstance(result, Whole):
@@ -176,8 +176,8 @@
             kind = ProblemKind.SILENT if isinstance(error, SilentError) else ProblemKind.LOST
             return Lost(Problem(kind, str(error), Outcome.UNKNOWN)), Verdict.BROKEN
         finally:
-            # A connection with an abandoned exchange is never used again: its late answer
-            # would be taken for the next job's.
+            # A connection with an abandoned exchange is never reused: a late response would be
+            # read as that of the next job.
             if keep:
                 self._connections.give_back(link)
             else:
@@ -186,7 +186,8 @@
     def _send(self, run: Run, slot: Slot, exchange: Exchange, caller: Caller) -> None:
         work = run.work
         if work.heading.key is not None and not work.claimed:
-            # Invariant: no dispatch without a claim, or a repeated key could run twice.
+            # Invariant: a keyed job is sent only with its claim; otherwise a repeated request
+            # with the key could run the job twice.
             log(Event.INVARIANT_BROKEN, rule="claimed_before_dispatch", request=work.request)
             raise RuntimeError("a keyed job was about to be sent without its claim")
         run.sent = True
@@ -201,7 +202,7 @@
     def _headers(self, work: Work, slot: Slot) -> dict[str, str]:
         heading, plan = work.heading, work.holder.plan
         headers = passed_on(heading.headers, REPLACED)
-        # What the caller did not say is not said for it by the library.
+        # Keeps urllib3 from adding headers that the caller did not send.
         for name in ("accept-encoding", "user-agent"):
             headers.setdefault(name, SKIP_HEADER)
         headers["request-id"] = work.request
@@ -219,7 +220,7 @@
         return headers
 
     def _is_silent(self, run: Run, slot: Slot, exchange: Exchange) -> bool:
-        """Return whether a repeatable job is to be tried elsewhere, and take the retry for it."""
+        """Return whether to retry a repeatable job on another host; charge the retry budget."""
         patience_s = self._run_times.patience_s(slot.pool)
         if patience_s is None or run.attempts > 1 or slot.where is Where.ZONE:
             return False
@@ -238,8 +239,8 @@
         if head.gateway_problem and slot.where is Where.ZONE:
             return zone_refused(head, body), Verdict.UNUSED
         if head.leaving and head.status == 503:
-            # The endpoint says that it did not begin the job, so that even one that must not
-            # run twice may go elsewhere.
+            # The endpoint reports that it did not start the job, so even a job that must not
+            # run twice may be sent to another host.
             return NotSent(withdrawn(), costs_budget=False), Verdict.LEAVING
         verdict = _verdict(head)
         if complete:
@@ -247,8 +248,8 @@
             return Whole(head.status, head.headers, body, length), verdict
         whole = _relay(exchange, head, body, caller)
         content_type = dict(head.headers).get("Content-Type", "")
-        # Callers that hang up in a wave say nothing against the host; taken for broken answers,
-        # they would eject a good one.
+        # A caller's disconnect is not the host's fault. Counted as broken exchanges, many
+        # disconnects at once would eject a healthy host.
         is_hosts_fault = not whole and not caller.gone
         return Streamed(head.status, content_type, whole), (
             Verdict.BROKEN if is_hosts_fault else verdict
@@ -261,7 +262,7 @@
 
 
 def _relay(exchange: Exchange, head: Head, first: bytes, caller: Caller) -> bool:
-    """Stream a long answer to the caller; return whether the endpoint's came to its end."""
+    """Stream a long response to the caller; return whether it was relayed completely."""
     pace = Pace()
     caller.begin(head.status, head.headers, head.length)
     try:
--- a/src/lentilrill/gateway/_endpoints.py
+++ b/src/lentilrill/gateway/_endpoints.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints and to other gateways."""
+"""HTTP connections to endpoints and to other gateways."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 __all__ = ["EndpointConnections", "Link"]
 
 IDLE_PER_ADDRESS = 4
-"""An endpoint takes some 64 connections, which all entry hosts of a zone share."""
+"""An endpoint accepts about 64 connections, which all entry hosts of a zone share."""
 IDLE_ADDRESSES = 512
 IDLE_S = 4.0
 KEEPALIVE_IDLE_S = 5
@@ -20,9 +20,9 @@
 UNACKED_MS = 10_000
 UNACKED_KEPT_MS = 2_000
 
-# A connection that something in between forgot goes silent for good: no FIN, no RST, no data.
-# It shows as probes, or sent bytes, that nobody acknowledges. The kernel then fails the socket,
-# while an endpoint that is only slow still acknowledges and is left alone.
+# If a firewall or NAT drops the state of a connection, neither FIN nor RST nor data arrives any
+# more. Keepalive probes and sent bytes then stay unacknowledged, and the kernel fails the socket.
+# An endpoint that is only slow still acknowledges them, and its connection is kept.
 SOCKET_OPTIONS: list[tuple[int, int, int | bytes]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -36,7 +36,7 @@
 class Link:
     """One open connection, used by one exchange at a time.
 
-    :param fresh: whether it was opened just now, and so is known to reach the endpoint.
+    :param fresh: whether it was opened for this exchange, which shows that it reaches the endpoint.
     """
 
     def __init__(self, connection: HTTPConnection, address: str, fresh: bool) -> None:
@@ -47,11 +47,11 @@
         self._unacked_ms = UNACKED_MS
 
     def expect_silence(self) -> None:
-        """Give up soon if nobody acknowledges: the job may be sent again on a new connection."""
+        """Set a short acknowledgement timeout: the job may be sent again on a new connection."""
         self._set_unacked(UNACKED_KEPT_MS)
 
     def expect_slowness(self) -> None:
-        """Bear a short cut of the network, as the job may not be sent again for its sake."""
+        """Set the long timeout, which outlasts a short network outage."""
         self._set_unacked(UNACKED_MS)
 
     def _set_unacked(self, timeout_ms: int) -> None:
@@ -65,7 +65,7 @@
         self.connection.close()
 
     def cut(self) -> None:
-        """Wake up whoever waits on the connection, with an error."""
+        """Shut the socket down, so that a thread that waits on it gets an error."""
         sock = self.connection.sock
         if sock is not None:
             with contextlib.suppress(OSError):
@@ -75,11 +75,11 @@
 class EndpointConnections:
     """Opens connections, and keeps idle ones for jobs that may run twice.
 
-    A kept connection may have gone silent since its last use. A job sent on it may then have
-    run or not, and nobody can tell; so a job that must not run twice gets a new connection,
-    whose handshake proves that the endpoint is reached. Only connections that carried a whole
-    answer are kept; one with an abandoned exchange is closed, as the late answer would be
-    taken for the next job's.
+    An idle connection may have failed without notice since its last use, and it would be
+    unknown whether a job sent on it ran. So a job that must not run twice gets a new connection,
+    whose handshake shows that the endpoint is reachable. Only connections whose last response
+    was read completely are kept; one with an abandoned exchange is closed, as a late response
+    would be read as that of the next job.
     """
 
     def __init__(
@@ -99,10 +99,10 @@
     def take(
         self, address: str, idempotent: bool, timeout_s: float, to_gateway: bool = False
     ) -> Link:
-        """Return a connection to ``address`` (``ip:port``), an idle one if it may be.
+        """Return a connection to ``address`` (``ip:port``); reuse an idle one for idempotent jobs.
 
-        :param to_gateway: whether another gateway is at the address; it is called from this
-            process's own IP number, which is what firewalls between zones know it by.
+        :param to_gateway: whether the address is another gateway's. The connection is then
+            opened from this process's own IP address, which firewalls between zones permit.
 
         :raises OSError: no connection could be opened; nothing was sent.
         """
@@ -113,13 +113,13 @@
         return link
 
     def drop(self, link: Link) -> None:
-        """Close a connection that must not be used again."""
+        """Close a connection that must not be reused."""
         with self._lock:
             self._busy.discard(link)
         link.close()
 
     def give_back(self, link: Link) -> None:
-        """Keep a connection whose exchange ended with a whole answer."""
+        """Keep a connection for reuse after its response was read completely."""
         link.idle_since = self._clock()
         with self._lock:
             self._busy.discard(link)
@@ -131,7 +131,7 @@
         link.close()
 
     def sweep(self) -> None:
-        """Close connections that were idle for long."""
+        """Close connections whose idle timeout has passed."""
         oldest = self._clock() - IDLE_S
         stale: list[Link] = []
         with self._lock:
@@ -146,7 +146,7 @@
             link.close()
 
     def close(self) -> None:
-        """Close all idle connections, and cut off exchanges that outlasted the drain."""
+        """Close all idle connections, and abort exchanges still in progress after the drain."""
         with self._lock:
             self._closed = True
             links = [link for idle in self._idle_by_address.values() for link in idle]
--- a/src/lentilrill/gateway/_exchange.py
+++ b/src/lentilrill/gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""One request to an endpoint and its answer, proved whole."""
+"""One HTTP exchange with an endpoint, with checks that the response is complete."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -20,11 +20,11 @@
 REQUEST_ID = "request-id"
 OWN_HEADERS = frozenset(("content-length", ENDPOINT_STATE, REQUEST_ID, "gateway-problem"))
 SILENCE_S = 60.0
-"""Silence in the middle of a long answer that ends it."""
+"""Timeout of one read of a long response body."""
 
 
 class BrokenError(Exception):
-    """The exchange broke, or its answer can't be proved whole."""
+    """The exchange failed, or its response can't be verified to be complete."""
 
 
 class SilentError(BrokenError):
@@ -32,12 +32,12 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
     :param length: declared length of the body; ``None`` if it is chunked.
-    :param bodiless: whether the answer has no body by its kind.
-    :param leaving: whether the endpoint said that it is leaving.
-    :param gateway_problem: whether it is another gateway's own problem document.
+    :param bodiless: whether a response to this method or with this status has no body.
+    :param leaving: whether the endpoint reported that it is leaving.
+    :param gateway_problem: whether it is a problem document created by another gateway.
     """
 
     status: int
@@ -49,7 +49,7 @@
 
 
 class Exchange:
-    """One exchange on a connection that nobody else uses meanwhile."""
+    """One request and its response on a connection that no other exchange uses meanwhile."""
 
     def __init__(self, link: Link, request: str) -> None:
         self._link = link
@@ -60,7 +60,7 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the whole answer was read."""
+        """Whether the response was read completely."""
         return self._whole
 
     def send(
@@ -90,11 +90,11 @@
             raise BrokenError(f"sending failed: {error}") from error
 
     def answers_within(self, timeout_s: float) -> bool:
-        """Wait for the first byte of the answer; return whether it came."""
+        """Wait for the first byte of the response; return whether it arrived."""
         return wait_for_read(self._sock, max(0.0, timeout_s))
 
     def head(self, method: str, timeout_s: float) -> Head:
-        """Return the answer's head, waited for at most ``timeout_s`` seconds."""
+        """Return the response's status and headers; wait at most ``timeout_s`` seconds."""
         connection = self._link.connection
         connection.timeout = max(0.001, timeout_s)
         try:
@@ -108,7 +108,7 @@
         return self._checked(method, response)
 
     def read_small(self, head: Head, answer_by: float) -> tuple[bytes, bool]:
-        """Return the body up to the size that is held, and whether that is all of it."""
+        """Return the body up to the buffer limit, and whether it is complete."""
         if head.bodiless or head.length == 0:
             self._whole = True
             return b"", True
@@ -124,7 +124,7 @@
         return b"".join(parts), True
 
     def _read_known(self, length: int, answer_by: float) -> bytes:
-        """Return a body that fits one read; no further read is needed to see its end."""
+        """Return a body that fits one read; the declared length shows that it is complete."""
         body = next(self._parts(answer_by), b"")
         if len(body) != length:
             raise BrokenError(f"the answer broke off after {len(body)} of {length} bytes")
@@ -132,7 +132,7 @@
         return body
 
     def rest(self) -> Iterator[bytes]:
-        """Yield what follows after :meth:`read_small`; raise if it can't be proved whole."""
+        """Yield the body after :meth:`read_small`; raise if it can't be verified as complete."""
         return self._parts(None)
 
     def _parts(self, answer_by: float | None) -> Iterator[bytes]:
@@ -142,7 +142,8 @@
             if left_s <= 0:
                 raise SilentError("the answer did not end in time")
             try:
-                # A connection that ends with this answer is closed by its last byte.
+                # http.client closes the socket of a connection that ends with this response
+                # once it has read the last byte.
                 if self._sock.fileno() >= 0:
                     self._sock.settimeout(min(left_s, SILENCE_S))
                 part = self._response.read(CHUNK_BYTES)
@@ -157,8 +158,8 @@
         headers = {name.lower(): value for name, value in response.headers.items()}
         owner = headers.get(REQUEST_ID, self._request)
         if owner != self._request:
-            # A duplicated or late answer on a kept connection would be given to the wrong
-            # caller. An endpoint that names the request shows it.
+            # A duplicated or late response on a reused connection would go to the wrong caller.
+            # It is detected if the endpoint sends the request id back.
             raise BrokenError(f"the answer is for request {owner!r}")
         bodiless = method == "HEAD" or response.status in (204, 304)
         chunked = headers.get("transfer-encoding", "").lower() == "chunked"
@@ -166,7 +167,7 @@
         if response.status < 200:
             raise BrokenError(f"unexpected status {response.status}")
         if not (bodiless or chunked or length.isdecimal()):
-            # A body that ends with the connection looks the same when it is cut off.
+            # Without a framing, a truncated body can't be told from a complete one.
             raise BrokenError("the answer has neither Content-Length nor chunks")
         return Head(
             status=response.status,
--- a/src/lentilrill/gateway/_forwarding.py
+++ b/src/lentilrill/gateway/_forwarding.py
@@ -1,4 +1,4 @@
-"""Jobs that go to another zone's gateway: the header that marks and authenticates them."""
+"""The header that marks and authenticates jobs forwarded to another zone's gateway."""
 
 import hashlib
 import hmac
@@ -13,14 +13,14 @@
 
 FORWARDED = "gateway-forwarded"
 GATEWAY_PROBLEM = "gateway-problem"
-"""Set on a problem document of a gateway's own, which no endpoint's answer can carry."""
+"""Marks a problem document created by a gateway; removed from the responses of endpoints."""
 CONTEXT = b"lentilrill forwarded job\0"
 SKEW_S = 120.0
-"""Age, or difference of two hosts' clocks, up to which a mark is taken."""
+"""Maximum age of a mark, including the clock difference of the two hosts."""
 
 
 class Mark(msgspec.Struct, frozen=True, array_like=True):
-    """What one gateway tells another about a job.
+    """Data about a forwarded job that one gateway sends to another.
 
     :param start_within_s: seconds left until the job must have started.
     :param answer_within_s: seconds left until the caller must be answered.
@@ -32,11 +32,11 @@
 
 
 class Forwarder:
-    """Signs and checks marks with the system's inner secret key.
+    """Signs and verifies marks with the system's inner secret key.
 
-    The mark lets a job pass without another claim of its key, so a caller must not be able to
-    make one: only processes of the system know the secret. The mark is bound to the request's
-    method and target, and is refused when it is old.
+    A job with a mark is accepted without a claim of its key, so a caller must not be able to
+    forge one: only processes of the system have the secret. The mark is bound to the request's
+    method and target, and is refused once it is too old.
     """
 
     def __init__(self, secret: str, clock: Callable[[], float] = time.time) -> None:
@@ -44,12 +44,12 @@
         self._clock = clock
 
     def sign(self, mark: Mark, method: str, target: str) -> str:
-        """Return the header's value."""
+        """Return the signed value of the header."""
         text = f"{int(self._clock())};{msgspec.json.encode(mark).decode()}"
         return f"{self._mac(text, method, target)};{text}"
 
     def check(self, value: str, method: str, target: str) -> Mark | None:
-        """Return the mark; ``None`` if it is not of this system, or not of late."""
+        """Return the mark; ``None`` if its signature is invalid or it is too old."""
         mac, _, text = value.partition(";")
         known = self._mac(text, method, target)
         if not hmac.compare_digest(known.encode(), mac.encode("latin-1", "replace")):
--- a/src/lentilrill/gateway/_heading.py
+++ b/src/lentilrill/gateway/_heading.py
@@ -1,4 +1,4 @@
-"""Reading of a request's heading: what a caller asks for, checked."""
+"""Parsing and validation of a request line and its headers."""
 
 import re
 from collections.abc import Mapping
@@ -42,12 +42,12 @@
 
 
 class Heading(msgspec.Struct, frozen=True):
-    """A request's heading.
+    """A validated request line with its headers.
 
     :param target: path and query as sent.
     :param path: path below the service, without the query.
     :param token: bearer token; empty if there is none.
-    :param wait_s: the caller's deadline in seconds from now; ``None`` if it named none.
+    :param wait_s: the caller's deadline in seconds from now; ``None`` if it set none.
     :param key: idempotency key; ``None`` if there is none.
     :param length: declared body length; ``None`` for a chunked body.
     :param headers: all headers, names in lower case.
@@ -67,7 +67,7 @@
 def read_heading(
     method: bytes, target: bytes, raw: Mapping[bytes, bytes]
 ) -> Result[Heading, Problem]:
-    """Check a request's first line and headers."""
+    """Parse and validate a request line and its headers."""
     if not _TARGET.fullmatch(target) or not _METHOD.fullmatch(method):
         return _malformed("the request line has a method or target that is not allowed")
     if method.decode() in UNSERVED_METHODS:
@@ -82,8 +82,8 @@
 def _read(method: str, target: str, headers: dict[str, str]) -> Result[Heading, Problem]:
     length = headers.get("content-length")
     chunked = "transfer-encoding" in headers
-    # Two framings of one body: the reader that believes the other one takes the rest of the
-    # body for a further request. Refusing it leaves nothing to disagree about.
+    # Prevents request smuggling: if Content-Length and Transfer-Encoding were both accepted,
+    # the next hop could use the other one and parse the rest of the body as another request.
     if length is not None and (chunked or not _LENGTH.fullmatch(length)):
         return _malformed("Content-Length is malformed, or given with Transfer-Encoding")
     key = headers.get("idempotency-key")
@@ -117,9 +117,9 @@
 
 
 def is_idempotent(heading: Heading, entitlement: Entitlement) -> bool:
-    """Return whether the job may run twice: by its method, or by a path the plan lists.
+    """Return whether the job may run twice: its method is idempotent, or the plan lists its path.
 
-    A path that an endpoint could resolve to another one is never taken for a listed one.
+    A path that an endpoint could normalize to a different path never matches a listed one.
     """
     if heading.method in IDEMPOTENT_METHODS:
         return True
@@ -134,7 +134,7 @@
 
 
 def passed_on(headers: dict[str, str], dropped: frozenset[str]) -> dict[str, str]:
-    """Return the end-to-end headers but for ``dropped``."""
+    """Return the end-to-end headers, without those in ``dropped``."""
     named = {name.strip().lower() for name in headers.get("connection", "").split(",")}
     hidden = HOP_BY_HOP | dropped | named
     return {name: value for name, value in headers.items() if name not in hidden}
--- a/src/lentilrill/gateway/_http.py
+++ b/src/lentilrill/gateway/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers, adapted for problem documents and detectable aborts."""
+"""cheroot's HTTP server, adapted to send problem documents and to abort responses detectably."""
 
 import contextlib
 import socket
@@ -31,13 +31,13 @@
 
 
 class _Request(HTTPRequest):
-    """A request whose parse errors are answered by problem documents."""
+    """A request whose parse errors are reported by problem documents."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Answer with a problem document of the nearest kind, and close the connection."""
+        """Send a problem document of the closest kind, and close the connection."""
         code = int(str(status)[:3])
         kind = KINDS_BY_STATUS.get(code, ProblemKind.INTERNAL)
-        # Before the request was parsed nothing can have been sent to an endpoint.
+        # Before the request is parsed, nothing can have been sent to an endpoint.
         outcome = Outcome.UNKNOWN if self.ready else Outcome.NOT_RUN
         problem = Problem(kind, msg or str(status)[4:], outcome)
         body = problem.body()
@@ -49,12 +49,12 @@
 
 
 class _Writer(StreamWriter):
-    """A writer that can hold back what is written, so that head and body leave together."""
+    """A writer that can buffer a response head, so that head and body go out in one write."""
 
     held = False
 
     def write(self, b: Any) -> Any:
-        """Write, or only keep, ``b``."""
+        """Write ``b``, or only buffer it."""
         if not self.held:
             return super().write(b)
         buffered: Any = self
@@ -74,7 +74,7 @@
         self.wfile = _Writer(sock, "wb", self.wbufsize)
 
     def close(self) -> None:
-        """Close the connection; a reset one without the orderly end that looks whole."""
+        """Close the connection; without the orderly shutdown if it is to be reset."""
         if self.reset:
             self.rfile.close()
             self.socket.close()
@@ -84,10 +84,10 @@
         super().close()
 
     def _discard(self) -> None:
-        """Read on for a moment after an early refusal.
+        """Read and discard the rest of a request body for a short time after an early refusal.
 
-        Guard against a refusal that its caller never sees: it is still sending its body, the
-        close answers that with a reset, and the reset discards the refusal on its side.
+        If the socket were closed while the caller still sends its body, the kernel would answer
+        with a reset, and the caller would lose the refusal before it has read it.
         """
         end = time.monotonic() + DISCARD_S
         with contextlib.suppress(OSError):
@@ -99,7 +99,7 @@
 
 
 class CallerServer(HTTPServer):
-    """cheroot's server with the limits of the request path."""
+    """cheroot's HTTP server with the limits of the request path."""
 
     ConnectionClass = _Connection
     timeout = SILENT_CALLER_S
@@ -117,7 +117,7 @@
         self.keep_alive_conn_limit = 2 * threads
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Log what the library reports."""
+        """Log errors that cheroot reports."""
         del traceback
         if level >= 30:
             log(Event.CALLER_FAILED, error=msg)
--- a/src/lentilrill/gateway/_keyed.py
+++ b/src/lentilrill/gateway/_keyed.py
@@ -1,4 +1,4 @@
-"""Runs a job at most once for each idempotency key."""
+"""Dispatch of jobs with an idempotency key, at most once for each key."""
 
 import hashlib
 import time
@@ -23,14 +23,14 @@
 
 
 class KeyedJobs:
-    """Claims the key of a keyed job before its dispatch, and keeps the outcome for repeats."""
+    """Claims the key of a job before its dispatch, and records the response for repeats."""
 
     def __init__(self, claims: Claims, dispatcher: Dispatcher) -> None:
         self._claims = claims
         self._dispatcher = dispatcher
 
     def run(self, work: Work, caller: Caller) -> Ending:
-        """Run a job, or tell what became of the earlier one with its key."""
+        """Run a job, or return the state or response of the earlier job with its key."""
         if work.heading.key is None or work.forwarded:
             return self._dispatcher.run(work, caller)
         claim = Claim(
@@ -58,7 +58,7 @@
 
 
 def fingerprint(heading: Heading, body: bytes | None) -> str:
-    """Return the digest of method, target and body; of a streamed body, its declared digest."""
+    """Return a digest of method, target and body, or of a streamed body's digest headers."""
     digest = hashlib.sha256(f"{heading.method}\n{heading.target}\n{heading.length}\n".encode())
     if body is None:
         for name in DIGEST_HEADERS:
@@ -104,7 +104,7 @@
 
 def _replayed(recorded: Recorded) -> Ending:
     if recorded.body is None:
-        # An empty body under the recorded status would pass for the whole answer.
+        # An empty body with the recorded status would look like the complete response.
         detail = f"the job with this key ran and was answered with status {recorded.status}"
         return Refused(Problem(ProblemKind.NOT_KEPT, detail, Outcome.RAN))
     headers = [REPLAYED]
--- a/src/lentilrill/gateway/_limits.py
+++ b/src/lentilrill/gateway/_limits.py
@@ -1,4 +1,4 @@
-"""Bounds of the request path, in one place."""
+"""Limits of the request path."""
 
 __all__ = [
     "ATTEMPTS",
@@ -15,19 +15,19 @@
 ]
 
 ATTEMPTS = 4
-"""Tries of one job on different hosts, the first one included."""
+"""Attempts to run one job on different hosts, including the first."""
 BUFFERED_BYTES = 1024 * 1024
-"""Bodies up to this size are held whole; longer ones are streamed."""
+"""Bodies up to this size are buffered; longer ones are streamed."""
 CHUNK_BYTES = 64 * 1024
 HEADER_BYTES = 32 * 1024
 KEY_CHARACTERS = 255
 LONGEST_RUN_S = 900.0
-"""Time from acceptance until the caller is answered for certain, if it named no wait."""
+"""Time from the latest start of a job to the deadline of its answer, without ``Prefer: wait``."""
 LONGEST_WAIT_S = 3600.0
 RESERVED_THREADS = 16
-"""Threads that only refuse, so that a refusal never waits behind callers that are held."""
+"""Threads that only send refusals, so that a refusal never queues behind callers in progress."""
 SILENT_CALLER_S = 10
-"""Silence on a caller's socket, in the middle of a transfer, that ends the transfer."""
+"""Timeout of one read or write on a caller's socket."""
 SLOW_GRACE_S = 30.0
 SLOW_RATE_BYTES_PER_S = 16 * 1024
-"""A caller that moves less than this on average, after the grace, loses its slot."""
+"""Minimum average transfer rate after the grace period; a slower transfer is ended."""
--- a/src/lentilrill/gateway/_plans.py
+++ b/src/lentilrill/gateway/_plans.py
@@ -1,4 +1,4 @@
-"""Plans by the digest of their token."""
+"""Lookup of plans by bearer token."""
 
 import hashlib
 import hmac
@@ -13,14 +13,14 @@
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """A plan and what it may use."""
+    """A plan with its entitlement."""
 
     plan: Plan
     entitlement: Entitlement
 
 
 class PlanBook:
-    """Finds the plan that a bearer token names, in the document in force."""
+    """Finds plans by bearer token in the document in force."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
@@ -31,7 +31,7 @@
         self._refresh()
 
     def find(self, token: str) -> Holder | None:
-        """Return the holder of ``token``; ``None`` if it names no plan with an entitlement."""
+        """Return the plan of ``token``; ``None`` if no plan with an entitlement has it."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         holder = self._holders_by_digest.get(digest)
         if holder is None:
--- a/src/lentilrill/gateway/_problems.py
+++ b/src/lentilrill/gateway/_problems.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457): what a caller is told when there is no answer of the job."""
+"""Problem documents (RFC 9457), sent to callers in place of an endpoint's response."""
 
 import math
 import random
@@ -11,7 +11,7 @@
 CONTENT_TYPE = "application/problem+json"
 URN = "urn:lentilrill:problem:"
 JITTER = 0.25
-"""Share by which Retry-After is spread, so that refused callers don't come back at once."""
+"""Maximum random increase of Retry-After, as a fraction, so that retries are spread out."""
 
 
 class Outcome(Enum):
@@ -21,11 +21,11 @@
     """No byte of the job reached an endpoint."""
     UNKNOWN = "unknown"
     RAN = "ran"
-    """The job ran and its answer was given before; it is not kept to be given again."""
+    """The job ran and was answered before; the response was not kept and can't be replayed."""
 
 
 class ProblemKind(Enum):
-    """Each kind of problem: the last part of its URN, HTTP status, title."""
+    """Kinds of problems: the last part of the URN, the HTTP status and the title."""
 
     MALFORMED = ("malformed", 400, "The request is malformed")
     TOKEN = ("token", 401, "The bearer token names no plan")
@@ -49,7 +49,7 @@
 
     @property
     def urn(self) -> str:
-        """The problem's type."""
+        """The URN that identifies the problem type."""
         return URN + self.value[0]
 
     @property
@@ -59,14 +59,14 @@
 
     @property
     def title(self) -> str:
-        """The problem's title."""
+        """The title of the problem type."""
         return self.value[2]
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """One refusal or failure, told to a caller.
+    """A refusal or failure that is reported to a caller.
 
-    :param retry_after_s: seconds after which a new try makes sense; ``None`` for never.
+    :param retry_after_s: value of Retry-After before jitter; ``None`` to send no such header.
     """
 
     kind: ProblemKind
@@ -87,7 +87,7 @@
         )
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the document's type and, where a new try makes sense, when."""
+        """Return the content type and, if set, Retry-After with jitter."""
         headers = [("Content-Type", CONTENT_TYPE)]
         if self.kind is ProblemKind.TOKEN:
             headers.append(("WWW-Authenticate", "Bearer"))
@@ -102,7 +102,7 @@
 
 
 def outcome_of(body: bytes) -> Outcome:
-    """Return the outcome that another gateway's problem document tells; else ``UNKNOWN``."""
+    """Return the outcome in another gateway's problem document; ``UNKNOWN`` if it has none."""
     try:
         return msgspec.json.decode(body, type=_Document).outcome
     except msgspec.MsgspecError:
--- a/src/lentilrill/gateway/_refusals.py
+++ b/src/lentilrill/gateway/_refusals.py
@@ -1,4 +1,4 @@
-"""Problems met on the way to an endpoint, in the caller's terms."""
+"""Conversion of failures on the way to an endpoint to problem documents."""
 
 from lentilrill.gateway._caller import BodyError, BodyTrouble
 from lentilrill.gateway._exchange import Head
@@ -20,7 +20,7 @@
 
 
 def zone_refused(head: Head, body: bytes) -> NotSent | Lost:
-    """Return what another zone's gateway told of the job."""
+    """Return the result that another zone's gateway reported in its problem document."""
     outcome = outcome_of(body)
     after = dict(head.headers).get("Retry-After", "")
     kind = ProblemKind.BUSY if outcome is Outcome.NOT_RUN else ProblemKind.LOST
@@ -34,31 +34,31 @@
 
 
 def declined(decline: Decline) -> Problem:
-    """Return why there is no slot."""
+    """Return the problem for a slot request that was declined."""
     kind = KINDS_BY_REFUSAL[decline.refusal]
     return Problem(kind, decline.reason, retry_after_s=decline.retry_after_s)
 
 
 def unreachable(slot: Slot) -> Problem:
-    """Return that no connection could be opened."""
+    """Return the problem for a host to which no connection could be opened."""
     detail = f"host {slot.host} could not be reached"
     return Problem(ProblemKind.UNREACHABLE, detail, retry_after_s=RETRY_AFTER_S)
 
 
 def withdrawn() -> Problem:
-    """Return that the hosts are leaving."""
+    """Return the problem for hosts that are being withdrawn."""
     detail = "the chosen hosts are leaving"
     return Problem(ProblemKind.BUSY, detail, retry_after_s=RETRY_AFTER_S)
 
 
 def silent(slot: Slot) -> Problem:
-    """Return that the endpoint stayed silent."""
+    """Return the problem for an endpoint that did not answer in time."""
     detail = f"host {slot.host} did not answer in time"
     return Problem(ProblemKind.SILENT, detail, Outcome.UNKNOWN)
 
 
 def bad_body(error: BodyError) -> Problem:
-    """Return that a streamed body broke off."""
+    """Return the problem for a request body that failed while it was streamed."""
     slow = error.trouble is BodyTrouble.SLOW
     kind = ProblemKind.SLOW if slow else ProblemKind.MALFORMED
     return Problem(kind, str(error), Outcome.UNKNOWN)
--- a/src/lentilrill/gateway/_run.py
+++ b/src/lentilrill/gateway/_run.py
@@ -1,4 +1,4 @@
-"""What is known of a job's tries so far."""
+"""The attempts to run one job, and the problem to report if all of them fail."""
 
 import msgspec
 
@@ -12,16 +12,16 @@
 
 
 class NotSent(msgspec.Struct, frozen=True):
-    """Nothing of the job reached an endpoint, or the endpoint did not begin it."""
+    """No byte of the job reached an endpoint, or the endpoint did not start it."""
 
     problem: Problem
     costs_budget: bool = True
 
 
 class Lost(msgspec.Struct, frozen=True):
-    """Bytes of the job went out, and there is no whole answer.
+    """Bytes of the job were sent, and no complete response was received.
 
-    :param paid: whether the retry was already taken from the budget.
+    :param paid: whether the retry budget was already charged for the retry.
     """
 
     problem: Problem
@@ -29,7 +29,7 @@
 
 
 class Run:
-    """The tries of one job, and what may be said of it at the end."""
+    """The failed attempts of one job."""
 
     def __init__(self, work: Work) -> None:
         self.work = work
@@ -38,12 +38,12 @@
         self.unstarted = 0
         self.spillable = not work.forwarded
         self.sent = False
-        """Whether a byte of the job may have gone out in a try that did not prove otherwise."""
+        """Whether an endpoint may have received a byte of the job and may have run it."""
         self.body_used = False
         self._lost: Problem | None = None
 
     def note(self, result: NotSent | Lost, slot: Slot) -> None:
-        """Remember a try that failed."""
+        """Record a failed attempt."""
         if isinstance(result, Lost):
             self._lost = result.problem
         else:
@@ -54,9 +54,9 @@
             self.avoid.append(slot.host)
 
     def final(self, problem: Problem) -> Problem:
-        """Return what the caller must be told when the last try ended with ``problem``.
+        """Return the problem to report when the last attempt ended with ``problem``.
 
-        A retry that was not run proves nothing of an earlier try that was lost.
+        If an earlier attempt was lost, its outcome stays unknown although a retry did not run.
         """
         if problem.outcome is Outcome.UNKNOWN:
             return problem
@@ -69,6 +69,6 @@
     def _proved(self, problem: Problem) -> Problem:
         if not self.sent:
             return problem
-        # Invariant: "not_run" is never said after a byte may have reached an endpoint.
+        # Invariant: "not_run" is never reported after a byte may have reached an endpoint.
         log(Event.INVARIANT_BROKEN, rule="not_run_after_send", request=self.work.request)
         return msgspec.structs.replace(problem, outcome=Outcome.UNKNOWN)
--- a/src/lentilrill/gateway/_server.py
+++ b/src/lentilrill/gateway/_server.py
@@ -1,4 +1,4 @@
-"""The gateway process's HTTP side: from a caller's request to its one answer."""
+"""The HTTP server of a gateway process."""
 
 import threading
 import time
@@ -46,11 +46,11 @@
 class GatewayServer:
     """Serves callers on ``settings.listen``.
 
-    :param slots: where and when jobs run.
-    :param claims: at most one dispatch for each idempotency key.
-    :param may_serve: whether this process may send to endpoints at all.
-    :param budget: bound of retries.
-    :param is_to_stop: whether a planned stop wants this entry host's callers to go elsewhere.
+    :param slots: allocates slots on hosts.
+    :param claims: claims idempotency keys.
+    :param may_serve: returns whether this process may send to endpoints.
+    :param budget: limit of retries.
+    :param is_to_stop: returns whether a planned stop of this entry host is in progress.
     """
 
     def __init__(
@@ -94,25 +94,25 @@
 
     @property
     def in_flight(self) -> int:
-        """Jobs whose callers are held now."""
+        """Number of requests in progress."""
         return self._in_flight
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this process."""
         return not self._leaving and not self._is_to_stop() and self.takes_jobs
 
     @property
     def takes_jobs(self) -> bool:
-        """Whether the process takes jobs."""
+        """Whether the process accepts jobs."""
         return not self._draining and self._view.ready and self._may_serve()
 
     @property
     def drained(self) -> bool:
-        """Whether callers were sent elsewhere long enough ago, and none is held any more.
+        """Whether the drain notice time has passed and no request is in progress.
 
-        To be looked at every second or so; how long ago is counted from the last look that
-        found the process ready.
+        Read it about once a second: the notice time is counted from the last read at which the
+        process was ready.
         """
         if self.ready:
             self._last_ready = time.monotonic()
@@ -121,17 +121,17 @@
         return noticed and not self._in_flight
 
     def start(self) -> None:
-        """Listen, and begin to serve."""
+        """Listen and start to serve."""
         self._http.prepare()
         self._watch.start()
         for task in self._tasks:
             task.start()
 
     def drain(self) -> bool:
-        """Take no more jobs, and wait for those in flight, at most ``settings.drain_s``.
+        """Stop accepting jobs, and wait at most ``settings.drain_s`` for those in progress.
 
-        The balancer looks at ``/readyz`` only now and then, and sends callers here until it has
-        seen the 503. So jobs are still taken for ``settings.drain_notice_s``.
+        The load balancer polls ``/readyz`` and sends callers here until it has received a 503.
+        So jobs are still accepted for ``settings.drain_notice_s``.
 
         :return: whether all jobs finished.
         """
@@ -142,7 +142,7 @@
             return self._changed.wait_for(lambda: not self._in_flight, self._settings.drain_s)
 
     def close(self) -> None:
-        """Stop listening and end all tasks."""
+        """Stop listening and stop all threads."""
         self._closed.set()
         self._connections.close()
         self._http.stop()
@@ -203,7 +203,7 @@
         return accept(heading, request, self._plans, self._forwarder)
 
     def _refuse(self, caller: Caller, request: RequestId, problem: Problem) -> None:
-        # The rest of an unread body is no request: the connection can't go on after it.
+        # The rest of an unread body must not be parsed as the next request.
         caller.close_after()
         self._metrics.incr(f"request.refused.{problem.kind.value[0]}")
         caller.refuse(problem, [("Request-Id", request), (GATEWAY_PROBLEM.title(), "1")])
@@ -229,7 +229,7 @@
         serve = self.serve
 
         class Handler(CherootGateway):
-            """Hands each request to the server."""
+            """Passes each request to the server."""
 
             def respond(self) -> None:
                 """Answer the request."""
@@ -239,9 +239,9 @@
 
 
 def _body(heading: Heading, caller: Caller) -> bytes:
-    """Return the body, or as much of a long one as is held before a slot is asked for.
+    """Return the body, or the first part of a long one, up to the buffer limit.
 
-    So a slot is never held by a caller that has not shown that it sends.
+    It is read before a slot is requested, so that a caller that sends nothing holds no slot.
     """
     if heading.length is None:
         return caller.read_chunked()
--- a/src/lentilrill/gateway/_watch.py
+++ b/src/lentilrill/gateway/_watch.py
@@ -1,4 +1,4 @@
-"""Notices callers that leave while they wait for a slot."""
+"""Detection of callers that disconnect while they wait for a slot."""
 
 import contextlib
 import select
@@ -18,12 +18,13 @@
 
 
 class CallerWatch:
-    """One task that watches the sockets of all waiting callers.
+    """A thread that watches the sockets of all waiting callers.
 
-    The kernel tells of a peer's close even when unread bytes stand before it, so a caller that
-    pipelines its next request is still seen leaving. The waiting task then returns at once.
+    ``EPOLLRDHUP`` reports a peer's close even behind unread bytes, so that the disconnect of a
+    caller that pipelined its next request is detected too. The thread that waits for the slot
+    then returns at once.
 
-    :param abandon: called with each request whose caller left.
+    :param abandon: called with each request whose caller disconnected.
     """
 
     def __init__(self, abandon: Callable[[RequestId], None], metrics: Metrics) -> None:
@@ -36,11 +37,11 @@
         self._task = threading.Thread(target=self._run, name="caller-watch", daemon=True)
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start the thread."""
         self._task.start()
 
     def close(self) -> None:
-        """End the task."""
+        """Stop the thread."""
         self._stopping.set()
         if self._task.is_alive():
             self._task.join()
@@ -48,7 +49,7 @@
 
     @contextlib.contextmanager
     def watching(self, caller: Caller, request: RequestId) -> Iterator[None]:
-        """Abandon ``request`` if its caller leaves within the context."""
+        """Abandon ``request`` if its caller disconnects within the context."""
         fd = caller.socket.fileno()
         with self._lock:
             self._waiting_by_fd[fd] = (caller, request)
@@ -77,8 +78,8 @@
 def _has_left(caller: Caller) -> bool:
     """Return whether the caller closed its side.
 
-    Guard against an event of a connection that ended just now, whose number a new connection
-    has already: the new caller would be abandoned for the old one.
+    The event may belong to a connection that has ended and whose file descriptor a new
+    connection has reused. Without this check the new caller's request would be abandoned.
     """
     state: bytes = caller.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     return state[0] != TCP_ESTABLISHED
--- a/src/lentilrill/gateway/_work.py
+++ b/src/lentilrill/gateway/_work.py
@@ -1,4 +1,4 @@
-"""One accepted request, and how its run ended."""
+"""An accepted job and its possible results."""
 
 import msgspec
 
@@ -11,14 +11,14 @@
 
 
 class Work(msgspec.Struct, frozen=True):
-    """One accepted request.
+    """A job that was accepted from a caller or from another zone's gateway.
 
-    :param body: the whole body; ``None`` if it is streamed, and so can be sent only once.
-    :param prefix: first part of a streamed body, read before a slot was asked for.
-    :param start_by: monotonic seconds by which the job must have started.
-    :param answer_by: monotonic seconds by which the caller must be answered.
+    :param body: the complete body; ``None`` if it is streamed and can be sent only once.
+    :param prefix: first part of a streamed body, read before a slot is requested.
+    :param start_by: deadline for the start of the job, in monotonic seconds.
+    :param answer_by: deadline for the answer to the caller, in monotonic seconds.
     :param forwarded: whether another zone's gateway sent it.
-    :param claimed: whether its key, if it has one, is this request's.
+    :param claimed: whether this request holds the claim of its idempotency key, if it has one.
     """
 
     request: RequestId
@@ -34,12 +34,12 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether the job may be sent again although it may have run."""
+        """Whether the job may be sent again even if it may have run already."""
         return self.idempotent and self.body is not None
 
 
 class Whole(msgspec.Struct, frozen=True):
-    """The endpoint gave a whole answer, which is held here."""
+    """A complete response of the endpoint, held in memory."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -48,9 +48,9 @@
 
 
 class Streamed(msgspec.Struct, frozen=True):
-    """The endpoint's answer went to the caller while it was read.
+    """A response that was relayed to the caller while it was read from the endpoint.
 
-    :param whole: whether the endpoint's answer came to its end.
+    :param whole: whether the endpoint's response was read to its end.
     """
 
     status: int
@@ -59,7 +59,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """There is no answer of the job."""
+    """There is no response of an endpoint; the caller gets a problem document."""
 
     problem: Problem
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the gateway's interfaces: slots, claims, endpoints that follow a script."""
+"""Fakes of the gateway's dependencies: slots, claims and scripted endpoints."""
 
 import ctypes
 import http.client
@@ -45,12 +45,12 @@
 
 
 def ok(body: bytes = b"done", head: str = "") -> bytes:
-    """Return a whole answer."""
+    """Return a complete response with status 200."""
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode() + body
 
 
 def drop_all(sock: socket.socket) -> None:
-    """Let the kernel drop what arrives for this connection, as if the path were cut."""
+    """Let the kernel drop all packets that arrive on this connection, as if the path failed."""
     drop = struct.pack("HBBI", 0x06, 0, 0, 0)  # one instruction: return 0 bytes
     program = ctypes.create_string_buffer(drop)
     filter_ = struct.pack("HL", 1, ctypes.addressof(program))
@@ -58,9 +58,9 @@
 
 
 class ScriptedEndpoint:
-    """An endpoint that serves its connections by a script, and records what it received.
+    """An endpoint that handles requests by a script, and records them.
 
-    :param script: called with the connection and each whole request; it may answer or not.
+    :param script: called with the connection and each complete request; it may answer or not.
     """
 
     def __init__(self, script: Serve) -> None:
@@ -122,7 +122,7 @@
 
 
 class FakeSlots:
-    """Gives slots on the listed addresses in turn, but for hosts to be avoided."""
+    """Gives a slot on the first listed address whose host is not to be avoided."""
 
     def __init__(self, *addresses: str) -> None:
         self.addresses = list(addresses)
@@ -139,7 +139,7 @@
         self._grants = itertools.count(1)
 
     def acquire(self, job: Job) -> Result[Slot, Decline]:
-        """Give the first address whose host is not avoided."""
+        """Return a slot on the first address whose host is not to be avoided."""
         self.jobs.append(job)
         if self.hold:
             gate = self._gates_by_request.setdefault(job.request, threading.Event())
@@ -164,12 +164,12 @@
         )
 
     def abandon(self, request: RequestId) -> None:
-        """Let a held acquire return."""
+        """Record the request, and let its blocked :meth:`acquire` return."""
         self.abandoned.put(request)
         self._gates_by_request.setdefault(request, threading.Event()).set()
 
     def start(self, slot: Slot) -> Result[None, Fault]:
-        """Refuse barred hosts."""
+        """Refuse hosts that were withdrawn."""
         if slot.address in self.barred:
             return Failure(Fault("slots.start", slot.host, FaultKind.REFUSED, "withdrawn"))
         self.started.append(slot)
@@ -181,12 +181,12 @@
 
     @property
     def verdicts(self) -> list[Verdict]:
-        """Verdicts so far."""
+        """Verdicts recorded so far."""
         return [verdict for _, verdict in self.released]
 
 
 class FakeClaims:
-    """Claims kept in memory, as one owner would."""
+    """Claims held in memory."""
 
     def __init__(self) -> None:
         self.results_by_key: dict[str, ClaimResult] = {}
@@ -194,21 +194,21 @@
         self.released: list[str] = []
 
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
-        """Claim unless the key has a result."""
+        """Claim the key, unless a result is set for it."""
         return self.results_by_key.get(claim.key, ClaimResult(ClaimState.CLAIMED))
 
     def record(self, claim: Claim, recorded: Recorded) -> None:
-        """Keep the answer for repeats."""
+        """Record the response for repeats of the key."""
         self.recorded_by_key[claim.key] = recorded
         self.results_by_key[claim.key] = ClaimResult(ClaimState.RECORDED, recorded)
 
     def release(self, claim: Claim) -> None:
-        """Forget the key."""
+        """Record that the key was released."""
         self.released.append(claim.key)
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a caller saw."""
+    """A response as the caller received it."""
 
     status: int
     headers: dict[str, str]
@@ -226,7 +226,7 @@
 
 
 class GatewayTestCase(TestCase):
-    """Base of tests of a gateway over real sockets."""
+    """Base class of tests of a gateway over real sockets."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -244,14 +244,14 @@
         )
 
     def an_endpoint(self, script: Serve | None = None) -> ScriptedEndpoint:
-        """Return an endpoint that the slots lead to; by default it answers ``done``."""
+        """Return an endpoint for which slots are given; by default it answers ``done``."""
         endpoint = ScriptedEndpoint(script or (lambda sock, request: sock.sendall(ok())))
         self.addCleanup(endpoint.close)
         self.slots.addresses.append(endpoint.address)
         return endpoint
 
     def a_gateway(self, may_serve: bool = True, **changes: Any) -> GatewayServer:
-        """Return a started gateway that knows :attr:`document`."""
+        """Return a started gateway with :attr:`document` in force."""
         values: dict[str, Any] = {
             "process": "gw-1",
             "entry_host": "e1",
@@ -294,7 +294,7 @@
         body: bytes | None = None,
         **headers: str,
     ) -> Answer:
-        """Send one request and return the whole answer."""
+        """Send one request and return the complete response."""
         connection = self.connect()
         sent = {"Authorization": "Bearer token-schools"}
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave, keyed jobs, draining, and jobs that go to another zone."""
+"""Callers that disconnect, draining, jobs with a key, and forwarding to another zone."""
 
 import queue
 import socket
@@ -28,8 +28,8 @@
         return sock
 
     def test_a_waiting_caller_that_leaves_is_abandoned(self) -> None:
-        # A reader gives up while its job waits for a slot. Its place in the queue must be freed
-        # at once, and not when its job would have started for nobody.
+        # A caller disconnects while its job waits for a slot. The job must leave the queue at
+        # once, and not only when it would have started.
         self.slots.hold = True
         gateway = self.a_gateway()
         caller = self.a_waiting_caller()
@@ -39,8 +39,8 @@
         self.assertTrue(gateway.drain())
 
     def test_a_leaving_caller_is_seen_behind_unread_bytes(self) -> None:
-        # The caller has already sent its next request when it leaves. A look at the next unread
-        # byte shows data, and no end.
+        # The caller has pipelined its next request when it disconnects. A peek at the socket
+        # would return data and not the end of the stream.
         self.slots.hold = True
         self.a_gateway()
         caller = self.a_waiting_caller(extra=HEAD)
@@ -49,8 +49,8 @@
         self.assertEqual(request, self.slots.abandoned.get(timeout=WAIT_S))
 
     def test_waves_of_leaving_callers(self) -> None:
-        # Hundreds of callers leave at once, while others stay. Each who left is abandoned, and
-        # nobody else.
+        # Hundreds of callers disconnect at once, while others stay connected. Exactly the
+        # requests of those that disconnected must be abandoned.
         self.slots.hold = True
         self.a_gateway(threads=300)
         leaving = [self.a_waiting_caller() for _ in range(200)]
@@ -66,8 +66,8 @@
             self.slots.abandon(request)
 
     def test_a_refusal_does_not_wait_behind_held_callers(self) -> None:
-        # All threads but the reserved ones hold callers. One more must hear at once that there
-        # is no room, and when to come back.
+        # All threads except the reserved ones are in use. One more caller must be refused at
+        # once, with Retry-After.
         self.slots.hold = True
         self.a_gateway(threads=20)
         for _ in range(4):
@@ -82,8 +82,8 @@
 
 class DrainTest(GatewayTestCase):
     def test_a_drain_cuts_off_no_request(self) -> None:
-        # A planned stop comes while a volume is being translated. The job must finish whole,
-        # new ones are told to go elsewhere, and only then the drain is over.
+        # A planned stop begins while a job runs. The job must finish, new jobs must be refused,
+        # and the drain must end only after that.
         finish = threading.Event()
 
         def script(sock: socket.socket, request: bytes) -> None:
@@ -111,8 +111,8 @@
         self.assertEqual([True], drained)
 
     def test_jobs_are_taken_until_the_balancer_has_noticed(self) -> None:
-        # The balancer probes once a second and sends callers here until it has seen the 503.
-        # Refusing them at once would turn a planned stop into errors.
+        # The load balancer probes once a second and sends callers here until it has received a
+        # 503. If jobs were refused at once, a planned stop would cause errors.
         self.an_endpoint()
         gateway = self.a_gateway(drain_notice_s=WAIT_S)
         drain = threading.Thread(target=gateway.drain)
@@ -125,8 +125,8 @@
         drain.join(WAIT_S)
 
     def test_an_endless_request_does_not_hold_up_the_end(self) -> None:
-        # An endpoint never answers and the drain's time is over. Closing must end, and tell the
-        # caller that nobody knows.
+        # An endpoint never answers and the drain times out. Closing must not block, and the
+        # caller must be told that the outcome is unknown.
         endpoint = self.an_endpoint(lambda sock, request: None)
         gateway = self.a_gateway(drain_s=0.1)
         answers: list[Answer] = []
@@ -153,8 +153,8 @@
         self.assertEqual(1, len(endpoint.requests))
 
     def test_no_claim_no_dispatch(self) -> None:
-        # The owner of the key is away. Whatever the reason, a job whose key is not claimed may
-        # be running elsewhere: it must not be sent.
+        # The key can't be claimed. Whatever the reason, a job with the key may be running
+        # elsewhere, so this one must not be sent.
         endpoint = self.an_endpoint()
         self.a_gateway()
         for state, status, outcome in (
@@ -175,8 +175,8 @@
         self.assertEqual(["k1"], self.claims.released)
 
     def test_a_lost_job_keeps_its_key(self) -> None:
-        # The order was sent and its answer lost; the caller tries again with the same key. The
-        # order may have run, so the repeat is told that nobody knows, and is not sent.
+        # The order was sent and its response lost; the caller retries with the same key. The
+        # order may have run, so the retry is not sent, and its outcome is reported as unknown.
         endpoint = self.an_endpoint(lambda sock, request: sock.close())
         self.a_gateway()
         for _ in range(2):
@@ -186,8 +186,8 @@
         self.assertEqual([], self.claims.released)
 
     def test_a_large_answer_is_not_kept(self) -> None:
-        # A volume's key is repeated after its answer was given. Only that it ran is still known.
-        # Replayed with its status and no body, the caller would take nothing for the volume.
+        # A key is repeated after its long response was sent. Only the fact that the job ran was
+        # recorded. A replay of the status without the body would look like an empty response.
         self.an_endpoint(lambda sock, request: sock.sendall(ok(bytes(5000))))
         self.a_gateway()
         self.keyed()
@@ -246,14 +246,15 @@
         head = endpoint.requests[0].decode().lower()
         self.assertNotIn(FORWARDED, head)
         self.assertIn(f"request-id: {answer.headers['Request-Id']}", head)
-        # The key was claimed once, the job may not spill on, and it waits no longer in all.
+        # The key was claimed once, the job may not be forwarded again, and its total wait is
+        # not longer.
         self.assertEqual(["k"], list(self.claims.recorded_by_key))
         self.assertFalse(self.there_slots.jobs[0].spillable)
         self.assertLessEqual(self.there_slots.jobs[0].deadline, self.slots.jobs[0].deadline + 0.1)
 
     def test_not_run_there_is_proof(self) -> None:
-        # The other zone has no room for the order. It says so, so that the order may be tried
-        # again here without the risk that it runs twice.
+        # The other zone has no slot for the order and reports "not_run", so that the order may
+        # be retried here without the risk of running twice.
         answer = self.call("POST", body=b"x")
         self.assertEqual((503, "not_run"), (answer.status, answer.outcome))
         self.assertEqual([True, False], [job.spillable for job in self.slots.jobs][:2])
@@ -266,8 +267,8 @@
         self.assertEqual([Verdict.UNUSED], self.slots.verdicts)
 
     def test_an_endpoint_cannot_speak_for_a_gateway(self) -> None:
-        # An endpoint's own answer looks like a gateway's refusal. Believed, a job that ran
-        # would be sent again.
+        # An endpoint's response looks like a gateway's refusal. If it were taken for one, a job
+        # that ran would be sent again.
         body = b'{"outcome":"not_run"}'
         self.an_endpoint_there(
             lambda sock, request: sock.sendall(ok(body, "Gateway-Problem: 1\r\n"))
@@ -277,7 +278,7 @@
         self.assertEqual(1, len(self.slots.jobs))
 
     def test_only_gateways_can_forward(self) -> None:
-        # A caller marks its own keyed job as forwarded, to pass without a claim.
+        # A caller marks its own keyed job as forwarded, to avoid the claim.
         self.an_endpoint_there()
         mark = Mark(RequestId("r"), 30.0, 30.0)
         good = Forwarder(self.keys.secret)
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -1,4 +1,4 @@
-"""What must never happen is stopped and logged, should other code be wrong."""
+"""Violated invariants are detected, stopped and logged."""
 
 from unittest import mock
 
@@ -13,8 +13,8 @@
 
 class InvariantTest(GatewayTestCase):
     def test_a_keyed_job_without_its_claim_is_not_sent(self) -> None:
-        # A fault in the code forgets the claim. The order must not go out: its key may be
-        # another request's, and the order would run twice.
+        # Simulates a fault in the code that skips the claim. The job must not be sent: another
+        # request may hold the key, and the job would run twice.
         self.patch(_keyed.KeyedJobs, "run", lambda jobs, work, c: jobs._dispatcher.run(work, c))
         endpoint = self.an_endpoint()
         self.a_gateway()
@@ -24,7 +24,7 @@
         self.assertEqual(1, len(self.slots.released))
 
     def test_a_second_answer_resets_the_connection(self) -> None:
-        # A second answer would be read as the answer to the caller's next request.
+        # The caller would read a second response as the response to its next request.
         events: list[Event] = []
         self.patch(_caller, "log", lambda event, **fields: events.append(event))
         req = mock.MagicMock(method=b"GET", outheaders=[])
--- a/tests/gateway/test_outcomes.py
+++ b/tests/gateway/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told when things fail between the gateway and an endpoint."""
+"""Responses to callers after failures between the gateway and an endpoint."""
 
 import json
 import socket
@@ -26,7 +26,7 @@
 
 
 def reset(sock: socket.socket, request: bytes) -> None:
-    """Break the connection without an answer."""
+    """Reset the connection without a response."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
@@ -36,7 +36,7 @@
 
 
 def quick_probes() -> list[tuple[int, int, int | bytes]]:
-    """Return the socket options with the shortest times the kernel takes."""
+    """Return the socket options with the shortest timeouts that the kernel accepts."""
     short = {socket.TCP_KEEPIDLE: 1, socket.TCP_KEEPINTVL: 1, socket.TCP_USER_TIMEOUT: 1000}
     return [(level, name, short.get(name, v)) for level, name, v in _endpoints.SOCKET_OPTIONS]
 
@@ -52,8 +52,8 @@
         self.assertEqual((status, outcome), (answer.status, answer.outcome))
 
     def test_unreachable_hosts_are_avoided(self) -> None:
-        # A host is gone, its record is not yet. Nothing was sent, so that even a job that must
-        # not run twice goes on to the next host.
+        # A host has disappeared, but its record has not. Nothing was sent, so even a job that
+        # must not run twice is retried on the next host.
         self.a_closed_port()
         good = self.an_endpoint()
         self.a_gateway()
@@ -69,8 +69,8 @@
         self.assertGreaterEqual(int(answer.headers["Retry-After"]), 1)
 
     def test_a_withdrawn_host_gets_nothing(self) -> None:
-        # Between the grant and the send the host's withdrawal arrives. The ledger refuses the
-        # send; no byte may go out, and the job goes elsewhere.
+        # The host is withdrawn between the grant and the send. The routing ledger refuses the
+        # send: no byte may be sent to the host, and the job runs on another one.
         barred, good = self.an_endpoint(), self.an_endpoint()
         self.slots.barred.add(barred.address)
         self.a_gateway()
@@ -80,8 +80,8 @@
         self.assertEqual([Verdict.UNUSED, Verdict.OK], self.slots.verdicts)
 
     def test_a_lost_order_is_not_repeated(self) -> None:
-        # The endpoint takes a standing order and its connection breaks. Nobody knows whether it
-        # ran. Sent again it could run twice, and told "not run" its caller would send it again.
+        # The endpoint receives an order and the connection breaks. Whether the order ran is
+        # unknown. A retry could run it twice, and so could the caller if it were told "not_run".
         broken, other = self.an_endpoint(reset), self.an_endpoint()
         self.a_gateway()
         self.assert_problem(502, "unknown", self.call("POST", body=b"order"))
@@ -109,8 +109,8 @@
             self.assertEqual(runs, self.call("POST", path, b"x").status, path)
 
     def test_a_later_not_run_does_not_hide_a_loss(self) -> None:
-        # An idempotent job is lost on one host, and then no other host is left. The last try
-        # was not run, but the first may have been: "not run" would be a lie.
+        # An idempotent job is lost on one host, and no other host is left. The last attempt did
+        # not run, but the first one may have, so "not_run" would be wrong.
         self.an_endpoint(reset)
         self.a_gateway()
         self.assert_problem(502, "unknown", self.call("PUT", body=b"x"))
@@ -122,7 +122,7 @@
         self.assertEqual(_limits.ATTEMPTS, sum(len(e.requests) for e in endpoints))
 
     def test_retries_end_with_the_budget(self) -> None:
-        # Every endpoint fails everything. Retries must not multiply the load on them.
+        # Every endpoint fails every request. Retries must not multiply the load on them.
         endpoints = [self.an_endpoint(reset) for _ in range(3)]
         self.a_gateway()
         for _ in range(20):
@@ -130,8 +130,8 @@
         self.assertLessEqual(sum(len(e.requests) for e in endpoints), 20 + RETRY_BURST)
 
     def test_a_leaving_endpoint_did_not_run_the_job(self) -> None:
-        # The endpoint answers that it is leaving and did not begin. Even an order may then go
-        # elsewhere, and the scheduler must hear that the host gets no new work.
+        # The endpoint answers that it is leaving and did not start the job. Even an order may
+        # then run elsewhere, and the scheduler must get the verdict that the host is leaving.
         leaving, other = self.an_endpoint(lambda s, r: s.sendall(LEAVING)), self.an_endpoint()
         self.a_gateway()
         self.assertEqual(200, self.call("POST", body=b"order").status)
@@ -163,8 +163,8 @@
 
 class WholeAnswerTest(GatewayTestCase):
     def test_truncated_answers_are_no_success(self) -> None:
-        # An endpoint dies in the middle of its answer. A reader with half a worksheet and a
-        # status of 200 would not notice.
+        # An endpoint fails in the middle of its response. A caller with status 200 and half of
+        # the body could not detect it.
         for data in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -181,8 +181,8 @@
             self.assertEqual((502, "unknown"), (answer.status, answer.outcome), data)
 
     def test_a_truncated_volume_is_detectable(self) -> None:
-        # A long volume breaks off after its first megabytes went to the reader. The status is
-        # already sent, so the connection must end in a way that can't pass for the whole.
+        # A long response breaks off after its first megabytes were sent to the caller. The
+        # status is already sent, so the connection must end in a way that shows the truncation.
         part = bytes(2 * _limits.BUFFERED_BYTES)
         for head, version in (
             (b"Content-Length: %d\r\n\r\n" % (len(part) + 1), "1.1"),
@@ -204,8 +204,8 @@
             self.assertEqual([Verdict.BROKEN], self.slots.verdicts)
 
     def test_callers_that_hang_up_say_nothing_against_the_host(self) -> None:
-        # Readers close their browsers while long volumes stream. Each answer breaks off, but by
-        # the caller; counted against the host, a wave of them would eject a good one.
+        # Callers disconnect while long responses are streamed. Counted as failures of the host,
+        # many of these at once would eject a healthy host.
         def script(sock: socket.socket, request: bytes) -> None:
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (1 << 30))
             while True:
@@ -221,9 +221,10 @@
         self.assertEqual([Verdict.OK], self.slots.verdicts)
 
     def reads_whole(self, version: str, size: int, seen: threading.Event) -> bool:
-        """Return whether a plain caller takes the answer for whole.
+        """Return whether a simple HTTP client would accept the response as complete.
 
-        :param seen: set once the caller has read ``size`` bytes, so that no unread byte helps.
+        :param seen: set once more than ``size`` bytes were read, so that the connection ends
+            without unread bytes.
         """
         connection = self.connect()
         connection.connect()
@@ -247,9 +248,9 @@
         return len(body) == int(declared[0].split()[1])
 
     def test_a_late_answer_reaches_nobody_else(self) -> None:
-        # An endpoint sends the answer to one request twice; the copy arrives on the kept
-        # connection when another caller's request goes out on it. That caller would get a
-        # stranger's ballot.
+        # An endpoint sends the response to one request twice. The copy arrives on the reused
+        # connection when another caller's request is sent on it, and that caller would get the
+        # response to somebody else's request.
         answered, copied = threading.Event(), threading.Event()
 
         def script(sock: socket.socket, request: bytes) -> None:
@@ -270,14 +271,14 @@
             self.assertEqual(path.encode(), self.call(path=path).body)
 
     def test_an_answer_that_names_another_request_is_dropped(self) -> None:
-        # The same, but the copy arrives only after the next request was sent.
+        # As above, but the copy arrives only after the next request was sent.
         self.an_endpoint(lambda s, r: s.sendall(ok(b"stranger's", "Request-Id: other\r\n")))
         self.a_gateway()
         self.assertEqual(502, self.call("POST", body=b"x").status)
 
     def test_an_abandoned_exchange_ends_its_connection(self) -> None:
-        # The endpoint answers too late. Its connection must not serve another request, or the
-        # late answer would be taken for that one's.
+        # The endpoint answers too late. The connection must not be reused, or the late response
+        # would be read as that of the next request.
         endpoint = self.an_endpoint(silent)
         self.a_gateway()
         self.assertEqual(504, self.call(Prefer="wait=1").status)
@@ -288,8 +289,8 @@
 
 class SilenceTest(GatewayTestCase):
     def test_a_silent_endpoint_is_unknown_in_time(self) -> None:
-        # An endpoint accepts the order and says nothing more. The caller is told so at the end
-        # of its own wait, and that nobody knows.
+        # An endpoint accepts the order and never answers. At the end of its wait the caller must
+        # be told that the outcome is unknown.
         endpoint = self.an_endpoint(silent)
         self.an_endpoint()
         self.a_gateway()
@@ -299,8 +300,8 @@
         self.assertEqual(1, len(endpoint.requests))
 
     def test_orders_go_on_new_connections_only(self) -> None:
-        # A kept connection may have been forgotten by something in between. An order sent on it
-        # is lost without a trace, and nobody can tell whether it ran.
+        # A firewall or NAT may have dropped the state of an idle connection. It would be unknown
+        # whether an order sent on it ran.
         endpoint = self.an_endpoint()
         self.a_gateway()
         for _ in range(3):
@@ -311,9 +312,9 @@
         self.assertEqual(4, endpoint.connections)
 
     def test_a_forgotten_connection_is_replaced(self) -> None:
-        # Something between the two ends forgets a kept connection: from then on nothing on it
-        # is acknowledged, and nobody says so, while new connections work. A job sent on it must
-        # go out again on a new one soon, and not wait for its own deadline.
+        # A firewall or NAT drops the state of an idle connection: packets on it are no longer
+        # acknowledged, without an error, while new connections work. A job sent on it must be
+        # sent again on a new connection soon, and not only after its deadline.
         self.patch(_endpoints, "UNACKED_KEPT_MS", 300)
         self.patch(_patience, "LEAST_S", 100.0)
         forgotten: list[socket.socket] = []
@@ -332,8 +333,8 @@
         self.assertEqual((1, 1), (len(endpoint.requests), len(other.requests)))
 
     def test_a_dead_path_ends_an_order(self) -> None:
-        # The same befalls an order's new connection after the endpoint got it. Its caller must
-        # hear that nobody knows, long before the bound of silent endpoints.
+        # The same happens to an order's new connection after the endpoint received the order.
+        # The caller must be told that the outcome is unknown, long before the response timeout.
         self.patch(_endpoints, "SOCKET_OPTIONS", quick_probes())
         self.an_endpoint(lambda sock, request: drop_all(sock))
         self.a_gateway()
@@ -341,8 +342,8 @@
         self.assertEqual((504, "unknown"), (answer.status, answer.outcome))
 
     def test_a_silent_endpoint_costs_a_repeatable_job_a_part_of_its_time(self) -> None:
-        # Jobs of this pool answer at once. One endpoint accepts and stays silent: the caller's
-        # minute must not be spent on it alone.
+        # Jobs of this pool are answered at once, but one endpoint accepts a job and never
+        # answers. The caller's whole wait of a minute must not be spent on that endpoint.
         self.patch(_patience, "LEAST_S", 0.3)
         endpoint = self.an_endpoint()
         other = self.an_endpoint()
@@ -351,14 +352,14 @@
         endpoint.script = silent
         self.assertEqual(200, self.call(Prefer="wait=60").status)
         self.assertEqual((2, 1), (len(endpoint.requests), len(other.requests)))
-        # An order waits for its one endpoint.
+        # An order is not retried on another endpoint.
         answer = self.call("POST", body=b"order", Prefer="wait=1")
         self.assertEqual((504, "unknown"), (answer.status, answer.outcome))
         self.assertEqual((3, 1), (len(endpoint.requests), len(other.requests)))
 
     def test_a_slow_caller_loses_its_slot(self) -> None:
-        # A caller sends the first megabyte of a volume well and the rest byte by byte, with a
-        # slot in its hands. Each read makes progress, so that no timeout ends it.
+        # A caller sends the first megabyte quickly and the rest byte by byte, while it holds a
+        # slot. Each read makes progress, so no read timeout ends the transfer.
         endpoint = self.an_endpoint()
         self.a_gateway()
         answer = self.slowly(_limits.BUFFERED_BYTES)
--- a/tests/gateway/test_serving.py
+++ b/tests/gateway/test_serving.py
@@ -1,4 +1,4 @@
-"""The gateway without faults, and requests that it must not accept."""
+"""The gateway without faults, and requests that it must refuse."""
 
 import hashlib
 
@@ -115,8 +115,9 @@
         self.assertEqual([], self.slots.jobs)
 
     def test_two_framings_are_refused(self) -> None:
-        # A caller declares both a length and chunks. Were one believed here and the other one
-        # further on, the rest of the body would run as a second job that nobody authorised.
+        # Request smuggling: a caller sends both Content-Length and Transfer-Encoding. If the
+        # endpoint used the other one than the gateway, it would run the rest of the body as a
+        # second job without authorization.
         endpoint = self.an_endpoint()
         self.a_gateway()
         answer = self.call("POST", Content_Length="4", Transfer_Encoding="chunked")
@@ -143,7 +144,7 @@
             self.assertIn(b'"outcome":"not_run"', data)
 
     def assert_refused(self, status: int, name: str, answer: Answer) -> None:
-        """Check the status, the problem's type and that it says ``not_run``."""
+        """Check the status, the problem type and that the outcome is ``not_run``."""
         self.assertEqual(
             (status, f"urn:lentilrill:problem:{name}", "not_run"),
             (answer.status, answer.problem["type"], answer.outcome),
