--- a/src/lentilrill/gateway/_work.py
+++ b/src/lentilrill/gateway/_accepted_job.py
@@ -2,15 +2,15 @@
 
 import msgspec
 
-from lentilrill.gateway._heading import Heading
-from lentilrill.gateway._plans import Holder
+from lentilrill.gateway._plans import PlanAccess
 from lentilrill.gateway._problems import Problem
+from lentilrill.gateway._request_head import RequestHead
 from lentilrill.ids import RequestId
 
-__all__ = ["Ending", "Refused", "Streamed", "Whole", "Work"]
+__all__ = ["AcceptedJob", "BufferedResponse", "JobResult", "ProblemResponse", "StreamedResponse"]
 
 
-class Work(msgspec.Struct, frozen=True):
+class AcceptedJob(msgspec.Struct, frozen=True):
     """A job that was accepted from a caller or from another zone's gateway.
 
     :param body: the complete body; ``None`` if it is streamed and can be sent only once.
@@ -22,11 +22,11 @@
     """
 
     request: RequestId
-    holder: Holder
-    heading: Heading
+    access: PlanAccess
+    request_head: RequestHead
     idempotent: bool
     body: bytes | None
-    prefix: bytes
+    body_prefix: bytes
     start_by: float
     answer_by: float
     forwarded: bool
@@ -38,7 +38,7 @@
         return self.idempotent and self.body is not None
 
 
-class Whole(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """A complete response of the endpoint, held in memory."""
 
     status: int
@@ -47,7 +47,7 @@
     length: int | None = None
 
 
-class Streamed(msgspec.Struct, frozen=True):
+class StreamedResponse(msgspec.Struct, frozen=True):
     """A response that was relayed to the caller while it was read from the endpoint.
 
     :param whole: whether the endpoint's response was read to its end.
@@ -55,13 +55,13 @@
 
     status: int
     content_type: str
-    whole: bool
+    complete: bool
 
 
-class Refused(msgspec.Struct, frozen=True):
+class ProblemResponse(msgspec.Struct, frozen=True):
     """There is no response of an endpoint; the caller gets a problem document."""
 
     problem: Problem
 
 
-Ending = Whole | Streamed | Refused
+JobResult = BufferedResponse | StreamedResponse | ProblemResponse
--- a/src/lentilrill/gateway/_caller.py
+++ b/src/lentilrill/gateway/_caller.py
@@ -12,22 +12,22 @@
 from cheroot.server import ChunkedRFile, HTTPRequest
 
 from lentilrill.gateway._limits import (
-    BUFFERED_BYTES,
     CHUNK_BYTES,
-    SLOW_GRACE_S,
-    SLOW_RATE_BYTES_PER_S,
+    MAX_BUFFERED_BYTES,
+    MIN_RATE_BYTES_PER_S,
+    MIN_RATE_GRACE_S,
 )
 from lentilrill.gateway._problems import Problem
 from lentilrill.telemetry import Event, log
 
-__all__ = ["BodyError", "BodyTrouble", "Caller", "Pace"]
+__all__ = ["BodyError", "BodyErrorKind", "Caller", "MinimumRate"]
 
 CHUNK_OVERHEAD_BYTES = 64 * 1024
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 _REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
-class BodyTrouble(Enum):
+class BodyErrorKind(Enum):
     """Reasons why a request body can't be read."""
 
     TRUNCATED = "the body ended before its declared length"
@@ -39,12 +39,12 @@
 class BodyError(Exception):
     """The request body could not be read completely."""
 
-    def __init__(self, trouble: BodyTrouble) -> None:
-        super().__init__(trouble.value)
-        self.trouble = trouble
+    def __init__(self, kind: BodyErrorKind) -> None:
+        super().__init__(kind.value)
+        self.kind = kind
 
 
-class Pace:
+class MinimumRate:
     """Enforces a minimum average rate of one transfer.
 
     A slow caller could otherwise hold a slot indefinitely: each read or write makes progress, so
@@ -53,14 +53,14 @@
     """
 
     def __init__(self) -> None:
-        self._began = time.monotonic()
-        self._moved = 0
+        self._started = time.monotonic()
+        self._byte_count = 0
 
-    def moved(self, count: int) -> None:
+    def add(self, count: int) -> None:
         """Count transferred bytes; raise ``TimeoutError`` if the transfer is too slow."""
-        self._moved += count
-        allowed_s = SLOW_GRACE_S + self._moved / SLOW_RATE_BYTES_PER_S
-        if time.monotonic() - self._began > allowed_s:
+        self._byte_count += count
+        allowed_s = MIN_RATE_GRACE_S + self._byte_count / MIN_RATE_BYTES_PER_S
+        if time.monotonic() - self._started > allowed_s:
             raise TimeoutError("the transfer is too slow")
 
 
@@ -69,8 +69,8 @@
 
     def __init__(self, req: HTTPRequest) -> None:
         self._req: Any = req
-        self._answered = False
-        self.gone = False
+        self._response_started = False
+        self.disconnected = False
         """Whether the caller is known to have disconnected."""
 
     @property
@@ -79,65 +79,65 @@
         return self._req.conn.socket
 
     @property
-    def answered(self) -> bool:
+    def response_started(self) -> bool:
         """Whether the response was started."""
-        return self._answered
+        return self._response_started
 
-    def read_known(self, length: int) -> bytes:
+    def read_body(self, length: int) -> bytes:
         """Return the complete body, whose declared length is ``length``."""
-        return b"".join(self.stream(length))
+        return b"".join(self.stream_body(length))
 
-    def stream(self, length: int) -> Iterator[bytes]:
+    def stream_body(self, length: int) -> Iterator[bytes]:
         """Yield a body of a declared ``length``; raise :class:`BodyError` if it ends early."""
-        pace = Pace()
-        left = length
-        while left:
+        rate = MinimumRate()
+        remaining_bytes = length
+        while remaining_bytes:
             try:
                 # read1 returns after one socket read. A read that waits for a full chunk would
                 # delay the rate check for hours if the caller sends single bytes.
-                data = self._req.conn.rfile.read1(min(left, CHUNK_BYTES))
+                data = self._req.conn.rfile.read1(min(remaining_bytes, CHUNK_BYTES))
                 self._req.rfile.remaining -= len(data)
-                pace.moved(len(data))
+                rate.add(len(data))
             except TimeoutError as error:
-                raise BodyError(BodyTrouble.SLOW) from error
+                raise BodyError(BodyErrorKind.SLOW) from error
             except OSError as error:
-                raise BodyError(BodyTrouble.TRUNCATED) from error
+                raise BodyError(BodyErrorKind.TRUNCATED) from error
             if not data:
-                raise BodyError(BodyTrouble.TRUNCATED)
-            left -= len(data)
+                raise BodyError(BodyErrorKind.TRUNCATED)
+            remaining_bytes -= len(data)
             yield data
 
     def read_chunked(self) -> bytes:
         """Return the complete body of a chunked request, up to the buffer limit."""
-        limit = BUFFERED_BYTES + CHUNK_OVERHEAD_BYTES
+        limit = MAX_BUFFERED_BYTES + CHUNK_OVERHEAD_BYTES
         reader: Any = ChunkedRFile(self._req.conn.rfile, limit)
         try:
             body = reader.read()
             for _ in reader.read_trailer_lines():
                 pass
         except TimeoutError as error:
-            raise BodyError(BodyTrouble.SLOW) from error
+            raise BodyError(BodyErrorKind.SLOW) from error
         except errors.MaxSizeExceeded as error:
-            raise BodyError(BodyTrouble.LONG) from error
+            raise BodyError(BodyErrorKind.LONG) from error
         except ValueError as error:
-            raise BodyError(BodyTrouble.MALFORMED) from error
+            raise BodyError(BodyErrorKind.MALFORMED) from error
         except OSError as error:
             # The reader raises a plain OSError for a chunk over its limit.
             long = "Too Large" in str(error)
-            raise BodyError(BodyTrouble.LONG if long else BodyTrouble.TRUNCATED) from error
-        if len(body) > BUFFERED_BYTES:
-            raise BodyError(BodyTrouble.LONG)
+            raise BodyError(BodyErrorKind.LONG if long else BodyErrorKind.TRUNCATED) from error
+        if len(body) > MAX_BUFFERED_BYTES:
+            raise BodyError(BodyErrorKind.LONG)
         return body
 
-    def close_after(self) -> None:
+    def close_after_response(self) -> None:
         """Close the connection after the response, as unread body bytes may follow."""
         self._req.close_connection = True
         has_body = (
             self._req.chunked_read or self._req.inheaders.get(b"Content-Length", b"0") != b"0"
         )
-        self._req.conn.unread = has_body
+        self._req.conn.has_unread_body = has_body
 
-    def answer(
+    def send_response(
         self,
         status: int,
         headers: list[tuple[str, str]],
@@ -149,25 +149,27 @@
         :param length: declared length, if it differs from that of ``body`` (as for HEAD).
         """
         declared = len(body) if length is None else length
-        lengths = [] if _is_bodiless(status) else [("Content-Length", str(declared))]
+        length_header = [] if _has_no_body(status) else [("Content-Length", str(declared))]
         # Head and body go out in one write: a second write costs as much as the formatting.
         writer = self._req.conn.wfile
-        writer.held = bool(body) and self._req.method != b"HEAD"
+        writer.buffering = bool(body) and self._req.method != b"HEAD"
         try:
-            self._begin(status, headers + lengths)
+            self._send_head(status, headers + length_header)
         finally:
-            held, writer.held = writer.held, False
-        if held:
+            buffering, writer.buffering = writer.buffering, False
+        if buffering:
             self._req.write(body)
 
-    def refuse(self, problem: Problem, headers: list[tuple[str, str]]) -> None:
+    def send_problem(self, problem: Problem, headers: list[tuple[str, str]]) -> None:
         """Send a problem document."""
-        self.answer(problem.kind.status, headers + problem.headers(), problem.body())
+        self.send_response(problem.kind.status, headers + problem.headers(), problem.body())
 
-    def begin(self, status: int, headers: list[tuple[str, str]], length: int | None) -> None:
+    def start_response(
+        self, status: int, headers: list[tuple[str, str]], length: int | None
+    ) -> None:
         """Start a response whose body is sent by :meth:`write`."""
-        lengths = [] if length is None else [("Content-Length", str(length))]
-        self._begin(status, headers + lengths)
+        length_header = [] if length is None else [("Content-Length", str(length))]
+        self._send_head(status, headers + length_header)
 
     def write(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -181,17 +183,17 @@
         """
         self._req.chunked_write = False
         self._req.close_connection = True
-        self._req.conn.reset = True
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        self._req.conn.reset_on_close = True
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
-    def _begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        if self._answered:
+    def _send_head(self, status: int, headers: list[tuple[str, str]]) -> None:
+        if self._response_started:
             # Invariant: each request gets exactly one response. The caller would read a second
             # one as the response to its next request on this connection.
             log(Event.INVARIANT_BROKEN, rule="answered_once", status=status)
             self.abort()
             raise RuntimeError("a request was answered twice")
-        self._answered = True
+        self._response_started = True
         self._req.status = str(status).encode() + b" " + _REASONS.get(status, b"Status")
         self._req.outheaders.extend(
             (name.encode("latin-1"), value.encode("latin-1")) for name, value in headers
@@ -199,5 +201,5 @@
         self._req.ensure_headers_sent()
 
 
-def _is_bodiless(status: int) -> bool:
+def _has_no_body(status: int) -> bool:
     return status < 200 or status in (204, 304)
--- a/src/lentilrill/gateway/_endpoints.py
+++ b/src/lentilrill/gateway/_connections.py
@@ -8,17 +8,17 @@
 
 from urllib3.connection import HTTPConnection
 
-__all__ = ["EndpointConnections", "Link"]
+__all__ = ["ConnectionCache", "EndpointConnection"]
 
-IDLE_PER_ADDRESS = 4
+MAX_IDLE_PER_ADDRESS = 4
 """An endpoint accepts about 64 connections, which all entry hosts of a zone share."""
-IDLE_ADDRESSES = 512
-IDLE_S = 4.0
+MAX_IDLE_ADDRESSES = 512
+IDLE_TIMEOUT_S = 4.0
 KEEPALIVE_IDLE_S = 5
-KEEPALIVE_EVERY_S = 2
+KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
-UNACKED_MS = 10_000
-UNACKED_KEPT_MS = 2_000
+ACK_TIMEOUT_MS = 10_000
+REUSED_ACK_TIMEOUT_MS = 2_000
 
 # If a firewall or NAT drops the state of a connection, neither FIN nor RST nor data arrives any
 # more. Keepalive probes and sent bytes then stay unacknowledged, and the kernel fails the socket.
@@ -27,52 +27,52 @@
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS),
 ]
 
 
-class Link:
+class EndpointConnection:
     """One open connection, used by one exchange at a time.
 
-    :param fresh: whether it was opened for this exchange, which shows that it reaches the endpoint.
+    :param is_new: whether it was opened for this exchange, so that the endpoint is reachable.
     """
 
-    def __init__(self, connection: HTTPConnection, address: str, fresh: bool) -> None:
-        self.connection = connection
+    def __init__(self, http_connection: HTTPConnection, address: str, is_new: bool) -> None:
+        self.http_connection = http_connection
         self.address = address
-        self.fresh = fresh
+        self.is_new = is_new
         self.idle_since = 0.0
-        self._unacked_ms = UNACKED_MS
+        self._ack_timeout_ms = ACK_TIMEOUT_MS
 
-    def expect_silence(self) -> None:
+    def use_short_ack_timeout(self) -> None:
         """Set a short acknowledgement timeout: the job may be sent again on a new connection."""
-        self._set_unacked(UNACKED_KEPT_MS)
+        self._set_ack_timeout(REUSED_ACK_TIMEOUT_MS)
 
-    def expect_slowness(self) -> None:
+    def use_long_ack_timeout(self) -> None:
         """Set the long timeout, which outlasts a short network outage."""
-        self._set_unacked(UNACKED_MS)
+        self._set_ack_timeout(ACK_TIMEOUT_MS)
 
-    def _set_unacked(self, timeout_ms: int) -> None:
-        sock = self.connection.sock
-        if sock is not None and timeout_ms != self._unacked_ms:
+    def _set_ack_timeout(self, timeout_ms: int) -> None:
+        sock = self.http_connection.sock
+        if sock is not None and timeout_ms != self._ack_timeout_ms:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
-            self._unacked_ms = timeout_ms
+            self._ack_timeout_ms = timeout_ms
 
     def close(self) -> None:
         """Close the connection."""
-        self.connection.close()
+        self.http_connection.close()
 
-    def cut(self) -> None:
+    def shut_down(self) -> None:
         """Shut the socket down, so that a thread that waits on it gets an error."""
-        sock = self.connection.sock
+        sock = self.http_connection.sock
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
 
-class EndpointConnections:
+class ConnectionCache:
     """Opens connections, and keeps idle ones for jobs that may run twice.
 
     An idle connection may have failed without notice since its last use, and it would be
@@ -86,19 +86,19 @@
         self,
         connect_timeout_s: float,
         clock: Callable[[], float] = time.monotonic,
-        own_ip: str = "",
+        source_ip: str = "",
     ) -> None:
         self._connect_timeout_s = connect_timeout_s
-        self._own_ip = own_ip
+        self._source_ip = source_ip
         self._clock = clock
         self._lock = threading.Lock()
-        self._idle_by_address: dict[str, list[Link]] = {}
-        self._busy: set[Link] = set()
+        self._idle_by_address: dict[str, list[EndpointConnection]] = {}
+        self._in_use: set[EndpointConnection] = set()
         self._closed = False
 
-    def take(
+    def acquire(
         self, address: str, idempotent: bool, timeout_s: float, to_gateway: bool = False
-    ) -> Link:
+    ) -> EndpointConnection:
         """Return a connection to ``address`` (``ip:port``); reuse an idle one for idempotent jobs.
 
         :param to_gateway: whether the address is another gateway's. The connection is then
@@ -106,83 +106,92 @@
 
         :raises OSError: no connection could be opened; nothing was sent.
         """
-        link = self._kept(address) if idempotent else None
-        link = link or self._open(address, timeout_s, self._own_ip if to_gateway else "")
+        connection = self._pop_idle(address) if idempotent else None
+        connection = connection or self._open(
+            address, timeout_s, self._source_ip if to_gateway else ""
+        )
         with self._lock:
-            self._busy.add(link)
-        return link
+            self._in_use.add(connection)
+        return connection
 
-    def drop(self, link: Link) -> None:
+    def discard(self, connection: EndpointConnection) -> None:
         """Close a connection that must not be reused."""
         with self._lock:
-            self._busy.discard(link)
-        link.close()
+            self._in_use.discard(connection)
+        connection.close()
 
-    def give_back(self, link: Link) -> None:
+    def return_connection(self, connection: EndpointConnection) -> None:
         """Keep a connection for reuse after its response was read completely."""
-        link.idle_since = self._clock()
+        connection.idle_since = self._clock()
         with self._lock:
-            self._busy.discard(link)
-            idle = self._idle_by_address.setdefault(link.address, [])
-            full = len(idle) >= IDLE_PER_ADDRESS or len(self._idle_by_address) > IDLE_ADDRESSES
+            self._in_use.discard(connection)
+            idle = self._idle_by_address.setdefault(connection.address, [])
+            full = (
+                len(idle) >= MAX_IDLE_PER_ADDRESS or len(self._idle_by_address) > MAX_IDLE_ADDRESSES
+            )
             if not self._closed and not full:
-                idle.append(link)
+                idle.append(connection)
                 return
-        link.close()
+        connection.close()
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close connections whose idle timeout has passed."""
-        oldest = self._clock() - IDLE_S
-        stale: list[Link] = []
+        oldest = self._clock() - IDLE_TIMEOUT_S
+        stale: list[EndpointConnection] = []
         with self._lock:
             for address, idle in list(self._idle_by_address.items()):
-                stale += [link for link in idle if link.idle_since < oldest]
-                fresh = [link for link in idle if link.idle_since >= oldest]
-                if fresh:
-                    self._idle_by_address[address] = fresh
+                stale += [connection for connection in idle if connection.idle_since < oldest]
+                recent = [connection for connection in idle if connection.idle_since >= oldest]
+                if recent:
+                    self._idle_by_address[address] = recent
                 else:
                     del self._idle_by_address[address]
-        for link in stale:
-            link.close()
+        for connection in stale:
+            connection.close()
 
     def close(self) -> None:
         """Close all idle connections, and abort exchanges still in progress after the drain."""
         with self._lock:
             self._closed = True
-            links = [link for idle in self._idle_by_address.values() for link in idle]
+            idle_connections = [
+                connection for idle in self._idle_by_address.values() for connection in idle
+            ]
             self._idle_by_address.clear()
-            busy = list(self._busy)
-        for link in links:
-            link.close()
-        for link in busy:
-            link.cut()
+            in_use = list(self._in_use)
+        for connection in idle_connections:
+            connection.close()
+        for connection in in_use:
+            connection.shut_down()
 
-    def _kept(self, address: str) -> Link | None:
+    def _pop_idle(self, address: str) -> EndpointConnection | None:
         while True:
             with self._lock:
                 idle = self._idle_by_address.get(address)
-                link = idle.pop() if idle else None
-            if link is None:
+                connection = idle.pop() if idle else None
+            if connection is None:
                 return None
-            if self._clock() - link.idle_since < IDLE_S and link.connection.is_connected:
-                link.fresh = False
-                link.expect_silence()
-                return link
-            link.close()
+            if (
+                self._clock() - connection.idle_since < IDLE_TIMEOUT_S
+                and connection.http_connection.is_connected
+            ):
+                connection.is_new = False
+                connection.use_short_ack_timeout()
+                return connection
+            connection.close()
 
-    def _open(self, address: str, timeout_s: float, own_ip: str) -> Link:
+    def _open(self, address: str, timeout_s: float, source_ip: str) -> EndpointConnection:
         host, _, port = address.rpartition(":")
-        is_usable = own_ip and own_ip.startswith("[") == host.startswith("[")
-        connection = HTTPConnection(
+        is_usable = source_ip and source_ip.startswith("[") == host.startswith("[")
+        http_connection = HTTPConnection(
             host.strip("[]"),
             int(port),
             timeout=max(0.001, min(timeout_s, self._connect_timeout_s)),
-            source_address=(own_ip.strip("[]"), 0) if is_usable else None,
+            source_address=(source_ip.strip("[]"), 0) if is_usable else None,
             socket_options=SOCKET_OPTIONS,
         )
         try:
-            connection.connect()
+            http_connection.connect()
         except Exception:
-            connection.close()
+            http_connection.close()
             raise
-        return Link(connection, address, fresh=True)
+        return EndpointConnection(http_connection, address, is_new=True)
--- a/src/lentilrill/gateway/_watch.py
+++ b/src/lentilrill/gateway/_disconnects.py
@@ -10,14 +10,14 @@
 from lentilrill.ids import RequestId
 from lentilrill.telemetry import Metrics
 
-__all__ = ["CallerWatch"]
+__all__ = ["CallerDisconnectWatcher"]
 
-POLL_S = 0.2
-EVENTS_AT_ONCE = 1024
+POLL_TIMEOUT_S = 0.2
+MAX_EVENTS_PER_POLL = 1024
 TCP_ESTABLISHED = 1
 
 
-class CallerWatch:
+class CallerDisconnectWatcher:
     """A thread that watches the sockets of all waiting callers.
 
     ``EPOLLRDHUP`` reports a peer's close even behind unread bytes, so that the disconnect of a
@@ -34,17 +34,17 @@
         self._lock = threading.Lock()
         self._waiting_by_fd: dict[int, tuple[Caller, RequestId]] = {}
         self._stopping = threading.Event()
-        self._task = threading.Thread(target=self._run, name="caller-watch", daemon=True)
+        self._thread = threading.Thread(target=self._watch_loop, name="caller-watch", daemon=True)
 
     def start(self) -> None:
         """Start the thread."""
-        self._task.start()
+        self._thread.start()
 
     def close(self) -> None:
         """Stop the thread."""
         self._stopping.set()
-        if self._task.is_alive():
-            self._task.join()
+        if self._thread.is_alive():
+            self._thread.join()
         self._epoll.close()
 
     @contextlib.contextmanager
@@ -61,21 +61,21 @@
                 del self._waiting_by_fd[fd]
                 self._epoll.unregister(fd)
 
-    def _run(self) -> None:
+    def _watch_loop(self) -> None:
         while not self._stopping.is_set():
-            for fd, _ in self._epoll.poll(POLL_S, EVENTS_AT_ONCE):
+            for fd, _ in self._epoll.poll(POLL_TIMEOUT_S, MAX_EVENTS_PER_POLL):
                 with self._lock:
                     waiting = self._waiting_by_fd.get(fd)
-                if waiting is not None and _has_left(waiting[0]):
-                    self._left(*waiting)
+                if waiting is not None and _is_disconnected(waiting[0]):
+                    self._on_disconnect(*waiting)
 
-    def _left(self, caller: Caller, request: RequestId) -> None:
-        caller.gone = True
+    def _on_disconnect(self, caller: Caller, request: RequestId) -> None:
+        caller.disconnected = True
         self._metrics.incr("request.abandoned")
         self._abandon(request)
 
 
-def _has_left(caller: Caller) -> bool:
+def _is_disconnected(caller: Caller) -> bool:
     """Return whether the caller closed its side.
 
     The event may belong to a connection that has ended and whose file descriptor a new
--- a/src/lentilrill/gateway/_exchange.py
+++ b/src/lentilrill/gateway/_exchange.py
@@ -9,29 +9,29 @@
 from urllib3.response import BaseHTTPResponse
 from urllib3.util.wait import wait_for_read
 
-from lentilrill.gateway._endpoints import Link
-from lentilrill.gateway._heading import passed_on
-from lentilrill.gateway._limits import BUFFERED_BYTES, CHUNK_BYTES
+from lentilrill.gateway._connections import EndpointConnection
+from lentilrill.gateway._limits import CHUNK_BYTES, MAX_BUFFERED_BYTES
+from lentilrill.gateway._request_head import end_to_end_headers
 
-__all__ = ["BrokenError", "Exchange", "Head", "SilentError"]
+__all__ = ["Exchange", "ExchangeError", "ExchangeTimeoutError", "ResponseHead"]
 
 ENDPOINT_STATE = "endpoint-state"
 LEAVING = "leaving"
 REQUEST_ID = "request-id"
-OWN_HEADERS = frozenset(("content-length", ENDPOINT_STATE, REQUEST_ID, "gateway-problem"))
-SILENCE_S = 60.0
+GATEWAY_HEADERS = frozenset(("content-length", ENDPOINT_STATE, REQUEST_ID, "gateway-problem"))
+READ_TIMEOUT_S = 60.0
 """Timeout of one read of a long response body."""
 
 
-class BrokenError(Exception):
+class ExchangeError(Exception):
     """The exchange failed, or its response can't be verified to be complete."""
 
 
-class SilentError(BrokenError):
+class ExchangeTimeoutError(ExchangeError):
     """The endpoint did not answer in time."""
 
 
-class Head(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """Status and headers of a response.
 
     :param length: declared length of the body; ``None`` if it is chunked.
@@ -51,17 +51,17 @@
 class Exchange:
     """One request and its response on a connection that no other exchange uses meanwhile."""
 
-    def __init__(self, link: Link, request: str) -> None:
-        self._link = link
+    def __init__(self, connection: EndpointConnection, request: str) -> None:
+        self._connection = connection
         self._request = request
-        self._sock = link.connection.sock
+        self._sock = connection.http_connection.sock
         self._response: BaseHTTPResponse | None = None
-        self._whole = False
+        self._complete = False
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether the response was read completely."""
-        return self._whole
+        return self._complete
 
     def send(
         self,
@@ -71,11 +71,11 @@
         body: bytes | Iterable[bytes] | None,
         timeout_s: float,
     ) -> None:
-        """Send the request; raise :class:`BrokenError` if the connection fails."""
-        connection = self._link.connection
-        connection.timeout = timeout_s
+        """Send the request; raise :class:`ExchangeError` if the connection fails."""
+        http_connection = self._connection.http_connection
+        http_connection.timeout = timeout_s
         try:
-            connection.request(
+            http_connection.request(
                 method,
                 target,
                 body=body,
@@ -85,91 +85,91 @@
                 enforce_content_length=True,
             )
         except TimeoutError as error:
-            raise SilentError(f"sending timed out: {error}") from error
+            raise ExchangeTimeoutError(f"sending timed out: {error}") from error
         except (OSError, HTTPException, HTTPError) as error:
-            raise BrokenError(f"sending failed: {error}") from error
+            raise ExchangeError(f"sending failed: {error}") from error
 
-    def answers_within(self, timeout_s: float) -> bool:
+    def wait_for_response(self, timeout_s: float) -> bool:
         """Wait for the first byte of the response; return whether it arrived."""
         return wait_for_read(self._sock, max(0.0, timeout_s))
 
-    def head(self, method: str, timeout_s: float) -> Head:
+    def read_head(self, method: str, timeout_s: float) -> ResponseHead:
         """Return the response's status and headers; wait at most ``timeout_s`` seconds."""
-        connection = self._link.connection
-        connection.timeout = max(0.001, timeout_s)
+        http_connection = self._connection.http_connection
+        http_connection.timeout = max(0.001, timeout_s)
         try:
-            response = connection.getresponse()
+            response = http_connection.getresponse()
         except TimeoutError as error:
-            raise SilentError("no answer in time") from error
+            raise ExchangeTimeoutError("no answer in time") from error
         except (OSError, HTTPException, HTTPError, ValueError) as error:
-            raise BrokenError(f"no answer: {error!r}") from error
+            raise ExchangeError(f"no answer: {error!r}") from error
         self._response = response
-        self._link.expect_slowness()
-        return self._checked(method, response)
+        self._connection.use_long_ack_timeout()
+        return self._check_head(method, response)
 
-    def read_small(self, head: Head, answer_by: float) -> tuple[bytes, bool]:
+    def read_buffered(self, head: ResponseHead, answer_by: float) -> tuple[bytes, bool]:
         """Return the body up to the buffer limit, and whether it is complete."""
         if head.bodiless or head.length == 0:
-            self._whole = True
+            self._complete = True
             return b"", True
         if head.length is not None and head.length <= CHUNK_BYTES:
-            return self._read_known(head.length, answer_by), True
+            return self._read_single(head.length, answer_by), True
         parts: list[bytes] = []
         size = 0
-        for part in self._parts(answer_by):
+        for part in self._iter_parts(answer_by):
             parts.append(part)
             size += len(part)
-            if size > BUFFERED_BYTES:
+            if size > MAX_BUFFERED_BYTES:
                 return b"".join(parts), False
         return b"".join(parts), True
 
-    def _read_known(self, length: int, answer_by: float) -> bytes:
+    def _read_single(self, length: int, answer_by: float) -> bytes:
         """Return a body that fits one read; the declared length shows that it is complete."""
-        body = next(self._parts(answer_by), b"")
+        body = next(self._iter_parts(answer_by), b"")
         if len(body) != length:
-            raise BrokenError(f"the answer broke off after {len(body)} of {length} bytes")
-        self._whole = True
+            raise ExchangeError(f"the answer broke off after {len(body)} of {length} bytes")
+        self._complete = True
         return body
 
-    def rest(self) -> Iterator[bytes]:
-        """Yield the body after :meth:`read_small`; raise if it can't be verified as complete."""
-        return self._parts(None)
+    def stream_rest(self) -> Iterator[bytes]:
+        """Yield the body after :meth:`read_buffered`; raise if it can't be verified as complete."""
+        return self._iter_parts(None)
 
-    def _parts(self, answer_by: float | None) -> Iterator[bytes]:
+    def _iter_parts(self, answer_by: float | None) -> Iterator[bytes]:
         assert self._response is not None
         while True:
-            left_s = SILENCE_S if answer_by is None else answer_by - time.monotonic()
+            left_s = READ_TIMEOUT_S if answer_by is None else answer_by - time.monotonic()
             if left_s <= 0:
-                raise SilentError("the answer did not end in time")
+                raise ExchangeTimeoutError("the answer did not end in time")
             try:
                 # http.client closes the socket of a connection that ends with this response
                 # once it has read the last byte.
                 if self._sock.fileno() >= 0:
-                    self._sock.settimeout(min(left_s, SILENCE_S))
+                    self._sock.settimeout(min(left_s, READ_TIMEOUT_S))
                 part = self._response.read(CHUNK_BYTES)
             except (OSError, HTTPException, HTTPError, ValueError) as error:
-                raise BrokenError(f"the answer broke off: {error!r}") from error
+                raise ExchangeError(f"the answer broke off: {error!r}") from error
             if not part:
-                self._whole = True
+                self._complete = True
                 return
             yield part
 
-    def _checked(self, method: str, response: BaseHTTPResponse) -> Head:
+    def _check_head(self, method: str, response: BaseHTTPResponse) -> ResponseHead:
         headers = {name.lower(): value for name, value in response.headers.items()}
-        owner = headers.get(REQUEST_ID, self._request)
-        if owner != self._request:
+        answered_request = headers.get(REQUEST_ID, self._request)
+        if answered_request != self._request:
             # A duplicated or late response on a reused connection would go to the wrong caller.
             # It is detected if the endpoint sends the request id back.
-            raise BrokenError(f"the answer is for request {owner!r}")
+            raise ExchangeError(f"the answer is for request {answered_request!r}")
         bodiless = method == "HEAD" or response.status in (204, 304)
         chunked = headers.get("transfer-encoding", "").lower() == "chunked"
         length = headers.get("content-length", "")
         if response.status < 200:
-            raise BrokenError(f"unexpected status {response.status}")
+            raise ExchangeError(f"unexpected status {response.status}")
         if not (bodiless or chunked or length.isdecimal()):
             # Without a framing, a truncated body can't be told from a complete one.
-            raise BrokenError("the answer has neither Content-Length nor chunks")
-        return Head(
+            raise ExchangeError("the answer has neither Content-Length nor chunks")
+        return ResponseHead(
             status=response.status,
             headers=[
                 (name.title(), value.replace("\r", " ").replace("\n", " "))
@@ -183,5 +183,5 @@
 
 
 def _end_to_end(response: BaseHTTPResponse) -> Iterator[tuple[str, str]]:
-    kept = passed_on({n.lower(): v for n, v in response.headers.items()}, OWN_HEADERS)
+    kept = end_to_end_headers({n.lower(): v for n, v in response.headers.items()}, GATEWAY_HEADERS)
     return ((name, value) for name, value in response.headers.items() if name.lower() in kept)
--- a/src/lentilrill/gateway/_http.py
+++ b/src/lentilrill/gateway/_http.py
@@ -9,15 +9,15 @@
 from cheroot.server import Gateway as CherootGateway
 from cheroot.server import HTTPConnection, HTTPRequest, HTTPServer
 
-from lentilrill.gateway._limits import HEADER_BYTES, SILENT_CALLER_S
+from lentilrill.gateway._limits import CALLER_TIMEOUT_S, MAX_HEADER_BYTES
 from lentilrill.gateway._problems import Outcome, Problem, ProblemKind
 from lentilrill.telemetry import Event, log
 
 __all__ = ["CallerServer"]
 
-ACCEPT_QUEUE = 1024
-DISCARD_S = 1.0
-DISCARD_BYTES = 256 * 1024
+LISTEN_BACKLOG = 1024
+DISCARD_TIMEOUT_S = 1.0
+DISCARD_CHUNK_BYTES = 256 * 1024
 
 KINDS_BY_STATUS = {
     400: ProblemKind.MALFORMED,
@@ -51,14 +51,14 @@
 class _Writer(StreamWriter):
     """A writer that can buffer a response head, so that head and body go out in one write."""
 
-    held = False
+    buffering = False
 
     def write(self, b: Any) -> Any:
         """Write ``b``, or only buffer it."""
-        if not self.held:
+        if not self.buffering:
             return super().write(b)
-        buffered: Any = self
-        buffered._write_buf.extend(b)
+        writer: Any = self
+        writer._write_buf.extend(b)
         return len(b)
 
 
@@ -66,8 +66,8 @@
     """A connection that can be reset."""
 
     RequestHandlerClass = _Request
-    reset = False
-    unread = False
+    reset_on_close = False
+    has_unread_body = False
 
     def __init__(self, server: HTTPServer, sock: socket.socket, makefile: Any = MakeFile) -> None:
         super().__init__(server, sock, makefile)
@@ -75,26 +75,26 @@
 
     def close(self) -> None:
         """Close the connection; without the orderly shutdown if it is to be reset."""
-        if self.reset:
+        if self.reset_on_close:
             self.rfile.close()
             self.socket.close()
             return
-        if self.unread:
-            self._discard()
+        if self.has_unread_body:
+            self._discard_unread_body()
         super().close()
 
-    def _discard(self) -> None:
+    def _discard_unread_body(self) -> None:
         """Read and discard the rest of a request body for a short time after an early refusal.
 
         If the socket were closed while the caller still sends its body, the kernel would answer
         with a reset, and the caller would lose the refusal before it has read it.
         """
-        end = time.monotonic() + DISCARD_S
+        deadline = time.monotonic() + DISCARD_TIMEOUT_S
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
-            while (left_s := end - time.monotonic()) > 0:
+            while (left_s := deadline - time.monotonic()) > 0:
                 self.socket.settimeout(left_s)
-                if not self.socket.recv(DISCARD_BYTES):
+                if not self.socket.recv(DISCARD_CHUNK_BYTES):
                     return
 
 
@@ -102,18 +102,18 @@
     """cheroot's HTTP server with the limits of the request path."""
 
     ConnectionClass = _Connection
-    timeout = SILENT_CALLER_S
-    max_request_header_size = HEADER_BYTES
-    request_queue_size = ACCEPT_QUEUE
+    timeout = CALLER_TIMEOUT_S
+    max_request_header_size = MAX_HEADER_BYTES
+    request_queue_size = LISTEN_BACKLOG
 
     def __init__(
-        self, address: str, gateway: type[CherootGateway], threads: int, largest_body_bytes: int
+        self, address: str, gateway: type[CherootGateway], threads: int, max_body_bytes: int
     ) -> None:
         host, _, port = address.rpartition(":")
         super().__init__(
             (host.strip("[]"), int(port)), gateway, minthreads=threads, server_name="lentilrill"
         )
-        self.max_request_body_size = largest_body_bytes
+        self.max_request_body_size = max_body_bytes
         self.keep_alive_conn_limit = 2 * threads
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
--- a/src/lentilrill/gateway/_problems.py
+++ b/src/lentilrill/gateway/_problems.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-__all__ = ["CONTENT_TYPE", "Outcome", "Problem", "ProblemKind", "outcome_of"]
+__all__ = ["CONTENT_TYPE", "Outcome", "Problem", "ProblemKind", "decode_outcome"]
 
 CONTENT_TYPE = "application/problem+json"
-URN = "urn:lentilrill:problem:"
-JITTER = 0.25
+URN_PREFIX = "urn:lentilrill:problem:"
+RETRY_AFTER_JITTER = 0.25
 """Maximum random increase of Retry-After, as a fraction, so that retries are spread out."""
 
 
@@ -50,7 +50,7 @@
     @property
     def urn(self) -> str:
         """The URN that identifies the problem type."""
-        return URN + self.value[0]
+        return URN_PREFIX + self.value[0]
 
     @property
     def status(self) -> int:
@@ -92,7 +92,7 @@
         if self.kind is ProblemKind.TOKEN:
             headers.append(("WWW-Authenticate", "Bearer"))
         if self.retry_after_s is not None:
-            spread = self.retry_after_s * (1 + random.random() * JITTER)
+            spread = self.retry_after_s * (1 + random.random() * RETRY_AFTER_JITTER)
             headers.append(("Retry-After", str(max(1, math.ceil(spread)))))
         return headers
 
@@ -101,7 +101,7 @@
     outcome: Outcome
 
 
-def outcome_of(body: bytes) -> Outcome:
+def decode_outcome(body: bytes) -> Outcome:
     """Return the outcome in another gateway's problem document; ``UNKNOWN`` if it has none."""
     try:
         return msgspec.json.decode(body, type=_Document).outcome
--- a/src/lentilrill/gateway/_refusals.py
+++ b/src/lentilrill/gateway/_refusals.py
@@ -1,13 +1,20 @@
 """Conversion of failures on the way to an endpoint to problem documents."""
 
-from lentilrill.gateway._caller import BodyError, BodyTrouble
-from lentilrill.gateway._exchange import Head
-from lentilrill.gateway._problems import Outcome, Problem, ProblemKind, outcome_of
-from lentilrill.gateway._run import Lost, NotSent
+from lentilrill.gateway._caller import BodyError, BodyErrorKind
+from lentilrill.gateway._exchange import ResponseHead
+from lentilrill.gateway._problems import Outcome, Problem, ProblemKind, decode_outcome
+from lentilrill.gateway._retry_state import NotSent, ResponseLost
 from lentilrill.inner import Refusal
 from lentilrill.routing import Decline, Slot
 
-__all__ = ["bad_body", "declined", "silent", "unreachable", "withdrawn", "zone_refused"]
+__all__ = [
+    "body_problem",
+    "declined_problem",
+    "timeout_problem",
+    "unreachable_problem",
+    "withdrawn_problem",
+    "zone_failure",
+]
 
 RETRY_AFTER_S = 1.0
 KINDS_BY_REFUSAL = {
@@ -19,46 +26,46 @@
 }
 
 
-def zone_refused(head: Head, body: bytes) -> NotSent | Lost:
+def zone_failure(head: ResponseHead, body: bytes) -> NotSent | ResponseLost:
     """Return the result that another zone's gateway reported in its problem document."""
-    outcome = outcome_of(body)
-    after = dict(head.headers).get("Retry-After", "")
-    kind = ProblemKind.BUSY if outcome is Outcome.NOT_RUN else ProblemKind.LOST
+    outcome = decode_outcome(body)
+    retry_after = dict(head.headers).get("Retry-After", "")
+    problem_kind = ProblemKind.BUSY if outcome is Outcome.NOT_RUN else ProblemKind.LOST
     problem = Problem(
-        kind,
+        problem_kind,
         f"another zone answered {head.status}",
         outcome,
-        float(after) if after.isdecimal() else None,
+        float(retry_after) if retry_after.isdecimal() else None,
     )
-    return NotSent(problem) if outcome is Outcome.NOT_RUN else Lost(problem)
+    return NotSent(problem) if outcome is Outcome.NOT_RUN else ResponseLost(problem)
 
 
-def declined(decline: Decline) -> Problem:
+def declined_problem(decline: Decline) -> Problem:
     """Return the problem for a slot request that was declined."""
-    kind = KINDS_BY_REFUSAL[decline.refusal]
-    return Problem(kind, decline.reason, retry_after_s=decline.retry_after_s)
+    problem_kind = KINDS_BY_REFUSAL[decline.refusal]
+    return Problem(problem_kind, decline.reason, retry_after_s=decline.retry_after_s)
 
 
-def unreachable(slot: Slot) -> Problem:
+def unreachable_problem(slot: Slot) -> Problem:
     """Return the problem for a host to which no connection could be opened."""
     detail = f"host {slot.host} could not be reached"
     return Problem(ProblemKind.UNREACHABLE, detail, retry_after_s=RETRY_AFTER_S)
 
 
-def withdrawn() -> Problem:
+def withdrawn_problem() -> Problem:
     """Return the problem for hosts that are being withdrawn."""
     detail = "the chosen hosts are leaving"
     return Problem(ProblemKind.BUSY, detail, retry_after_s=RETRY_AFTER_S)
 
 
-def silent(slot: Slot) -> Problem:
+def timeout_problem(slot: Slot) -> Problem:
     """Return the problem for an endpoint that did not answer in time."""
     detail = f"host {slot.host} did not answer in time"
     return Problem(ProblemKind.SILENT, detail, Outcome.UNKNOWN)
 
 
-def bad_body(error: BodyError) -> Problem:
+def body_problem(error: BodyError) -> Problem:
     """Return the problem for a request body that failed while it was streamed."""
-    slow = error.trouble is BodyTrouble.SLOW
-    kind = ProblemKind.SLOW if slow else ProblemKind.MALFORMED
-    return Problem(kind, str(error), Outcome.UNKNOWN)
+    slow = error.kind is BodyErrorKind.SLOW
+    problem_kind = ProblemKind.SLOW if slow else ProblemKind.MALFORMED
+    return Problem(problem_kind, str(error), Outcome.UNKNOWN)
--- a/src/lentilrill/gateway/_patience.py
+++ b/src/lentilrill/gateway/_response_times.py
@@ -2,14 +2,14 @@
 
 from lentilrill.ids import PoolId
 
-__all__ = ["RunTimes"]
+__all__ = ["ResponseTimes"]
 
 DECAY = 0.98
-FACTOR = 4.0
-LEAST_S = 2.0
+TIMEOUT_FACTOR = 4.0
+MIN_TIMEOUT_S = 2.0
 
 
-class RunTimes:
+class ResponseTimes:
     """The recent maximum run time of each pool's jobs, which decays with each shorter run.
 
     An endpoint that accepts a job and never answers would use up the caller's whole wait. An
@@ -18,14 +18,14 @@
     """
 
     def __init__(self) -> None:
-        self._longest_by_pool: dict[PoolId, float] = {}
+        self._recent_max_by_pool: dict[PoolId, float] = {}
 
-    def note(self, pool: PoolId, run_s: float) -> None:
+    def record(self, pool: PoolId, run_s: float) -> None:
         """Record the run time of a job that was answered completely."""
-        longest = self._longest_by_pool.get(pool, 0.0)
-        self._longest_by_pool[pool] = max(run_s, longest * DECAY)
+        recent_max = self._recent_max_by_pool.get(pool, 0.0)
+        self._recent_max_by_pool[pool] = max(run_s, recent_max * DECAY)
 
-    def patience_s(self, pool: PoolId) -> float | None:
+    def timeout_s(self, pool: PoolId) -> float | None:
         """Return the timeout of a first attempt; ``None`` if no run was recorded yet."""
-        longest = self._longest_by_pool.get(pool)
-        return None if longest is None else max(LEAST_S, FACTOR * longest)
+        recent_max = self._recent_max_by_pool.get(pool)
+        return None if recent_max is None else max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * recent_max)
--- a/src/lentilrill/gateway/_run.py
+++ b/src/lentilrill/gateway/_retry_state.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
+from lentilrill.gateway._accepted_job import AcceptedJob
 from lentilrill.gateway._problems import Outcome, Problem
-from lentilrill.gateway._work import Work
 from lentilrill.ids import HostId
 from lentilrill.routing import Slot, Where
 from lentilrill.telemetry import Event, log
 
-__all__ = ["Lost", "NotSent", "Run"]
+__all__ = ["NotSent", "ResponseLost", "RetryState"]
 
 
 class NotSent(msgspec.Struct, frozen=True):
@@ -18,57 +18,57 @@
     costs_budget: bool = True
 
 
-class Lost(msgspec.Struct, frozen=True):
+class ResponseLost(msgspec.Struct, frozen=True):
     """Bytes of the job were sent, and no complete response was received.
 
-    :param paid: whether the retry budget was already charged for the retry.
+    :param budget_charged: whether the retry budget was already charged for the retry.
     """
 
     problem: Problem
-    paid: bool = False
+    budget_charged: bool = False
 
 
-class Run:
+class RetryState:
     """The failed attempts of one job."""
 
-    def __init__(self, work: Work) -> None:
-        self.work = work
+    def __init__(self, job: AcceptedJob) -> None:
+        self.job = job
         self.avoid: list[HostId] = []
         self.attempts = 0
         self.unstarted = 0
-        self.spillable = not work.forwarded
+        self.spillable = not job.forwarded
         self.sent = False
         """Whether an endpoint may have received a byte of the job and may have run it."""
-        self.body_used = False
-        self._lost: Problem | None = None
+        self.body_consumed = False
+        self._lost_problem: Problem | None = None
 
-    def note(self, result: NotSent | Lost, slot: Slot) -> None:
+    def record_failure(self, result: NotSent | ResponseLost, slot: Slot) -> None:
         """Record a failed attempt."""
-        if isinstance(result, Lost):
-            self._lost = result.problem
+        if isinstance(result, ResponseLost):
+            self._lost_problem = result.problem
         else:
-            self.sent = self._lost is not None
+            self.sent = self._lost_problem is not None
         if slot.where is Where.ZONE:
             self.spillable = False
         else:
             self.avoid.append(slot.host)
 
-    def final(self, problem: Problem) -> Problem:
+    def final_problem(self, problem: Problem) -> Problem:
         """Return the problem to report when the last attempt ended with ``problem``.
 
         If an earlier attempt was lost, its outcome stays unknown although a retry did not run.
         """
         if problem.outcome is Outcome.UNKNOWN:
             return problem
-        if self._lost is None:
-            return self._proved(problem)
+        if self._lost_problem is None:
+            return self._verify_not_run(problem)
         return msgspec.structs.replace(
-            self._lost, detail=f"{self._lost.detail}; then: {problem.detail}"
+            self._lost_problem, detail=f"{self._lost_problem.detail}; then: {problem.detail}"
         )
 
-    def _proved(self, problem: Problem) -> Problem:
+    def _verify_not_run(self, problem: Problem) -> Problem:
         if not self.sent:
             return problem
         # Invariant: "not_run" is never reported after a byte may have reached an endpoint.
-        log(Event.INVARIANT_BROKEN, rule="not_run_after_send", request=self.work.request)
+        log(Event.INVARIANT_BROKEN, rule="not_run_after_send", request=self.job.request)
         return msgspec.structs.replace(problem, outcome=Outcome.UNKNOWN)
--- a/src/lentilrill/gateway/_server.py
+++ b/src/lentilrill/gateway/_server.py
@@ -10,19 +10,19 @@
 from returns.result import Failure
 
 from lentilrill.fleet import FleetView
-from lentilrill.gateway._accept import Acceptance, accept
-from lentilrill.gateway._caller import BodyError, BodyTrouble, Caller
+from lentilrill.gateway._accepted_job import BufferedResponse, ProblemResponse
+from lentilrill.gateway._authorization import AuthorizedRequest, authorize
+from lentilrill.gateway._caller import BodyError, BodyErrorKind, Caller
+from lentilrill.gateway._connections import ConnectionCache
+from lentilrill.gateway._disconnects import CallerDisconnectWatcher
 from lentilrill.gateway._dispatch import Dispatcher
-from lentilrill.gateway._endpoints import EndpointConnections
-from lentilrill.gateway._forwarding import GATEWAY_PROBLEM, Forwarder
-from lentilrill.gateway._heading import Heading, read_heading
+from lentilrill.gateway._forwarding import GATEWAY_PROBLEM_HEADER, ForwardingSigner
 from lentilrill.gateway._http import CallerServer
-from lentilrill.gateway._keyed import KeyedJobs
-from lentilrill.gateway._limits import BUFFERED_BYTES, RESERVED_THREADS
-from lentilrill.gateway._plans import PlanBook
+from lentilrill.gateway._keyed import KeyedDispatcher
+from lentilrill.gateway._limits import MAX_BUFFERED_BYTES, REFUSAL_THREADS
+from lentilrill.gateway._plans import PlanDirectory
 from lentilrill.gateway._problems import Problem, ProblemKind
-from lentilrill.gateway._watch import CallerWatch
-from lentilrill.gateway._work import Refused, Whole
+from lentilrill.gateway._request_head import RequestHead, parse_request_head
 from lentilrill.ids import RequestId
 from lentilrill.jobs import Claims
 from lentilrill.routing import RetryBudget, Slots
@@ -31,15 +31,15 @@
 
 __all__ = ["GatewayServer"]
 
-HEALTH = b"/healthz"
-READY = b"/readyz"
+HEALTH_PATH = b"/healthz"
+READY_PATH = b"/readyz"
 RETRY_AFTER_S = 1.0
-SWEEP_S = 1.0
-BODY_KINDS = {
-    BodyTrouble.SLOW: ProblemKind.SLOW,
-    BodyTrouble.LONG: ProblemKind.LENGTH,
-    BodyTrouble.TRUNCATED: ProblemKind.MALFORMED,
-    BodyTrouble.MALFORMED: ProblemKind.MALFORMED,
+SWEEP_INTERVAL_S = 1.0
+PROBLEM_KINDS_BY_BODY_ERROR = {
+    BodyErrorKind.SLOW: ProblemKind.SLOW,
+    BodyErrorKind.LONG: ProblemKind.LENGTH,
+    BodyErrorKind.TRUNCATED: ProblemKind.MALFORMED,
+    BodyErrorKind.MALFORMED: ProblemKind.MALFORMED,
 }
 
 
@@ -69,27 +69,27 @@
         self._may_serve = may_serve
         self._is_to_stop = is_to_stop
         self._metrics = metrics
-        self._plans = PlanBook(view)
-        self._forwarder = Forwarder(settings.keys.secret)
-        own_ip = (settings.inner_listen or settings.inner).rpartition(":")[0]
-        self._connections = EndpointConnections(settings.connect_timeout_s, own_ip=own_ip)
-        self._watch = CallerWatch(slots.abandon, metrics)
+        self._plans = PlanDirectory(view)
+        self._forwarder = ForwardingSigner(settings.keys.secret)
+        source_ip = (settings.inner_listen or settings.inner).rpartition(":")[0]
+        self._connections = ConnectionCache(settings.connect_timeout_s, source_ip=source_ip)
+        self._watch = CallerDisconnectWatcher(slots.abandon, metrics)
         dispatcher = Dispatcher(
             slots, self._connections, self._forwarder, budget or RetryBudget(), self._watch, metrics
         )
-        self._keyed = KeyedJobs(claims, dispatcher)
+        self._keyed = KeyedDispatcher(claims, dispatcher)
         self._in_flight = 0
-        self._changed = threading.Condition()
-        self._leaving = False
+        self._in_flight_changed = threading.Condition()
+        self._drain_announced = False
         self._last_ready = time.monotonic()
         self._draining = False
         self._closed = threading.Event()
         self._http = CallerServer(
             settings.listen, self._handler(), settings.threads, settings.largest_body_bytes
         )
-        self._tasks = [
+        self._threads = [
             threading.Thread(target=self._http.serve, name="gateway-accept", daemon=True),
-            threading.Thread(target=self._sweep, name="gateway-sweep", daemon=True),
+            threading.Thread(target=self._sweep_loop, name="gateway-sweep", daemon=True),
         ]
 
     @property
@@ -100,10 +100,10 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send callers to this process."""
-        return not self._leaving and not self._is_to_stop() and self.takes_jobs
+        return not self._drain_announced and not self._is_to_stop() and self.accepts_jobs
 
     @property
-    def takes_jobs(self) -> bool:
+    def accepts_jobs(self) -> bool:
         """Whether the process accepts jobs."""
         return not self._draining and self._view.ready and self._may_serve()
 
@@ -124,8 +124,8 @@
         """Listen and start to serve."""
         self._http.prepare()
         self._watch.start()
-        for task in self._tasks:
-            task.start()
+        for thread in self._threads:
+            thread.start()
 
     def drain(self) -> bool:
         """Stop accepting jobs, and wait at most ``settings.drain_s`` for those in progress.
@@ -135,94 +135,102 @@
 
         :return: whether all jobs finished.
         """
-        self._leaving = True
+        self._drain_announced = True
         self._closed.wait(self._settings.drain_notice_s)
         self._draining = True
-        with self._changed:
-            return self._changed.wait_for(lambda: not self._in_flight, self._settings.drain_s)
+        with self._in_flight_changed:
+            return self._in_flight_changed.wait_for(
+                lambda: not self._in_flight, self._settings.drain_s
+            )
 
     def close(self) -> None:
         """Stop listening and stop all threads."""
         self._closed.set()
         self._connections.close()
         self._http.stop()
-        for task in self._tasks:
-            if task.is_alive():
-                task.join()
+        for thread in self._threads:
+            if thread.is_alive():
+                thread.join()
         self._watch.close()
 
     def serve(self, req: HTTPRequest) -> None:
         """Answer one request."""
         caller = Caller(req)
-        if req.uri in (HEALTH, READY):
+        if req.uri in (HEALTH_PATH, READY_PATH):
             self._probe(req.uri, caller)
             return
         request = RequestId(uuid.uuid4().hex)
-        if not self._enter():
-            self._refuse(caller, request, _full())
+        if not self._begin_request():
+            self._refuse(caller, request, _overload_problem())
             return
         try:
-            self._job(req, caller, request)
+            self._handle_job(req, caller, request)
         finally:
-            self._leave()
+            self._end_request()
 
     def _probe(self, uri: bytes, caller: Caller) -> None:
-        good = uri == HEALTH or self.ready
-        body = b"ok\n" if good else b"not ready\n"
-        caller.answer(200 if good else 503, [("Content-Type", "text/plain")], body)
-
-    def _job(self, req: HTTPRequest, caller: Caller, request: RequestId) -> None:
-        began = time.monotonic()
-        heading = read_heading(req.method, req.uri, req.inheaders)
-        if isinstance(heading, Failure):
-            self._refuse(caller, request, heading.failure())
+        healthy = uri == HEALTH_PATH or self.ready
+        body = b"ok\n" if healthy else b"not ready\n"
+        caller.send_response(200 if healthy else 503, [("Content-Type", "text/plain")], body)
+
+    def _handle_job(self, req: HTTPRequest, caller: Caller, request: RequestId) -> None:
+        started_at = time.monotonic()
+        request_head = parse_request_head(req.method, req.uri, req.inheaders)
+        if isinstance(request_head, Failure):
+            self._refuse(caller, request, request_head.failure())
             return
-        accepted = self._accept(heading.unwrap(), request)
+        accepted = self._authorize(request_head.unwrap(), request)
         if isinstance(accepted, Problem):
             self._refuse(caller, request, accepted)
             return
         request = accepted.request
         try:
-            body = _body(accepted.heading, caller)
+            body = _read_body(accepted.request_head, caller)
         except BodyError as error:
-            self._refuse(caller, request, Problem(BODY_KINDS[error.trouble], str(error)))
+            self._refuse(
+                caller, request, Problem(PROBLEM_KINDS_BY_BODY_ERROR[error.kind], str(error))
+            )
             return
-        work = accepted.work(body, began)
-        ending = self._keyed.run(work, caller)
-        self._metrics.timing("request.total", (time.monotonic() - began) * 1000)
-        if isinstance(ending, Refused):
-            self._refuse(caller, request, ending.problem)
-        elif isinstance(ending, Whole):
-            headers = [*ending.headers, ("Request-Id", request)]
-            caller.answer(ending.status, headers, ending.body, ending.length)
-
-    def _accept(self, heading: Heading, request: RequestId) -> Acceptance | Problem:
-        if not self.takes_jobs:
+        job = accepted.to_job(body, started_at)
+        result = self._keyed.run(job, caller)
+        self._metrics.timing("request.total", (time.monotonic() - started_at) * 1000)
+        if isinstance(result, ProblemResponse):
+            self._refuse(caller, request, result.problem)
+        elif isinstance(result, BufferedResponse):
+            headers = [*result.headers, ("Request-Id", request)]
+            caller.send_response(result.status, headers, result.body, result.length)
+
+    def _authorize(
+        self, request_head: RequestHead, request: RequestId
+    ) -> AuthorizedRequest | Problem:
+        if not self.accepts_jobs:
             detail = "the entry host is draining, or knows too little of the system"
             return Problem(ProblemKind.NOT_READY, detail, retry_after_s=RETRY_AFTER_S)
-        return accept(heading, request, self._plans, self._forwarder)
+        return authorize(request_head, request, self._plans, self._forwarder)
 
     def _refuse(self, caller: Caller, request: RequestId, problem: Problem) -> None:
         # The rest of an unread body must not be parsed as the next request.
-        caller.close_after()
+        caller.close_after_response()
         self._metrics.incr(f"request.refused.{problem.kind.value[0]}")
-        caller.refuse(problem, [("Request-Id", request), (GATEWAY_PROBLEM.title(), "1")])
+        caller.send_problem(
+            problem, [("Request-Id", request), (GATEWAY_PROBLEM_HEADER.title(), "1")]
+        )
 
-    def _enter(self) -> bool:
-        with self._changed:
-            if self._in_flight >= max(1, self._settings.threads - RESERVED_THREADS):
+    def _begin_request(self) -> bool:
+        with self._in_flight_changed:
+            if self._in_flight >= max(1, self._settings.threads - REFUSAL_THREADS):
                 return False
             self._in_flight += 1
             return True
 
-    def _leave(self) -> None:
-        with self._changed:
+    def _end_request(self) -> None:
+        with self._in_flight_changed:
             self._in_flight -= 1
-            self._changed.notify_all()
+            self._in_flight_changed.notify_all()
 
-    def _sweep(self) -> None:
-        while not self._closed.wait(SWEEP_S):
-            self._connections.sweep()
+    def _sweep_loop(self) -> None:
+        while not self._closed.wait(SWEEP_INTERVAL_S):
+            self._connections.close_idle()
             self._metrics.gauge("request.in_flight", self._in_flight)
 
     def _handler(self) -> type[CherootGateway]:
@@ -238,16 +246,16 @@
         return Handler
 
 
-def _body(heading: Heading, caller: Caller) -> bytes:
+def _read_body(request_head: RequestHead, caller: Caller) -> bytes:
     """Return the body, or the first part of a long one, up to the buffer limit.
 
     It is read before a slot is requested, so that a caller that sends nothing holds no slot.
     """
-    if heading.length is None:
+    if request_head.length is None:
         return caller.read_chunked()
-    return caller.read_known(min(heading.length, BUFFERED_BYTES))
+    return caller.read_body(min(request_head.length, MAX_BUFFERED_BYTES))
 
 
-def _full() -> Problem:
+def _overload_problem() -> Problem:
     detail = "too many callers are held here"
     return Problem(ProblemKind.NOT_READY, detail, retry_after_s=RETRY_AFTER_S)
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -134,7 +134,7 @@
         self.waiting: queue.Queue[RequestId] = queue.Queue()
         self.given: queue.Queue[RequestId] = queue.Queue()
         self.hold = False
-        self.barred: set[str] = set()
+        self.withdrawn: set[str] = set()
         self._gates_by_request: dict[RequestId, threading.Event] = {}
         self._grants = itertools.count(1)
 
@@ -170,7 +170,7 @@
 
     def start(self, slot: Slot) -> Result[None, Fault]:
         """Refuse hosts that were withdrawn."""
-        if slot.address in self.barred:
+        if slot.address in self.withdrawn:
             return Failure(Fault("slots.start", slot.host, FaultKind.REFUSED, "withdrawn"))
         self.started.append(slot)
         return Success(None)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -6,9 +6,9 @@
 import time
 from typing import Any
 
-from lentilrill.gateway._forwarding import FORWARDED, Forwarder, Mark
-from lentilrill.gateway._heading import Heading
+from lentilrill.gateway._forwarding import FORWARDED_HEADER, ForwardingSigner, ForwardingToken
 from lentilrill.gateway._keyed import fingerprint
+from lentilrill.gateway._request_head import RequestHead
 from lentilrill.ids import RequestId, ServiceId
 from lentilrill.inner import ClaimState, Verdict
 from lentilrill.jobs import ClaimResult, Recorded
@@ -99,7 +99,7 @@
         drained: list[bool] = []
         drain = threading.Thread(target=lambda: drained.append(gateway.drain()))
         drain.start()
-        while gateway.takes_jobs:
+        while gateway.accepts_jobs:
             time.sleep(0.001)
         refused = self.call("POST", body=b"y")
         self.assertEqual((503, "not_run"), (refused.status, refused.outcome))
@@ -124,7 +124,7 @@
         gateway.close()
         drain.join(WAIT_S)
 
-    def test_an_endless_request_does_not_hold_up_the_end(self) -> None:
+    def test_an_endless_request_does_not_block_close(self) -> None:
         # An endpoint never answers and the drain times out. Closing must not block, and the
         # caller must be told that the outcome is unknown.
         endpoint = self.an_endpoint(lambda sock, request: None)
@@ -197,7 +197,7 @@
         self.assertEqual("urn:lentilrill:problem:answer-not-kept", again.problem["type"])
 
     def test_fingerprints_tell_jobs_apart(self) -> None:
-        def heading(**changes: Any) -> Heading:
+        def request_head(**changes: Any) -> RequestHead:
             values: dict[str, Any] = {
                 "method": "POST",
                 "target": "/schools/x",
@@ -209,15 +209,15 @@
                 "length": 5,
                 "headers": {},
             }
-            return Heading(**values | changes)
+            return RequestHead(**values | changes)
 
         jobs = [
-            (heading(), b"order"),
-            (heading(), b"other"),
-            (heading(target="/schools/y"), b"order"),
-            (heading(method="PATCH"), b"order"),
-            (heading(length=9), None),
-            (heading(length=9, headers={"content-digest": "sha-256=:x:"}), None),
+            (request_head(), b"order"),
+            (request_head(), b"other"),
+            (request_head(target="/schools/y"), b"order"),
+            (request_head(method="PATCH"), b"order"),
+            (request_head(length=9), None),
+            (request_head(length=9, headers={"content-digest": "sha-256=:x:"}), None),
         ]
         self.assertEqual(len(jobs), len({fingerprint(*job) for job in jobs}))
 
@@ -244,7 +244,7 @@
         answer = self.call("POST", body=b"x", Idempotency_Key="k")
         self.assertEqual((200, b"done"), (answer.status, answer.body))
         head = endpoint.requests[0].decode().lower()
-        self.assertNotIn(FORWARDED, head)
+        self.assertNotIn(FORWARDED_HEADER, head)
         self.assertIn(f"request-id: {answer.headers['Request-Id']}", head)
         # The key was claimed once, the job may not be forwarded again, and its total wait is
         # not longer.
@@ -266,7 +266,7 @@
         self.assertEqual(1, len(endpoint.requests))
         self.assertEqual([Verdict.UNUSED], self.slots.verdicts)
 
-    def test_an_endpoint_cannot_speak_for_a_gateway(self) -> None:
+    def test_an_endpoint_cannot_send_a_gateway_problem(self) -> None:
         # An endpoint's response looks like a gateway's refusal. If it were taken for one, a job
         # that ran would be sent again.
         body = b'{"outcome":"not_run"}'
@@ -280,16 +280,16 @@
     def test_only_gateways_can_forward(self) -> None:
         # A caller marks its own keyed job as forwarded, to avoid the claim.
         self.an_endpoint_there()
-        mark = Mark(RequestId("r"), 30.0, 30.0)
-        good = Forwarder(self.keys.secret)
+        forwarding_token = ForwardingToken(RequestId("r"), 30.0, 30.0)
+        good = ForwardingSigner(self.keys.secret)
         for value in (
-            Forwarder("another secret").sign(mark, "POST", "/schools/sheet"),
-            good.sign(mark, "POST", "/schools/other"),
-            good.sign(mark, "PUT", "/schools/sheet"),
-            Forwarder(self.keys.secret, lambda: time.time() - 3600).sign(
-                mark, "POST", "/schools/sheet"
+            ForwardingSigner("another secret").sign(forwarding_token, "POST", "/schools/sheet"),
+            good.sign(forwarding_token, "POST", "/schools/other"),
+            good.sign(forwarding_token, "PUT", "/schools/sheet"),
+            ForwardingSigner(self.keys.secret, lambda: time.time() - 3600).sign(
+                forwarding_token, "POST", "/schools/sheet"
             ),
-            good.sign(mark, "POST", "/schools/sheet") + "0",
+            good.sign(forwarding_token, "POST", "/schools/sheet") + "0",
             "x",
         ):
             answer = self.call("POST", Gateway_Forwarded=value)
--- a/tests/gateway/test_invariants.py
+++ b/tests/gateway/test_invariants.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from lentilrill.gateway import _caller, _keyed, _run
+from lentilrill.gateway import _caller, _keyed, _retry_state
 from lentilrill.gateway._problems import Outcome, Problem, ProblemKind
-from lentilrill.gateway._run import Run
+from lentilrill.gateway._retry_state import RetryState
 from lentilrill.telemetry import Event
 from tests.gateway.fakes import GatewayTestCase
 
@@ -15,7 +15,7 @@
     def test_a_keyed_job_without_its_claim_is_not_sent(self) -> None:
         # Simulates a fault in the code that skips the claim. The job must not be sent: another
         # request may hold the key, and the job would run twice.
-        self.patch(_keyed.KeyedJobs, "run", lambda jobs, work, c: jobs._dispatcher.run(work, c))
+        self.patch(_keyed.KeyedDispatcher, "run", lambda jobs, job, c: jobs._dispatcher.run(job, c))
         endpoint = self.an_endpoint()
         self.a_gateway()
         answer = self.call("POST", body=b"order", Idempotency_Key="k")
@@ -29,18 +29,18 @@
         self.patch(_caller, "log", lambda event, **fields: events.append(event))
         req = mock.MagicMock(method=b"GET", outheaders=[])
         caller = _caller.Caller(req)
-        caller.answer(200, [], b"first")
-        self.assertRaises(RuntimeError, caller.answer, 200, [], b"second")
+        caller.send_response(200, [], b"first")
+        self.assertRaises(RuntimeError, caller.send_response, 200, [], b"second")
         self.assertEqual([Event.INVARIANT_BROKEN], events)
-        self.assertTrue(req.close_connection and req.conn.reset)
+        self.assertTrue(req.close_connection and req.conn.reset_on_close)
 
     def test_not_run_is_never_said_after_a_send(self) -> None:
         events: list[Event] = []
-        self.patch(_run, "log", lambda event, **fields: events.append(event))
-        run = Run(mock.MagicMock(forwarded=False))
+        self.patch(_retry_state, "log", lambda event, **fields: events.append(event))
+        state = RetryState(mock.MagicMock(forwarded=False))
         problem = Problem(ProblemKind.BUSY, "too late")
-        self.assertEqual(Outcome.NOT_RUN, run.final(problem).outcome)
-        run.sent = True
+        self.assertEqual(Outcome.NOT_RUN, state.final_problem(problem).outcome)
+        state.sent = True
         unknown = msgspec.structs.replace(problem, outcome=Outcome.UNKNOWN)
-        self.assertEqual(unknown, run.final(problem))
+        self.assertEqual(unknown, state.final_problem(problem))
         self.assertEqual([Event.INVARIANT_BROKEN], events)
--- a/tests/gateway/test_outcomes.py
+++ b/tests/gateway/test_outcomes.py
@@ -7,7 +7,7 @@
 
 from urllib3.util.wait import wait_for_read
 
-from lentilrill.gateway import _caller, _endpoints, _limits, _patience
+from lentilrill.gateway import _caller, _connections, _limits, _response_times
 from lentilrill.inner import Verdict
 from lentilrill.routing._limits import RETRY_BURST
 from tests.gateway.fakes import WAIT_S, Answer, GatewayTestCase, ScriptedEndpoint, drop_all, ok
@@ -15,7 +15,7 @@
 LEAVING = b"HTTP/1.1 503 Gone\r\nEndpoint-State: leaving\r\nContent-Length: 0\r\n\r\n"
 
 
-def cut(data: bytes) -> "object":
+def send_and_close(data: bytes) -> "object":
     """Return a script that sends ``data`` and closes the connection."""
 
     def script(sock: socket.socket, request: bytes) -> None:
@@ -25,25 +25,25 @@
     return script
 
 
-def reset(sock: socket.socket, request: bytes) -> None:
+def reset_connection(sock: socket.socket, request: bytes) -> None:
     """Reset the connection without a response."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def silent(sock: socket.socket, request: bytes) -> None:
+def never_answer(sock: socket.socket, request: bytes) -> None:
     """Never answer."""
 
 
-def quick_probes() -> list[tuple[int, int, int | bytes]]:
+def short_probes() -> list[tuple[int, int, int | bytes]]:
     """Return the socket options with the shortest timeouts that the kernel accepts."""
     short = {socket.TCP_KEEPIDLE: 1, socket.TCP_KEEPINTVL: 1, socket.TCP_USER_TIMEOUT: 1000}
-    return [(level, name, short.get(name, v)) for level, name, v in _endpoints.SOCKET_OPTIONS]
+    return [(level, name, short.get(name, v)) for level, name, v in _connections.SOCKET_OPTIONS]
 
 
 class OutcomeTest(GatewayTestCase):
     def a_closed_port(self) -> str:
-        endpoint = ScriptedEndpoint(silent)
+        endpoint = ScriptedEndpoint(never_answer)
         endpoint.close()
         self.slots.addresses.append(endpoint.address)
         return endpoint.address
@@ -71,59 +71,59 @@
     def test_a_withdrawn_host_gets_nothing(self) -> None:
         # The host is withdrawn between the grant and the send. The routing ledger refuses the
         # send: no byte may be sent to the host, and the job runs on another one.
-        barred, good = self.an_endpoint(), self.an_endpoint()
-        self.slots.barred.add(barred.address)
+        withdrawn, good = self.an_endpoint(), self.an_endpoint()
+        self.slots.withdrawn.add(withdrawn.address)
         self.a_gateway()
         self.assertEqual(200, self.call("POST", body=b"x").status)
-        self.assertEqual([], barred.requests)
+        self.assertEqual([], withdrawn.requests)
         self.assertEqual(1, len(good.requests))
         self.assertEqual([Verdict.UNUSED, Verdict.OK], self.slots.verdicts)
 
     def test_a_lost_order_is_not_repeated(self) -> None:
         # The endpoint receives an order and the connection breaks. Whether the order ran is
         # unknown. A retry could run it twice, and so could the caller if it were told "not_run".
-        broken, other = self.an_endpoint(reset), self.an_endpoint()
+        broken, other = self.an_endpoint(reset_connection), self.an_endpoint()
         self.a_gateway()
         self.assert_problem(502, "unknown", self.call("POST", body=b"order"))
         self.assertEqual((1, 0), (len(broken.requests), len(other.requests)))
         self.assertEqual([Verdict.BROKEN], self.slots.verdicts)
 
     def test_a_lost_idempotent_job_is_repeated(self) -> None:
-        self.an_endpoint(reset)
+        self.an_endpoint(reset_connection)
         other = self.an_endpoint()
         self.a_gateway()
         self.assertEqual(200, self.call("PUT", body=b"x").status)
         self.assertEqual(1, len(other.requests))
 
     def test_a_listed_path_is_idempotent(self) -> None:
-        for path, runs in (
+        for path, expected_status in (
             ("/schools/translate/a", 200),
             ("/schools/translated", 502),
             ("/schools/translate/../emboss", 502),
             ("/schools/translate/%2e%2e/emboss", 502),
         ):
             self.slots.addresses.clear()
-            self.an_endpoint(reset)
+            self.an_endpoint(reset_connection)
             self.an_endpoint()
             self.a_gateway()
-            self.assertEqual(runs, self.call("POST", path, b"x").status, path)
+            self.assertEqual(expected_status, self.call("POST", path, b"x").status, path)
 
     def test_a_later_not_run_does_not_hide_a_loss(self) -> None:
         # An idempotent job is lost on one host, and no other host is left. The last attempt did
         # not run, but the first one may have, so "not_run" would be wrong.
-        self.an_endpoint(reset)
+        self.an_endpoint(reset_connection)
         self.a_gateway()
         self.assert_problem(502, "unknown", self.call("PUT", body=b"x"))
 
     def test_retries_are_bounded(self) -> None:
-        endpoints = [self.an_endpoint(reset) for _ in range(6)]
+        endpoints = [self.an_endpoint(reset_connection) for _ in range(6)]
         self.a_gateway()
         self.assert_problem(502, "unknown", self.call())
-        self.assertEqual(_limits.ATTEMPTS, sum(len(e.requests) for e in endpoints))
+        self.assertEqual(_limits.MAX_ATTEMPTS, sum(len(e.requests) for e in endpoints))
 
     def test_retries_end_with_the_budget(self) -> None:
         # Every endpoint fails every request. Retries must not multiply the load on them.
-        endpoints = [self.an_endpoint(reset) for _ in range(3)]
+        endpoints = [self.an_endpoint(reset_connection) for _ in range(3)]
         self.a_gateway()
         for _ in range(20):
             self.call()
@@ -175,7 +175,7 @@
             b"garbage\r\n\r\n",
         ):
             self.slots.addresses.clear()
-            self.an_endpoint(cut(data))
+            self.an_endpoint(send_and_close(data))
             self.a_gateway()
             answer = self.call("POST", body=b"x")
             self.assertEqual((502, "unknown"), (answer.status, answer.outcome), data)
@@ -183,7 +183,7 @@
     def test_a_truncated_volume_is_detectable(self) -> None:
         # A long response breaks off after its first megabytes were sent to the caller. The
         # status is already sent, so the connection must end in a way that shows the truncation.
-        part = bytes(2 * _limits.BUFFERED_BYTES)
+        part = bytes(2 * _limits.MAX_BUFFERED_BYTES)
         for head, version in (
             (b"Content-Length: %d\r\n\r\n" % (len(part) + 1), "1.1"),
             (b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % len(part), "1.1"),
@@ -203,7 +203,7 @@
             self.assertFalse(self.reads_whole(version, len(part), seen), head)
             self.assertEqual([Verdict.BROKEN], self.slots.verdicts)
 
-    def test_callers_that_hang_up_say_nothing_against_the_host(self) -> None:
+    def test_disconnects_of_callers_do_not_count_against_the_host(self) -> None:
         # Callers disconnect while long responses are streamed. Counted as failures of the host,
         # many of these at once would eject a healthy host.
         def script(sock: socket.socket, request: bytes) -> None:
@@ -247,7 +247,7 @@
             return not was_reset
         return len(body) == int(declared[0].split()[1])
 
-    def test_a_late_answer_reaches_nobody_else(self) -> None:
+    def test_a_late_answer_reaches_no_other_caller(self) -> None:
         # An endpoint sends the response to one request twice. The copy arrives on the reused
         # connection when another caller's request is sent on it, and that caller would get the
         # response to somebody else's request.
@@ -279,7 +279,7 @@
     def test_an_abandoned_exchange_ends_its_connection(self) -> None:
         # The endpoint answers too late. The connection must not be reused, or the late response
         # would be read as that of the next request.
-        endpoint = self.an_endpoint(silent)
+        endpoint = self.an_endpoint(never_answer)
         self.a_gateway()
         self.assertEqual(504, self.call(Prefer="wait=1").status)
         endpoint.script = lambda s, r: s.sendall(ok())
@@ -291,7 +291,7 @@
     def test_a_silent_endpoint_is_unknown_in_time(self) -> None:
         # An endpoint accepts the order and never answers. At the end of its wait the caller must
         # be told that the outcome is unknown.
-        endpoint = self.an_endpoint(silent)
+        endpoint = self.an_endpoint(never_answer)
         self.an_endpoint()
         self.a_gateway()
         answer = self.call("POST", body=b"order", Prefer="wait=1")
@@ -315,8 +315,8 @@
         # A firewall or NAT drops the state of an idle connection: packets on it are no longer
         # acknowledged, without an error, while new connections work. A job sent on it must be
         # sent again on a new connection soon, and not only after its deadline.
-        self.patch(_endpoints, "UNACKED_KEPT_MS", 300)
-        self.patch(_patience, "LEAST_S", 100.0)
+        self.patch(_connections, "REUSED_ACK_TIMEOUT_MS", 300)
+        self.patch(_response_times, "MIN_TIMEOUT_S", 100.0)
         forgotten: list[socket.socket] = []
 
         def script(sock: socket.socket, request: bytes) -> None:
@@ -335,7 +335,7 @@
     def test_a_dead_path_ends_an_order(self) -> None:
         # The same happens to an order's new connection after the endpoint received the order.
         # The caller must be told that the outcome is unknown, long before the response timeout.
-        self.patch(_endpoints, "SOCKET_OPTIONS", quick_probes())
+        self.patch(_connections, "SOCKET_OPTIONS", short_probes())
         self.an_endpoint(lambda sock, request: drop_all(sock))
         self.a_gateway()
         answer = self.call("POST", body=b"order")
@@ -344,12 +344,12 @@
     def test_a_silent_endpoint_costs_a_repeatable_job_a_part_of_its_time(self) -> None:
         # Jobs of this pool are answered at once, but one endpoint accepts a job and never
         # answers. The caller's whole wait of a minute must not be spent on that endpoint.
-        self.patch(_patience, "LEAST_S", 0.3)
+        self.patch(_response_times, "MIN_TIMEOUT_S", 0.3)
         endpoint = self.an_endpoint()
         other = self.an_endpoint()
         self.a_gateway()
         self.call()
-        endpoint.script = silent
+        endpoint.script = never_answer
         self.assertEqual(200, self.call(Prefer="wait=60").status)
         self.assertEqual((2, 1), (len(endpoint.requests), len(other.requests)))
         # An order is not retried on another endpoint.
@@ -362,7 +362,7 @@
         # slot. Each read makes progress, so no read timeout ends the transfer.
         endpoint = self.an_endpoint()
         self.a_gateway()
-        answer = self.slowly(_limits.BUFFERED_BYTES)
+        answer = self.slowly(_limits.MAX_BUFFERED_BYTES)
         self.assertEqual((408, b"unknown"), (answer[0], answer[1]))
         self.assertEqual([], endpoint.requests)
         self.assertEqual([Verdict.UNUSED], self.slots.verdicts)
@@ -378,12 +378,12 @@
         connection = self.connect()
         connection.putrequest("POST", "/schools/x")
         connection.putheader("Authorization", "Bearer token-schools")
-        connection.putheader("Content-Length", str(_limits.BUFFERED_BYTES + 100_000))
+        connection.putheader("Content-Length", str(_limits.MAX_BUFFERED_BYTES + 100_000))
         connection.endheaders()
         connection.send(bytes(quick))
         if quick:
             self.slots.given.get(timeout=WAIT_S)
-        self.patch(_caller, "SLOW_GRACE_S", 0.0)
+        self.patch(_caller, "MIN_RATE_GRACE_S", 0.0)
         for _ in range(1000):
             connection.send(b"x")
             if wait_for_read(connection.sock, 0.005):
--- a/tests/gateway/test_serving.py
+++ b/tests/gateway/test_serving.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from lentilrill.gateway._limits import BUFFERED_BYTES
+from lentilrill.gateway._limits import MAX_BUFFERED_BYTES
 from lentilrill.inner import Verdict
 from tests.gateway.fakes import Answer, GatewayTestCase, ok
 
@@ -21,7 +21,7 @@
         self.assertNotIn("token-schools", head)
         self.assertEqual([Verdict.OK], self.slots.verdicts)
 
-    def test_nothing_is_said_for_the_caller(self) -> None:
+    def test_no_headers_are_added_for_the_caller(self) -> None:
         endpoint = self.an_endpoint()
         self.a_gateway()
         connection = self.connect()
@@ -89,7 +89,7 @@
         self.assertEqual(200, self.call(path="/healthz").status)
         self.assertEqual(503, self.call(path="/readyz").status)
 
-    def test_nothing_is_served_that_may_not_be(self) -> None:
+    def test_a_gateway_that_may_not_serve_refuses_jobs(self) -> None:
         self.an_endpoint()
         self.a_gateway(may_serve=False)
         self.assertEqual(503, self.call(path="/readyz").status)
@@ -129,7 +129,7 @@
         self.a_gateway()
         connection = self.connect()
         headers = {"Authorization": "Bearer token-schools"}
-        connection.request("POST", "/schools/x", iter([bytes(BUFFERED_BYTES + 1)]), headers)
+        connection.request("POST", "/schools/x", iter([bytes(MAX_BUFFERED_BYTES + 1)]), headers)
         self.assertEqual(411, connection.getresponse().status)
         self.assertEqual([], self.slots.jobs)
 
