--- a/src/lentilrill/jobs/__init__.py
+++ b/src/lentilrill/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Outcomes of jobs and claims of idempotency keys."""
+"""Claims of idempotency keys and recorded outcomes of jobs."""
 
 from lentilrill.jobs._client import ClaimClient
 from lentilrill.jobs._contract import Claim, ClaimResult, Claims, Recorded
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -1,4 +1,4 @@
-"""The gateway's side of claims: asks the shard's owner, and tells it the outcomes."""
+"""The gateway's side of claims: sends claims and outcomes to the owners of the shards."""
 
 import queue
 import threading
@@ -27,7 +27,7 @@
 NOTE_AGAIN_S = 0.5
 LAST_NOTES_S = 3.0
 NOTES = 20_000
-"""Outcomes that wait for an owner; the oldest is dropped, and its key stays in progress."""
+"""Maximum of unacknowledged outcomes; above it the oldest is dropped, and its key stays claimed."""
 UNAVAILABLE_RETRY_S = 2.0
 
 
@@ -38,10 +38,10 @@
 
 
 class ClaimClient:
-    """Claims keys with their owners, over a protocol whose messages may be lost.
+    """Claims keys at their owners, over a protocol whose messages may be lost.
 
-    :param shards: how many shards the keys are spread over; the same in every process.
-    :param retention_s: seconds for which telling an outcome is tried.
+    :param shards: number of shards of the keys; the same in every process.
+    :param retention_s: seconds for which an outcome is sent again until it is acknowledged.
     """
 
     def __init__(self, node: Node, roster: Roster, shards: int, retention_s: float) -> None:
@@ -57,16 +57,16 @@
         self._task = threading.Thread(target=self._resend, name="claim-notes", daemon=True)
 
     def start(self) -> None:
-        """Begin to hear answers and to repeat what was not acknowledged."""
+        """Register the message handlers and start to resend unacknowledged outcomes."""
         self._node.on(ClaimAnswer, self._on_answer)
         self._node.on(OutcomeAck, self._on_ack)
         self._task.start()
 
     def close(self) -> None:
-        """Wait a moment until all outcomes are acknowledged, then end the task.
+        """Wait a limited time until all outcomes are acknowledged, then stop the thread.
 
-        Guard against a planned stop that leaves the keys of the last jobs in progress for
-        hours: their outcomes are on their way when the last caller is answered.
+        The outcomes of the last jobs are not acknowledged yet when the last caller is answered.
+        If a planned stop lost them, their keys would stay in progress for hours.
         """
         with self._acked:
             self._acked.wait_for(lambda: not self._pending_by_request, LAST_NOTES_S)
@@ -76,11 +76,11 @@
 
     @property
     def untold(self) -> int:
-        """Outcomes whose owner did not acknowledge them yet."""
+        """Number of outcomes that were not acknowledged yet."""
         return len(self._pending_by_request)
 
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
-        """Claim the key with its shard's owner; without an answer in time: ``UNAVAILABLE``."""
+        """Claim the key at its shard's owner; return ``UNAVAILABLE`` without a timely answer."""
         answers: queue.SimpleQueue[ClaimAnswer] = queue.SimpleQueue()
         with self._lock:
             self._answers_by_request[claim.request] = answers
@@ -91,7 +91,7 @@
                 del self._answers_by_request[claim.request]
         if answer is None or answer.state in (ClaimState.UNAVAILABLE, ClaimState.NOT_OWNER):
             # The claim may be committed although its answer was lost. The job is not sent, so
-            # the key is given back, or its owner would call it in progress for hours.
+            # the key is released; otherwise it would stay in progress for hours.
             self.release(claim)
             after_s = (answer and answer.retry_after_s) or UNAVAILABLE_RETRY_S
             return ClaimResult(ClaimState.UNAVAILABLE, retry_after_s=after_s)
@@ -101,7 +101,7 @@
         return ClaimResult(answer.state, recorded, answer.retry_after_s)
 
     def record(self, claim: Claim, recorded: Recorded) -> None:
-        """Keep the job's answer for repeats of the key."""
+        """Record the job's response for repeats of the key."""
         self._tell(
             OutcomeNote(
                 request=claim.request,
@@ -116,7 +116,7 @@
         )
 
     def release(self, claim: Claim) -> None:
-        """Give the key back: no byte of the job reached an endpoint."""
+        """Release the key of a job of which no byte reached an endpoint."""
         shard = self._shard(claim)
         self._tell(OutcomeNote(claim.request, shard, claim.plan, claim.key, ran=False))
 
@@ -141,8 +141,8 @@
                 continue
             if last.state is not ClaimState.NOT_OWNER:
                 return last
-            # The asked process believes in another owner: they agree once both have heard of
-            # the same members.
+            # The receiver computed another owner of the shard: both agree once they have
+            # received the same membership.
             self._closed.wait(min(left_s, ASK_AGAIN_S))
         return last
 
--- a/src/lentilrill/jobs/_contract.py
+++ b/src/lentilrill/jobs/_contract.py
@@ -1,4 +1,4 @@
-"""What the request path needs of claims of idempotency keys."""
+"""Interface of the request path to claims of idempotency keys."""
 
 from typing import Protocol
 
@@ -11,10 +11,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A key that a request wants for itself.
+    """A request's claim of an idempotency key.
 
-    :param fingerprint: digest of method, path and body, by which another job under the same key
-        is told apart.
+    :param fingerprint: digest of method, path and body, which detects the use of one key for
+        different jobs.
     """
 
     request: RequestId
@@ -24,7 +24,7 @@
 
 
 class Recorded(msgspec.Struct, frozen=True):
-    """The kept answer of a keyed job; ``body`` is ``None`` if it was too large to keep."""
+    """The recorded response of a keyed job; ``body`` is ``None`` if it was too large to keep."""
 
     status: int
     content_type: str
@@ -32,7 +32,7 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """What became of a claim; only ``CLAIMED`` permits a dispatch."""
+    """Result of a claim; only ``CLAIMED`` permits a dispatch."""
 
     state: ClaimState
     recorded: Recorded | None = None
@@ -40,13 +40,13 @@
 
 
 class Claims(Protocol):
-    """At most one dispatch for each key within its retention."""
+    """Claims keys, so that each is dispatched at most once within its retention time."""
 
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
-        """Claim the key with its shard's owner; without an answer in time: ``UNAVAILABLE``."""
+        """Claim the key at its shard's owner; return ``UNAVAILABLE`` without a timely answer."""
 
     def record(self, claim: Claim, recorded: Recorded) -> None:
-        """Keep the job's answer for repeats of the key."""
+        """Record the job's response for repeats of the key."""
 
     def release(self, claim: Claim) -> None:
-        """Give the key back: no byte of the job reached an endpoint."""
+        """Release the key of a job of which no byte reached an endpoint."""
--- a/src/lentilrill/jobs/_ledger.py
+++ b/src/lentilrill/jobs/_ledger.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard knows of its keys, as committed on the platform."""
+"""An owner's table of the keys of a shard, as committed on the platform."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,9 +11,9 @@
 __all__ = ["CLAIM_LIFE_S", "Batch", "Ledger"]
 
 CLAIM_LIFE_S = 4 * 3600.0
-"""Longer than any job can be held: until then a claim without outcome is in progress."""
+"""Longer than any job can last: until then a claim without an outcome counts as in progress."""
 CLOCK_SLACK_S = 5.0
-"""Difference of two owners' clocks that can't shorten the retention."""
+"""Clock difference between two owners that must not shorten the retention."""
 
 KeyName = tuple[PlanId, str]
 
@@ -31,13 +31,14 @@
 
 
 class Ledger:
-    """The keys of one shard, built from its batches in order: the last entry of a key counts.
+    """The keys of one shard, built from its batches in order: the last entry of a key is current.
 
-    Batches are given up from the oldest on only. So an entry never outlives a later one that
-    overrules it, and a released or expired key can't come back as claimed with the next owner.
-    What still counts in the oldest batch is carried over into a new one first.
+    Batches are deleted only from the oldest on. So an entry is never kept longer than a later one
+    that replaces it, and a released or expired key can't be claimed again by a stale entry when
+    the next owner reads the batches. Current entries of the oldest batch are first carried over
+    into a new one.
 
-    :param retention_s: seconds that an outcome is kept.
+    :param retention_s: seconds for which an outcome is kept.
     """
 
     def __init__(self, retention_s: float) -> None:
@@ -45,22 +46,22 @@
         self._held_by_key: dict[KeyName, _Held] = {}
         self._batches: deque[Batch] = deque()
         self.body_bytes = 0
-        """Size of all kept bodies, as a take-over must read them."""
+        """Total size of the bodies in all batches, which a take-over reads."""
 
     def __len__(self) -> int:
         return len(self._held_by_key)
 
     @property
     def batches(self) -> int:
-        """How many batches are kept."""
+        """Number of batches."""
         return len(self._batches)
 
     def has(self, name: str) -> bool:
-        """Return whether the batch ``name`` is among the kept ones."""
+        """Return whether the table contains the batch ``name``."""
         return any(batch.name == name for batch in self._batches)
 
     def add(self, batch: Batch) -> None:
-        """Take over a committed batch, the newest so far."""
+        """Add a committed batch, which must be the newest one."""
         self._batches.append(batch)
         self.body_bytes += _body_bytes(batch)
         for entry in batch.record.entries:
@@ -71,30 +72,31 @@
                 self._held_by_key[name] = _Held(entry, batch.name)
 
     def find(self, plan: PlanId, key: str, now: float) -> Entry | None:
-        """Return what is known of a key; ``None`` if it is free."""
+        """Return the current entry of a key; ``None`` if the key is free."""
         held = self._held_by_key.get((plan, key))
         if held is None or now >= self._expires(held.entry):
             return None
         return held.entry
 
     def holds(self, plan: PlanId, key: str, request: RequestId) -> Entry | None:
-        """Return the entry if the key is claimed by ``request`` without an outcome yet."""
+        """Return the entry if ``request`` holds the claim of the key, without an outcome yet."""
         held = self._held_by_key.get((plan, key))
         if held is None or held.entry.request != request:
             return None
         return held.entry if held.entry.state is EntryState.CLAIMED else None
 
     def cleanable(self, now: float) -> bool:
-        """Whether the oldest batch is old enough to be given up."""
+        """Return whether the oldest batch is old enough to be deleted."""
         return bool(self._batches) and self._is_old(self._batches[0], now)
 
     def oldest(self, now: float, carried_limit: int) -> tuple[list[Entry], str]:
-        """Plan which batches to give up.
+        """Select the batches to delete.
 
-        The oldest one always goes, or a batch of many unended claims would hold up the others.
+        The oldest one is always selected; otherwise a batch with many claims in progress would
+        block the deletion of the others.
 
-        :return: entries to carry over, and the key of the first batch to keep; empty if all are
-            given up.
+        :return: entries to carry over, and the key of the first batch to keep; empty if all
+            batches are deleted.
         """
         carried: list[Entry] = []
         for batch in self._batches:
@@ -106,7 +108,7 @@
         return carried, ""
 
     def give_up(self, kept: str) -> None:
-        """Forget the batches before ``kept``, which were deleted; empty: all of them."""
+        """Remove the batches before ``kept``, which were deleted; all of them if it is empty."""
         while self._batches and self._batches[0].name != kept:
             batch = self._batches.popleft()
             self.body_bytes -= _body_bytes(batch)
--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of claims: one writing task for all shards that this process owns."""
+"""The owner's side of claims: one writer thread for all shards that this process owns."""
 
 import queue
 import threading
@@ -21,30 +21,31 @@
 INBOX_ITEMS = 20_000
 BATCH_ITEMS = 500
 BATCH_BYTES = 450_000
-"""Estimated size at which a commit is closed. Carried entries of the oldest batch, which have no
-bodies, may add as much; the platform holds values below 1,000,000 bytes."""
+"""Maximum estimated size of the messages of one commit. Entries carried over from the oldest
+batch, which have no bodies, may add as much; the platform accepts values below 1,000,000 bytes."""
 ENTRY_BYTES = 700
-"""Upper estimate of an entry without its key and body."""
+"""Upper estimate of the encoded size of an entry without its key and body."""
 SYSTEM_WRITES_PER_S = 160.0
-"""Claim writes a second that all owners together put on the platform."""
+"""Maximum claim writes a second of all owners together."""
 NOTE_LINGER_S = 0.25
-"""Time for which outcomes wait for a claim to share its commit; nobody waits for them."""
+"""Maximum delay of outcomes, so that they share a commit with a claim; no caller waits for them."""
 IDLE_S = 2.0
 STALE_S = 5.0
 UNAVAILABLE_RETRY_S = 2.0
 
 
 class ClaimOwner:
-    """Answers claims of the shards that this process believes to own.
+    """Answers claims of the shards that this process owns by its membership list.
 
-    One task gathers what queued up while the former commit ran, of all its shards, and commits
-    it in one transaction. A claim is answered only after it is known to be on the platform. So
-    the platform's writes follow the number of owners, and not that of jobs or shards.
+    One thread collects the messages of all shards that arrived during the last commit, and
+    commits their entries in one transaction. A claim is answered only after its commit is
+    confirmed. So the write rate on the platform depends on the number of owners, and not on that
+    of jobs or shards.
 
-    :param shards: how many shards the keys are spread over; the same in every process.
-    :param retention_s: seconds that an outcome is kept.
-    :param wall: seconds since the epoch; times in records are by this clock.
-    :param writes_per_s: bound of this process's commits, a part of its platform call budget.
+    :param shards: number of shards of the keys; the same in every process.
+    :param retention_s: seconds for which an outcome is kept.
+    :param wall: clock in seconds since the epoch, used for times in records.
+    :param writes_per_s: limit of this process's commits, a part of its platform call budget.
     """
 
     def __init__(
@@ -73,13 +74,13 @@
         self._task = threading.Thread(target=self._run, name="claims", daemon=True)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Register the message handlers and start the thread."""
         self._node.on(ClaimAsk, self._on_ask)
         self._node.on(OutcomeNote, self._on_note)
         self._task.start()
 
     def close(self) -> None:
-        """End the task."""
+        """Stop the thread."""
         self._stopping.set()
         if self._task.is_alive():
             if not self._inbox.full():
@@ -87,7 +88,7 @@
             self._task.join()
 
     def owns(self, shard: int) -> bool:
-        """Return whether this process believes to own ``shard``."""
+        """Return whether this process owns ``shard`` by its membership list."""
         return owner_of(shard, self._roster) == self._roster.me
 
     def _on_ask(self, batch: InnerBatch, ask: ClaimAsk) -> None:
@@ -97,7 +98,7 @@
             self._answer(ask, ask.reply_to, ClaimState.UNAVAILABLE)
 
     def _on_note(self, batch: InnerBatch, note: OutcomeNote) -> None:
-        # What is dropped here is sent again until it is acknowledged.
+        # A dropped outcome is no loss: it is sent again until it is acknowledged.
         if 0 <= note.shard < len(self._shards) and self.owns(note.shard):
             self._put(Arrival(note, batch.reply_to, time.monotonic()))
 
@@ -116,13 +117,13 @@
         while not self._stopping.is_set():
             try:
                 self._serve(self._gather())
-            except Exception as error:  # the task must go on for later claims
+            except Exception as error:  # the thread must survive for later claims
                 log(Event.TASK_FAILED, task="claims", error=repr(error))
                 for shard in self._shards:
                     shard.forget()
 
     def _gather(self) -> list[Arrival]:
-        """Return what queued up, when the next commit may be made."""
+        """Wait until the next commit is allowed, and return the messages for it."""
         self._stopping.wait(max(0.0, self._next_commit - time.monotonic()))
         arrivals: list[Arrival] = []
         size, asked, began = 0, False, time.monotonic()
@@ -171,14 +172,14 @@
                 self._node.send(address, message)
 
     def _state(self, number: int) -> ClaimState | None:
-        """Return why a shard can't be served here now; ``None`` if it can."""
+        """Return the answer to claims of a shard that can't be served now; ``None`` if it can."""
         if not self.owns(number):
             self._shards[number].forget()
             return ClaimState.NOT_OWNER
         return None if self._shards[number].take_over() else ClaimState.UNAVAILABLE
 
     def _commit(self, turns: list[Turn]) -> None:
-        """Commit the turns of several shards as one transaction, and settle each of them."""
+        """Commit the updates of several shards in one transaction, and complete each of them."""
         self._next_commit = time.monotonic() + self._pace_s()
         result = self._platform.commit(
             tuple(turn.fence for turn in turns),
@@ -191,7 +192,7 @@
             outcome = result
         elif not result.unwrap().succeeded:
             if len(turns) > 1:
-                # One shard has another owner now, and nothing was written: each for itself.
+                # A shard has another owner now, and nothing was written: commit one by one.
                 for turn in turns:
                     self._commit([turn])
                 return
@@ -201,9 +202,9 @@
             turn.settle(outcome)
 
     def _pace_s(self) -> float:
-        """Return the least time between two commits.
+        """Return the minimum time between two commits.
 
-        The platform's rates grow more slowly than the fleet, and the owners share them.
+        All owners share the platform's write rate, which grows more slowly than the fleet.
         """
         owners = min(len(self._roster.alive(Role.GATEWAY)), len(self._shards))
         return max(1.0 / self._writes_per_s, owners / SYSTEM_WRITES_PER_S)
--- a/src/lentilrill/jobs/_records.py
+++ b/src/lentilrill/jobs/_records.py
@@ -1,4 +1,4 @@
-"""What is kept of claims on the platform: one record for each committed batch."""
+"""Records of claims on the platform: one for each committed batch."""
 
 from enum import Enum
 
@@ -20,7 +20,7 @@
 
 
 class EntryState(Enum):
-    """What an entry says of its key, until a later entry says otherwise."""
+    """State of a key after an entry, until a later entry of the key."""
 
     CLAIMED = "claimed"
     RECORDED = "recorded"
@@ -28,9 +28,9 @@
 
 
 class Entry(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One step in the life of a key.
+    """One state change of a key.
 
-    :param at: when the key was claimed, or its outcome recorded, in seconds since the epoch.
+    :param at: time of the claim or of the recorded outcome, in seconds since the epoch.
     """
 
     plan: PlanId
@@ -45,19 +45,19 @@
 
     @property
     def recorded(self) -> Recorded:
-        """The kept answer."""
+        """The recorded response."""
         return Recorded(self.status, self.content_type, self.body)
 
 
 class BatchRecord(msgspec.Struct, frozen=True):
-    """Entries that were committed together; ``at`` is when, in seconds since the epoch."""
+    """Entries that were committed together; ``at`` is the time in seconds since the epoch."""
 
     at: float
     entries: tuple[Entry, ...]
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """Who took a shard over; ``nonce`` tells apart several tries of one process."""
+    """The process that took a shard over; ``nonce`` is unique for each attempt of a process."""
 
     process: ProcessId
     incarnation: Incarnation
@@ -65,20 +65,20 @@
 
 
 def shard_prefix(shard: int) -> str:
-    """Return the first part of all keys of a shard, below the system's prefix."""
+    """Return the prefix of all keys of a shard, relative to the system's prefix."""
     return f"claims/{shard}/"
 
 
 def owner_key(shard: int) -> str:
-    """Return the key whose modification revision is the shard's fence."""
+    """Return the key whose modification revision is the shard's fencing token."""
     return shard_prefix(shard) + "owner"
 
 
 def batches_prefix(shard: int) -> str:
-    """Return the first part of the keys of a shard's batches."""
+    """Return the prefix of the keys of a shard's batches."""
     return shard_prefix(shard) + "batch/"
 
 
 def batch_name(shard: int, fence: Revision, sequence: int) -> str:
-    """Return the key of one batch; the keys sort in the order of the commits."""
+    """Return the key of one batch; the keys sort in commit order."""
     return f"{batches_prefix(shard)}{fence:020d}-{sequence:010d}"
--- a/src/lentilrill/jobs/_shard.py
+++ b/src/lentilrill/jobs/_shard.py
@@ -1,4 +1,4 @@
-"""One shard as its owner holds it: the ledger, and one turn of decisions on it."""
+"""An owner's state of one shard, and updates of it by received messages."""
 
 import random
 import time
@@ -22,14 +22,14 @@
 CARRIED_ENTRIES = 200
 KEYS_PER_SHARD = 20_000
 BODY_BYTES = 4 * 1024 * 1024
-"""Size of a shard's kept bodies from which on answers are recorded without them."""
+"""Total size of a shard's kept bodies above which responses are recorded without their bodies."""
 BACKOFF_S = 0.5
 IN_PROGRESS_RETRY_S = 2.0
 UNAVAILABLE_RETRY_S = 2.0
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A message for a shard, whom to answer, and when it came, in monotonic seconds."""
+    """A message for a shard, the address to reply to, and its arrival in monotonic seconds."""
 
     message: ClaimAsk | OutcomeNote
     reply_to: str
@@ -37,9 +37,9 @@
 
 
 class Shard:
-    """A shard of which this process is the owner, or may become it.
+    """A shard that this process owns or may take over.
 
-    :param wall: seconds since the epoch.
+    :param wall: clock in seconds since the epoch.
     """
 
     def __init__(
@@ -59,15 +59,15 @@
 
     @property
     def cleanable(self) -> bool:
-        """Whether old batches are to be given up."""
+        """Whether the oldest batch has expired and can be deleted."""
         return self._ledger is not None and self._ledger.cleanable(self._wall())
 
     def forget(self) -> None:
-        """Drop what is known; the next use takes the shard over anew."""
+        """Discard the state in memory; the next use takes the shard over again."""
         self._ledger = None
 
     def turn(self, arrivals: list[Arrival]) -> "Turn":
-        """Return the decisions on ``arrivals``; only after a :meth:`take_over`."""
+        """Return the update for ``arrivals``; call it only after :meth:`take_over` succeeded."""
         assert self._ledger is not None
         turn = Turn(self, self._ledger, self._wall(), len(self._ledger) >= KEYS_PER_SHARD)
         for arrival in arrivals:
@@ -75,7 +75,7 @@
         return turn
 
     def take_over(self) -> bool:
-        """Return whether the shard is this process's, after taking it over if need be."""
+        """Take the shard over unless this process has it already; return whether it has it."""
         if self._ledger is not None:
             return True
         if time.monotonic() < self._not_before:
@@ -92,10 +92,11 @@
         return True
 
     def wrote_after_all(self, batch: Batch | None, fault: Fault) -> bool:
-        """Settle a write that failed or whose answer was lost; return whether it took effect.
+        """Handle a write that failed or whose result is unknown; return whether it took effect.
 
-        Guard against a write that takes effect after all, perhaps later: only a new fence ends
-        that. What is read after it was committed; what is not read never will be.
+        A write whose result is unknown may still take effect later. A new fencing token prevents
+        that: a batch that is read after the token changed was committed, and any other one can
+        no longer be committed.
         """
         self.forget()
         if fault.kind is not FaultKind.AMBIGUOUS:
@@ -106,15 +107,15 @@
         return self._ledger.has(batch.name)
 
     def _back_off(self, fault: Fault) -> None:
-        # Two processes that both believe to own the shard would take it from each other
-        # without end: the one that lost it waits before it tries again.
+        # Two processes that both compute themselves as the owner would take the shard from each
+        # other endlessly: the one that lost it waits a random time before it retries.
         spread = 1.0 + random.random()
         self._not_before = time.monotonic() + BACKOFF_S * spread
         log(Event.CLAIMS_UNAVAILABLE, shard=self._number, fault=fault)
 
 
 class Turn:
-    """One turn of a shard: answers that are known, and entries to commit."""
+    """An update of a shard: entries to commit and the replies that depend on the commit."""
 
     def __init__(self, shard: Shard, ledger: Ledger, now: float, full: bool) -> None:
         self.shard = shard
@@ -131,7 +132,7 @@
         self._on_failure: list[tuple[str, Message]] = []
 
     def take(self, arrival: Arrival) -> None:
-        """Decide on one message."""
+        """Process one message."""
         if isinstance(arrival.message, ClaimAsk):
             self._ask(arrival.message, arrival.reply_to)
         else:
@@ -139,11 +140,11 @@
 
     @property
     def fence(self) -> Compare:
-        """Condition of the turn's writes."""
+        """Condition of the update's writes."""
         return self.shard.store.fence()
 
     def prepare(self) -> bool:
-        """Fix the writes of the turn; return whether there are any."""
+        """Prepare the writes of the update; return whether there are any."""
         carried: list[Entry] = []
         if self._ledger.cleanable(self._now):
             carried, self._kept = self._ledger.oldest(self._now, CARRIED_ENTRIES)
@@ -155,7 +156,7 @@
         return bool(self.writes)
 
     def settle(self, result: Result[None, Fault]) -> None:
-        """Release the answers that rest on the commit, by what became of it."""
+        """Choose the replies that depend on the commit, by its result."""
         if isinstance(result, Success):
             self._apply()
             self.replies += self._on_commit
@@ -204,7 +205,7 @@
                 state=EntryState.RECORDED,
                 status=note.status,
                 content_type=note.content_type,
-                # A take-over reads the whole shard in one call, which must stay bounded.
+                # A take-over reads the whole shard in one call, so its size must be bounded.
                 body=note.body if self._ledger.body_bytes < BODY_BYTES else None,
             )
         else:
--- a/src/lentilrill/jobs/_shards.py
+++ b/src/lentilrill/jobs/_shards.py
@@ -15,5 +15,5 @@
 
 
 def owner_of(shard: int, roster: Roster) -> Member | None:
-    """Return the gateway that this process believes to own ``shard``."""
+    """Return the gateway that owns ``shard`` by this process's membership list."""
     return rendezvous(f"claims/{shard}", roster.alive(Role.GATEWAY))
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -1,4 +1,4 @@
-"""A shard's keys on the platform: fence and batches."""
+"""Access to a shard's records on the platform: fencing token and batches."""
 
 import uuid
 
@@ -22,15 +22,16 @@
 __all__ = ["ShardStore"]
 
 AFTER_BATCHES = "batch0"
-"""Sorts directly after each key that begins with ``batch/``."""
+"""End of the key range of the prefix ``batch/``; ``0`` follows ``/`` in ASCII."""
 
 
 class ShardStore:
-    """One owner's way to a shard on the platform.
+    """One owner's access to a shard on the platform.
 
-    The owner key's modification revision is the fence: each batch is written in a transaction
-    that compares it. Guard against two owners at once, such as one that was paused while
-    another took over: the later one changed the fence, so each write of the former fails.
+    The owner key's modification revision is the fencing token: each batch is written in a
+    transaction that compares it. If two processes act as owners at once, for example because one
+    was paused while the other took over, the later one has changed the token, and each write of
+    the former one fails.
     """
 
     def __init__(self, platform: KeyValue, shard: int, member: Member) -> None:
@@ -41,12 +42,12 @@
         self._sequence = 0
 
     def take_over(self) -> Result[list[Batch], Fault]:
-        """Take the fence, then read every batch.
+        """Change the fencing token, then read all batches.
 
-        Guard against a claim that the former owner commits during the take-over, which would
-        be missed, and its job run twice: the reading comes after the fence, so each batch of a
-        former owner either was committed before it, and is read, or never will be. A stale
-        read shows an older fence. Nothing could be written under that one; it is refused here.
+        The order matters: each batch of a former owner is either committed before the token
+        changes, and is read here, or its commit fails. If the batches were read first, a claim
+        that the former owner commits meanwhile would be missed, and its job would run twice. A
+        stale read shows an older token and is refused; no write with that token would succeed.
         """
         seen = self._platform.read(owner_key(self._shard))
         if isinstance(seen, Failure):
@@ -64,16 +65,19 @@
         return self._read(mine)
 
     def next_name(self) -> str:
-        """Return the key of the next batch. It is used once, whatever becomes of the write."""
+        """Return the key of the next batch; it is not used again, even if the write fails."""
         self._sequence += 1
         return batch_name(self._shard, self._fence, self._sequence)
 
     def fence(self) -> Compare:
-        """Return the condition of every write: that the shard has no other owner."""
+        """Return the condition of each write: the shard's fencing token has not changed."""
         return Compare(owner_key(self._shard), self._fence)
 
     def writes(self, batch: Batch | None, kept: str | None) -> tuple[Put | DeleteRange, ...]:
-        """Return what adds a batch, and deletes those before the key ``kept``; empty: all older."""
+        """Return the writes that add a batch and delete those before the key ``kept``.
+
+        :param kept: ``None`` deletes none; an empty string deletes all except the new batch.
+        """
         writes: list[Put | DeleteRange] = []
         prefix = batches_prefix(self._shard)
         if kept is not None:
@@ -99,7 +103,7 @@
             try:
                 batches.append(Batch(key, msgspec.json.decode(value, type=BatchRecord)))
             except msgspec.MsgspecError as error:
-                # A batch that can't be read may hold any key: nothing can be claimed safely.
+                # A batch that can't be decoded may contain any key, so no claim would be safe.
                 reason = f"{key} can't be decoded: {error}"
                 return Failure(Fault("jobs.take_over", key, FaultKind.INVALID, reason))
         self._fence = owner.revision
@@ -107,8 +111,8 @@
         return Success(batches)
 
     def _mine(self) -> bytes:
-        # The nonce makes each try's value unique, so that reading it back tells whether this
-        # very write took effect, also after a restart under the same name.
+        # The nonce makes the value of each attempt unique, so that reading it back shows whether
+        # this write took effect, also after a restart with the same process name.
         member = self._member
         return msgspec.json.encode(
             OwnerRecord(member.process, member.incarnation, uuid.uuid4().hex)
--- a/tests/jobs/fakes.py
+++ b/tests/jobs/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for claims: a platform that can be told to fail, a bus between nodes, a roster."""
+"""Fakes for tests of claims: a platform with injected faults, a message bus and a roster."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -25,10 +25,11 @@
 
 
 class FakePlatform:
-    """A key-value service in memory.
+    """A key-value service in memory with injected faults.
 
-    ``lose`` answers of commits are lost after the write took effect; ``postpone`` commits take
-    effect only at :meth:`land`; ``down`` fails every call; ``stale`` reads show the past.
+    The answers of the next ``lose`` commits are lost after the write took effect; the next
+    ``postpone`` commits take effect only at :meth:`land`; with ``down`` every call fails; with
+    ``stale`` reads return these items.
     """
 
     def __init__(self) -> None:
@@ -59,7 +60,7 @@
         writes: tuple[Put | DeleteRange, ...],
         priority: Priority = Priority.FIRST,
     ) -> Result[TxnAnswer, Fault]:
-        """Apply a transaction, or do with it what was told."""
+        """Apply a transaction, or inject the fault that was set."""
         self.before_commit()
         with self.lock:
             self.commits += 1
@@ -76,14 +77,14 @@
             return Success(answer)
 
     def land(self) -> None:
-        """Let postponed commits take effect now, if their comparisons hold."""
+        """Apply the postponed commits now, if their comparisons hold."""
         with self.lock:
             for compares, writes in self._late:
                 self._apply(compares, writes)
             self._late.clear()
 
     def below(self, part: str) -> list[str]:
-        """Return the keys that hold ``part``."""
+        """Return the keys that contain ``part``."""
         with self.lock:
             return sorted(key for key in self.items if part in key)
 
@@ -127,7 +128,7 @@
 
 
 class Bus:
-    """Delivers messages between nodes of one test, at once, unless told to drop them."""
+    """Delivers messages between the nodes of a test synchronously; ``drop`` selects losses."""
 
     def __init__(self) -> None:
         self.nodes_by_address: dict[str, BusNode] = {}
@@ -149,7 +150,7 @@
         self._handlers_by_kind.setdefault(kind, []).append(handler)
 
     def send(self, address: str, message: Message) -> None:
-        """Deliver at once."""
+        """Deliver the message synchronously."""
         target = self.bus.nodes_by_address.get(address)
         if target is None or self.bus.drop(address, message):
             return
@@ -159,18 +160,18 @@
 
 
 class FakeRoster:
-    """Members as one process believes them to be, set by the test."""
+    """One process's membership list, set by the test."""
 
     def __init__(self, me: Member, *others: Member) -> None:
         self.me = me
         self.members = (me, *others)
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        """Return the believed members."""
+        """Return the members set by the test."""
         return tuple(sorted(self.members, key=lambda member: member.process))
 
     def liveness(self, member: Member) -> Liveness:
-        """Return what is believed."""
+        """Return alive for the members set by the test, else suspect."""
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys between a client, owners and the platform."""
+"""Claims of idempotency keys by a client, with owners and the platform."""
 
 import threading
 from typing import Any, cast
@@ -23,7 +23,7 @@
 
 
 class Process:
-    """One gateway's claim side."""
+    """Claim client and claim owner of one gateway process."""
 
     def __init__(self, test: "ClaimTestCase", member: Member, shards: int) -> None:
         self.member = member
@@ -41,7 +41,7 @@
         test.addCleanup(self.owner.close)
 
     def believes_in(self, owner: "Process") -> None:
-        """Let this process believe that ``owner`` alone is alive."""
+        """Make ``owner`` the only member in this process's membership list."""
         self.roster.members = (owner.member,)
 
 
@@ -63,7 +63,7 @@
         self.assertEqual(state, result.state)
 
     def drop_first_note(self) -> None:
-        """Let the next message with an outcome be lost."""
+        """Drop the next message with an outcome."""
         lost: list[OutcomeNote] = []
 
         def drop(address: str, message: object) -> bool:
@@ -118,8 +118,8 @@
         self.assertEqual([b"12345", None, None], [recorded and recorded.body for recorded in kept])
 
     def test_only_the_holder_can_end_a_claim(self) -> None:
-        # A request that gave up waiting gives its key back, although another request got the
-        # key meanwhile. Were that taken for the other's release, a third one would run it too.
+        # A request whose claim timed out releases the key, although another request has claimed
+        # it meanwhile. If that released the other's claim, a third request would run the job too.
         one = self.a_process("one")
         self.claim(one, "r1")
         one.client.release(a_claim("r2"))
@@ -127,8 +127,8 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r3"))
 
     def test_claims_that_queue_up_share_a_commit(self) -> None:
-        # The first commit is held; what arrives meanwhile must go out in one further batch, or
-        # the platform's writes would follow the jobs.
+        # The first commit is blocked. All messages that arrive meanwhile must share one commit;
+        # otherwise the write rate on the platform would grow with the number of jobs.
         one = self.a_process("one")
         self.claim(one, "first", key="first")
         entered, gate = threading.Event(), threading.Event()
@@ -186,9 +186,9 @@
         self.assertGreater(self.platform.largest, 100_000)
 
     def test_retention_cleans_up_and_keeps_what_is_in_progress(self) -> None:
-        # A key's retention has passed, and another key's gateway died in the middle of its job.
-        # The first becomes free and its batch is deleted; the second must stay claimed, also
-        # for the next owner, or the job whose end nobody knows would run again.
+        # The retention of one key has passed, and the gateway of another key failed during its
+        # job. The first key becomes free and its batch is deleted. The second one must stay
+        # claimed, also for the next owner, or a job whose outcome is unknown would run again.
         one = self.a_process("one")
         self.claim(one, "done", key="done")
         self.claim(one, "died", key="died")
@@ -203,8 +203,8 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "y", key="done"))
 
     def test_an_outcome_is_told_until_it_is_acknowledged(self) -> None:
-        # The message that tells an outcome is lost. Without another try the key would be "in
-        # progress" for hours although its answer is known.
+        # The message with an outcome is lost. If it were not sent again, the key would stay in
+        # progress for hours although its outcome is known.
         one = self.a_process("one")
         self.claim(one, "r1")
         self.drop_first_note()
@@ -214,8 +214,8 @@
 
     def test_a_planned_stop_tells_the_last_outcomes(self) -> None:
         # An entry host is stopped just after its last keyed job was answered, and the message
-        # with its outcome is lost. It must still be kept, or the key would be in progress for
-        # hours.
+        # with the outcome is lost. The outcome must still be recorded, or the key would stay in
+        # progress for hours.
         one, two = self.a_process("one"), self.a_process("two")
         one.believes_in(two)
         self.claim(one, "r1")
@@ -235,8 +235,8 @@
 
 class FaultTest(ClaimTestCase):
     def test_a_lost_answer_is_read_back(self) -> None:
-        # The batch is committed, but the platform's answer is lost. Answered "claimed" without
-        # a look, or "not claimed", one of two callers with the key would be told a lie.
+        # The batch is committed, but the platform's answer is lost. Either answer to the claim
+        # could be wrong, unless the owner reads the batch back.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
         self.platform.lose = 1
@@ -248,9 +248,9 @@
         self.assert_state(ClaimState.CLAIMED, self.claim(self.a_process("one"), "r1"))
 
     def test_a_write_that_lands_late_claims_nothing(self) -> None:
-        # The batch's write is under way when its call times out; reading back shows nothing
-        # yet, so the caller is told "not run" and a later request claims the key. Then the
-        # write lands. It must not take effect: its claim is nobody's, or is another's.
+        # The write of a batch times out and is still in progress. The read back doesn't show it,
+        # so the caller is told "not_run" and a later request claims the key. When the delayed
+        # write arrives, it must not take effect, as the key may be claimed by another request.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
         self.platform.postpone = 1
@@ -277,9 +277,9 @@
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
 
     def test_an_unanswered_claim_is_given_back(self) -> None:
-        # The owner commits a claim, but its answer never reaches the asking gateway, which
-        # tells its caller that the job did not run. The caller's next try must not hear "in
-        # progress" for hours.
+        # The owner commits a claim, but its answer is lost, and the gateway tells its caller
+        # that the job did not run. The caller's next attempt must not be refused as in progress
+        # for hours.
         one = self.a_process("one")
         self.bus.drop = lambda address, message: isinstance(message, ClaimAnswer)
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
@@ -288,8 +288,8 @@
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
 
     def test_a_stale_read_is_no_proof(self) -> None:
-        # A new owner's read comes from a replica that lags: the former owner's claims are not
-        # in it. Believed, the key would be free and its job would run twice.
+        # A new owner reads from a replica that lags, without the former owner's claims. If the
+        # read were accepted, the key would be free and its job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
         past = dict(self.platform.items)
@@ -302,7 +302,7 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.eventually(two, "r3"))
 
     def test_an_unreadable_batch_stops_claims(self) -> None:
-        # A batch of a broken build can't be decoded; it may hold any key.
+        # A batch that can't be decoded, for example from a faulty build, may contain any key.
         one = self.a_process("one")
         self.claim(one, "r1")
         key = self.platform.below("/batch/")[0]
@@ -312,7 +312,7 @@
         self.assert_state(ClaimState.UNAVAILABLE, two.client.claim(a_claim("r2"), SOON_S))
 
     def eventually(self, process: Process, request: str) -> ClaimResult:
-        """Claim until the owner's back-off is over."""
+        """Repeat the claim until the owner's back-off has ended."""
         for n in range(100):
             result = process.client.claim(a_claim(f"{request}-{n}"), SOON_S)
             if result.state is not ClaimState.UNAVAILABLE:
@@ -323,9 +323,9 @@
 
 class TwoOwnersTest(ClaimTestCase):
     def test_a_paused_former_owner_claims_nothing(self) -> None:
-        # The owner decides that the key is free and is paused just before its write. Another
-        # process takes the shard over, claims the key and runs the job. The first wakes up and
-        # writes. Were its claim to count, the job would run twice.
+        # The owner finds the key free and is paused just before its write. Another process takes
+        # the shard over and claims the key for its request. If the write of the first owner took
+        # effect once it resumes, the job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
         paused, wake = threading.Event(), threading.Event()
@@ -349,9 +349,9 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r3"))
 
     def test_a_claim_committed_during_a_take_over_is_seen(self) -> None:
-        # While another process takes the shard over, the former owner, still in charge, claims
-        # a key. Had the new owner read the batches before it took the fence, the key would be
-        # free to it, and the job would run twice.
+        # While another process takes the shard over, the former owner still commits a claim. If
+        # the new owner read the batches before it changed the fencing token, it would miss the
+        # claim, and the job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
 
@@ -363,19 +363,19 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r2"))
 
     def test_a_restarted_owner_knows_nothing_of_itself(self) -> None:
-        # The owner dies after its claim was committed, and comes back under the same name with
-        # an empty memory. It must take over like anybody else, and read what was claimed.
+        # The owner fails after a claim was committed, and restarts with the same name and
+        # without state. It must take the shard over like any other process and read the claims.
         one = self.a_process("one")
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
         again = self.a_process("one")
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(again, "r2"))
-        # The former incarnation, if it still runs, can't claim any more.
+        # If the former incarnation still runs, it can't commit claims any more.
         result = one.owner.owns(0) and one.client.claim(a_claim("r3", key="k3"), SOON_S)
         self.assertNotEqual(ClaimState.CLAIMED, cast(ClaimResult, result).state)
 
     def test_two_owners_at_once_never_both_claim(self) -> None:
-        # Two processes can't hear each other, and each believes to own the shard. Callers come
-        # to both with the same keys. Whatever the order, one request at most holds a key.
+        # Two processes are partitioned from each other, and both act as owners of the shard.
+        # Callers send the same keys to both. At most one request may hold the claim of a key.
         one, two = self.a_process("one"), self.a_process("two")
         winners: dict[str, int] = {}
         lock = threading.Lock()
@@ -397,9 +397,9 @@
         self.assertEqual({1}, set(winners.values()))
 
     def test_a_lost_shard_does_not_stop_the_others(self) -> None:
-        # One transaction carries the claims of several shards, and another process has taken
-        # one of these over. The whole transaction fails; the claims of the other shards must
-        # still be made, and that one's must not.
+        # One transaction contains claims of several shards, and another process has taken one of
+        # them over. The whole transaction fails. The claims of the other shards must still be
+        # committed, and those of that shard must not.
         one = self.a_process("one", shards=4)
         keys_by_shard = {shard_of(PlanId("schools"), f"k{n}", 4): f"k{n}" for n in range(40)}
         for key in keys_by_shard.values():
