--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -23,18 +23,18 @@
 
 __all__ = ["ClaimClient"]
 
-ASK_AGAIN_S = 0.25
-NOTE_AGAIN_S = 0.5
-LAST_NOTES_S = 3.0
-NOTES = 20_000
+CLAIM_RESEND_S = 0.25
+OUTCOME_RESEND_S = 0.5
+CLOSE_TIMEOUT_S = 3.0
+MAX_PENDING_OUTCOMES = 20_000
 """Maximum of unacknowledged outcomes; above it the oldest is dropped, and its key stays claimed."""
 UNAVAILABLE_RETRY_S = 2.0
 
 
-class _Pending(msgspec.Struct):
-    note: OutcomeNote
-    next_s: float
-    until_s: float
+class _PendingOutcome(msgspec.Struct):
+    outcome: OutcomeNote
+    resend_at: float
+    expires_at: float
 
 
 class ClaimClient:
@@ -50,17 +50,17 @@
         self._shards = shards
         self._retention_s = retention_s
         self._lock = threading.Lock()
-        self._acked = threading.Condition(self._lock)
+        self._all_acknowledged = threading.Condition(self._lock)
         self._answers_by_request: dict[RequestId, queue.SimpleQueue[ClaimAnswer]] = {}
-        self._pending_by_request: dict[RequestId, _Pending] = {}
+        self._pending_by_request: dict[RequestId, _PendingOutcome] = {}
         self._closed = threading.Event()
-        self._task = threading.Thread(target=self._resend, name="claim-notes", daemon=True)
+        self._thread = threading.Thread(target=self._resend_loop, name="claim-notes", daemon=True)
 
     def start(self) -> None:
         """Register the message handlers and start to resend unacknowledged outcomes."""
         self._node.on(ClaimAnswer, self._on_answer)
         self._node.on(OutcomeAck, self._on_ack)
-        self._task.start()
+        self._thread.start()
 
     def close(self) -> None:
         """Wait a limited time until all outcomes are acknowledged, then stop the thread.
@@ -68,11 +68,11 @@
         The outcomes of the last jobs are not acknowledged yet when the last caller is answered.
         If a planned stop lost them, their keys would stay in progress for hours.
         """
-        with self._acked:
-            self._acked.wait_for(lambda: not self._pending_by_request, LAST_NOTES_S)
+        with self._all_acknowledged:
+            self._all_acknowledged.wait_for(lambda: not self._pending_by_request, CLOSE_TIMEOUT_S)
         self._closed.set()
-        if self._task.is_alive():
-            self._task.join()
+        if self._thread.is_alive():
+            self._thread.join()
 
     @property
     def untold(self) -> int:
@@ -85,7 +85,7 @@
         with self._lock:
             self._answers_by_request[claim.request] = answers
         try:
-            answer = self._ask(claim, answers, time.monotonic() + timeout_s)
+            answer = self._request_claim(claim, answers, time.monotonic() + timeout_s)
         finally:
             with self._lock:
                 del self._answers_by_request[claim.request]
@@ -102,7 +102,7 @@
 
     def record(self, claim: Claim, recorded: Recorded) -> None:
         """Record the job's response for repeats of the key."""
-        self._tell(
+        self._queue_outcome(
             OutcomeNote(
                 request=claim.request,
                 shard=self._shard(claim),
@@ -118,66 +118,66 @@
     def release(self, claim: Claim) -> None:
         """Release the key of a job of which no byte reached an endpoint."""
         shard = self._shard(claim)
-        self._tell(OutcomeNote(claim.request, shard, claim.plan, claim.key, ran=False))
+        self._queue_outcome(OutcomeNote(claim.request, shard, claim.plan, claim.key, ran=False))
 
     def _shard(self, claim: Claim) -> int:
         return shard_of(claim.plan, claim.key, self._shards)
 
-    def _ask(
-        self, claim: Claim, answers: "queue.SimpleQueue[ClaimAnswer]", until_s: float
+    def _request_claim(
+        self, claim: Claim, answers: "queue.SimpleQueue[ClaimAnswer]", deadline: float
     ) -> ClaimAnswer | None:
         shard = self._shard(claim)
         ask = ClaimAsk(
             claim.request, shard, claim.plan, claim.key, claim.fingerprint, self._node.address
         )
-        last = None
-        while (left_s := until_s - time.monotonic()) > 0:
+        last_answer = None
+        while (left_s := deadline - time.monotonic()) > 0:
             owner = owner_of(shard, self._roster)
             if owner is not None:
                 self._node.send(owner.inner, ask)
             try:
-                last = answers.get(timeout=min(left_s, ASK_AGAIN_S))
+                last_answer = answers.get(timeout=min(left_s, CLAIM_RESEND_S))
             except queue.Empty:
                 continue
-            if last.state is not ClaimState.NOT_OWNER:
-                return last
+            if last_answer.state is not ClaimState.NOT_OWNER:
+                return last_answer
             # The receiver computed another owner of the shard: both agree once they have
             # received the same membership.
-            self._closed.wait(min(left_s, ASK_AGAIN_S))
-        return last
+            self._closed.wait(min(left_s, CLAIM_RESEND_S))
+        return last_answer
 
-    def _tell(self, note: OutcomeNote) -> None:
+    def _queue_outcome(self, outcome: OutcomeNote) -> None:
         now = time.monotonic()
         with self._lock:
-            if len(self._pending_by_request) >= NOTES:
+            if len(self._pending_by_request) >= MAX_PENDING_OUTCOMES:
                 dropped = next(iter(self._pending_by_request))
                 del self._pending_by_request[dropped]
                 log(Event.OUTCOME_DROPPED, request=dropped)
-            self._pending_by_request[note.request] = _Pending(
-                note, now + NOTE_AGAIN_S, now + self._retention_s
+            self._pending_by_request[outcome.request] = _PendingOutcome(
+                outcome, now + OUTCOME_RESEND_S, now + self._retention_s
             )
-        self._send(note)
+        self._send_outcome(outcome)
 
-    def _send(self, note: OutcomeNote) -> None:
-        owner = owner_of(note.shard, self._roster)
+    def _send_outcome(self, outcome: OutcomeNote) -> None:
+        owner = owner_of(outcome.shard, self._roster)
         if owner is not None:
-            self._node.send(owner.inner, note)
+            self._node.send(owner.inner, outcome)
 
-    def _resend(self) -> None:
-        while not self._closed.wait(NOTE_AGAIN_S):
+    def _resend_loop(self) -> None:
+        while not self._closed.wait(OUTCOME_RESEND_S):
             now = time.monotonic()
-            for pending in self._due(now):
-                self._send(pending.note)
+            for pending in self._take_due(now):
+                self._send_outcome(pending.outcome)
 
-    def _due(self, now: float) -> list[_Pending]:
-        due: list[_Pending] = []
+    def _take_due(self, now: float) -> list[_PendingOutcome]:
+        due: list[_PendingOutcome] = []
         with self._lock:
             for request, pending in list(self._pending_by_request.items()):
-                if now >= pending.until_s:
+                if now >= pending.expires_at:
                     del self._pending_by_request[request]
                     log(Event.OUTCOME_DROPPED, request=request)
-                elif now >= pending.next_s:
-                    pending.next_s = now + NOTE_AGAIN_S
+                elif now >= pending.resend_at:
+                    pending.resend_at = now + OUTCOME_RESEND_S
                     due.append(pending)
         return due
 
@@ -191,4 +191,4 @@
         with self._lock:
             self._pending_by_request.pop(ack.request, None)
             if not self._pending_by_request:
-                self._acked.notify_all()
+                self._all_acknowledged.notify_all()
--- a/src/lentilrill/jobs/_ledger.py
+++ b/src/lentilrill/jobs/_ledger.py
@@ -8,29 +8,29 @@
 from lentilrill.ids import PlanId, RequestId
 from lentilrill.jobs._records import BatchRecord, Entry, EntryState
 
-__all__ = ["CLAIM_LIFE_S", "Batch", "Ledger"]
+__all__ = ["CLAIM_LIFETIME_S", "Batch", "ClaimTable"]
 
-CLAIM_LIFE_S = 4 * 3600.0
+CLAIM_LIFETIME_S = 4 * 3600.0
 """Longer than any job can last: until then a claim without an outcome counts as in progress."""
-CLOCK_SLACK_S = 5.0
+MAX_CLOCK_SKEW_S = 5.0
 """Clock difference between two owners that must not shorten the retention."""
 
-KeyName = tuple[PlanId, str]
+PlanKey = tuple[PlanId, str]
 
 
 class Batch(msgspec.Struct, frozen=True):
     """One committed batch and its key on the platform."""
 
-    name: str
+    record_key: str
     record: BatchRecord
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _CurrentEntry(msgspec.Struct, frozen=True):
     entry: Entry
-    batch: str
+    batch_key: str
 
 
-class Ledger:
+class ClaimTable:
     """The keys of one shard, built from its batches in order: the last entry of a key is current.
 
     Batches are deleted only from the oldest on. So an entry is never kept longer than a later one
@@ -43,53 +43,53 @@
 
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
-        self._held_by_key: dict[KeyName, _Held] = {}
+        self._current_by_key: dict[PlanKey, _CurrentEntry] = {}
         self._batches: deque[Batch] = deque()
         self.body_bytes = 0
         """Total size of the bodies in all batches, which a take-over reads."""
 
     def __len__(self) -> int:
-        return len(self._held_by_key)
+        return len(self._current_by_key)
 
     @property
     def batches(self) -> int:
         """Number of batches."""
         return len(self._batches)
 
-    def has(self, name: str) -> bool:
-        """Return whether the table contains the batch ``name``."""
-        return any(batch.name == name for batch in self._batches)
+    def has_batch(self, record_key: str) -> bool:
+        """Return whether the table contains the batch ``record_key``."""
+        return any(batch.record_key == record_key for batch in self._batches)
 
     def add(self, batch: Batch) -> None:
         """Add a committed batch, which must be the newest one."""
         self._batches.append(batch)
         self.body_bytes += _body_bytes(batch)
         for entry in batch.record.entries:
-            name = (entry.plan, entry.key)
+            plan_key = (entry.plan, entry.key)
             if entry.state is EntryState.RELEASED:
-                self._held_by_key.pop(name, None)
+                self._current_by_key.pop(plan_key, None)
             else:
-                self._held_by_key[name] = _Held(entry, batch.name)
+                self._current_by_key[plan_key] = _CurrentEntry(entry, batch.record_key)
 
     def find(self, plan: PlanId, key: str, now: float) -> Entry | None:
         """Return the current entry of a key; ``None`` if the key is free."""
-        held = self._held_by_key.get((plan, key))
-        if held is None or now >= self._expires(held.entry):
+        current = self._current_by_key.get((plan, key))
+        if current is None or now >= self._expires_at(current.entry):
             return None
-        return held.entry
+        return current.entry
 
-    def holds(self, plan: PlanId, key: str, request: RequestId) -> Entry | None:
+    def find_claim(self, plan: PlanId, key: str, request: RequestId) -> Entry | None:
         """Return the entry if ``request`` holds the claim of the key, without an outcome yet."""
-        held = self._held_by_key.get((plan, key))
-        if held is None or held.entry.request != request:
+        current = self._current_by_key.get((plan, key))
+        if current is None or current.entry.request != request:
             return None
-        return held.entry if held.entry.state is EntryState.CLAIMED else None
+        return current.entry if current.entry.state is EntryState.CLAIMED else None
 
-    def cleanable(self, now: float) -> bool:
+    def has_expired_batch(self, now: float) -> bool:
         """Return whether the oldest batch is old enough to be deleted."""
-        return bool(self._batches) and self._is_old(self._batches[0], now)
+        return bool(self._batches) and self._is_expired(self._batches[0], now)
 
-    def oldest(self, now: float, carried_limit: int) -> tuple[list[Entry], str]:
+    def select_expired(self, now: float, max_carried: int) -> tuple[list[Entry], str]:
         """Select the batches to delete.
 
         The oldest one is always selected; otherwise a batch with many claims in progress would
@@ -100,38 +100,42 @@
         """
         carried: list[Entry] = []
         for batch in self._batches:
-            live = list(self._live(batch, now))
-            crowded = carried and len(carried) + len(live) > carried_limit
-            if not self._is_old(batch, now) or crowded:
-                return carried, batch.name
-            carried += live
+            current_entries = list(self._current_entries(batch, now))
+            exceeds_limit = carried and len(carried) + len(current_entries) > max_carried
+            if not self._is_expired(batch, now) or exceeds_limit:
+                return carried, batch.record_key
+            carried += current_entries
         return carried, ""
 
-    def give_up(self, kept: str) -> None:
-        """Remove the batches before ``kept``, which were deleted; all of them if it is empty."""
-        while self._batches and self._batches[0].name != kept:
+    def remove_before(self, first_kept: str) -> None:
+        """Remove the deleted batches before ``first_kept``; all of them if it is empty."""
+        while self._batches and self._batches[0].record_key != first_kept:
             batch = self._batches.popleft()
             self.body_bytes -= _body_bytes(batch)
             for entry in batch.record.entries:
-                name = (entry.plan, entry.key)
-                held = self._held_by_key.get(name)
-                if held is not None and held.batch == batch.name:
-                    del self._held_by_key[name]
+                plan_key = (entry.plan, entry.key)
+                current = self._current_by_key.get(plan_key)
+                if current is not None and current.batch_key == batch.record_key:
+                    del self._current_by_key[plan_key]
 
-    def _live(self, batch: Batch, now: float) -> Iterable[Entry]:
+    def _current_entries(self, batch: Batch, now: float) -> Iterable[Entry]:
         for entry in batch.record.entries:
-            held = self._held_by_key.get((entry.plan, entry.key))
-            if held is not None and held.batch == batch.name and now < self._expires(held.entry):
-                yield held.entry
-
-    def _is_old(self, batch: Batch, now: float) -> bool:
-        return now >= batch.record.at + self._retention_s + CLOCK_SLACK_S
-
-    def _expires(self, entry: Entry) -> float:
-        life_s = self._retention_s + CLOCK_SLACK_S
+            current = self._current_by_key.get((entry.plan, entry.key))
+            if (
+                current is not None
+                and current.batch_key == batch.record_key
+                and now < self._expires_at(current.entry)
+            ):
+                yield current.entry
+
+    def _is_expired(self, batch: Batch, now: float) -> bool:
+        return now >= batch.record.at + self._retention_s + MAX_CLOCK_SKEW_S
+
+    def _expires_at(self, entry: Entry) -> float:
+        lifetime_s = self._retention_s + MAX_CLOCK_SKEW_S
         if entry.state is EntryState.CLAIMED:
-            life_s += CLAIM_LIFE_S
-        return entry.at + life_s
+            lifetime_s += CLAIM_LIFETIME_S
+        return entry.at + lifetime_s
 
 
 def _body_bytes(batch: Batch) -> int:
--- a/src/lentilrill/jobs/_records.py
+++ b/src/lentilrill/jobs/_records.py
@@ -12,7 +12,7 @@
     "Entry",
     "EntryState",
     "OwnerRecord",
-    "batch_name",
+    "batch_key",
     "batches_prefix",
     "owner_key",
     "shard_prefix",
@@ -79,6 +79,6 @@
     return shard_prefix(shard) + "batch/"
 
 
-def batch_name(shard: int, fence: Revision, sequence: int) -> str:
+def batch_key(shard: int, fencing_token: Revision, sequence: int) -> str:
     """Return the key of one batch; the keys sort in commit order."""
-    return f"{batches_prefix(shard)}{fence:020d}-{sequence:010d}"
+    return f"{batches_prefix(shard)}{fencing_token:020d}-{sequence:010d}"
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -11,7 +11,7 @@
 from lentilrill.jobs._records import (
     BatchRecord,
     OwnerRecord,
-    batch_name,
+    batch_key,
     batches_prefix,
     owner_key,
     shard_prefix,
@@ -21,7 +21,7 @@
 
 __all__ = ["ShardStore"]
 
-AFTER_BATCHES = "batch0"
+BATCHES_END = "batch0"
 """End of the key range of the prefix ``batch/``; ``0`` follows ``/`` in ASCII."""
 
 
@@ -38,7 +38,7 @@
         self._platform = platform
         self._shard = shard
         self._member = member
-        self._fence = Revision(0)
+        self._fencing_token = Revision(0)
         self._sequence = 0
 
     def take_over(self) -> Result[list[Batch], Fault]:
@@ -49,51 +49,54 @@
         that the former owner commits meanwhile would be missed, and its job would run twice. A
         stale read shows an older token and is refused; no write with that token would succeed.
         """
-        seen = self._platform.read(owner_key(self._shard))
-        if isinstance(seen, Failure):
-            return seen
-        held = {item.key: item.revision for item in seen.unwrap().items}
-        revision = held.get(owner_key(self._shard), Revision(0))
-        mine = self._mine()
-        taken = self._platform.commit(
-            (Compare(owner_key(self._shard), revision),), (Put(owner_key(self._shard), mine),)
+        owner_read = self._platform.read(owner_key(self._shard))
+        if isinstance(owner_read, Failure):
+            return owner_read
+        revisions_by_key = {item.key: item.revision for item in owner_read.unwrap().items}
+        revision = revisions_by_key.get(owner_key(self._shard), Revision(0))
+        owner_value = self._new_owner_value()
+        committed = self._platform.commit(
+            (Compare(owner_key(self._shard), revision),),
+            (Put(owner_key(self._shard), owner_value),),
         )
-        if isinstance(taken, Failure) and taken.failure().kind is not FaultKind.AMBIGUOUS:
-            return taken
-        if isinstance(taken, Success) and not taken.unwrap().succeeded:
+        if isinstance(committed, Failure) and committed.failure().kind is not FaultKind.AMBIGUOUS:
+            return committed
+        if isinstance(committed, Success) and not committed.unwrap().succeeded:
             return self._conflict("another process took the shard over")
-        return self._read(mine)
+        return self._read_batches(owner_value)
 
     def next_name(self) -> str:
         """Return the key of the next batch; it is not used again, even if the write fails."""
         self._sequence += 1
-        return batch_name(self._shard, self._fence, self._sequence)
+        return batch_key(self._shard, self._fencing_token, self._sequence)
 
     def fence(self) -> Compare:
         """Return the condition of each write: the shard's fencing token has not changed."""
-        return Compare(owner_key(self._shard), self._fence)
+        return Compare(owner_key(self._shard), self._fencing_token)
 
-    def writes(self, batch: Batch | None, kept: str | None) -> tuple[Put | DeleteRange, ...]:
-        """Return the writes that add a batch and delete those before the key ``kept``.
+    def writes(self, batch: Batch | None, first_kept: str | None) -> tuple[Put | DeleteRange, ...]:
+        """Return the writes that add a batch and delete those before the key ``first_kept``.
 
-        :param kept: ``None`` deletes none; an empty string deletes all except the new batch.
+        :param first_kept: ``None`` deletes none; an empty string deletes all except the new batch.
         """
         writes: list[Put | DeleteRange] = []
         prefix = batches_prefix(self._shard)
-        if kept is not None:
-            end = kept or (batch.name if batch else shard_prefix(self._shard) + AFTER_BATCHES)
+        if first_kept is not None:
+            end = first_kept or (
+                batch.record_key if batch else shard_prefix(self._shard) + BATCHES_END
+            )
             writes.append(DeleteRange(prefix, end))
         if batch is not None:
-            writes.append(Put(batch.name, msgspec.json.encode(batch.record)))
+            writes.append(Put(batch.record_key, msgspec.json.encode(batch.record)))
         return tuple(writes)
 
-    def _read(self, mine: bytes) -> Result[list[Batch], Fault]:
+    def _read_batches(self, owner_value: bytes) -> Result[list[Batch], Fault]:
         read = self._platform.read(shard_prefix(self._shard))
         if isinstance(read, Failure):
             return read
         items_by_key = {item.key: item for item in read.unwrap().items}
         owner = items_by_key.pop(owner_key(self._shard), None)
-        if owner is None or owner.value != mine:
+        if owner is None or owner.value != owner_value:
             return self._conflict("the fence is not seen as taken")
         batches: list[Batch] = []
         for key in sorted(items_by_key):
@@ -106,11 +109,11 @@
                 # A batch that can't be decoded may contain any key, so no claim would be safe.
                 reason = f"{key} can't be decoded: {error}"
                 return Failure(Fault("jobs.take_over", key, FaultKind.INVALID, reason))
-        self._fence = owner.revision
+        self._fencing_token = owner.revision
         self._sequence = 0
         return Success(batches)
 
-    def _mine(self) -> bytes:
+    def _new_owner_value(self) -> bytes:
         # The nonce makes the value of each attempt unique, so that reading it back shows whether
         # this write took effect, also after a restart with the same process name.
         member = self._member
--- a/tests/jobs/fakes.py
+++ b/tests/jobs/fakes.py
@@ -37,20 +37,20 @@
         self.items: dict[str, Item] = {}
         self.revision = 0
         self.commits = 0
-        self.largest = 0
-        self.lose = 0
-        self.postpone = 0
+        self.largest_value_bytes = 0
+        self.lose_answers = 0
+        self.postpone_commits = 0
         self.down = False
-        self.stale: dict[str, Item] | None = None
+        self.stale_items: dict[str, Item] | None = None
         self.before_commit: Callable[[], None] = lambda: None
-        self._late: list[tuple[tuple[Compare, ...], tuple[Put | DeleteRange, ...]]] = []
+        self._postponed: list[tuple[tuple[Compare, ...], tuple[Put | DeleteRange, ...]]] = []
 
     def read(self, prefix: str, priority: Priority = Priority.FIRST) -> Result[RangeAnswer, Fault]:
         """Read a prefix."""
         with self.lock:
             if self.down:
                 return Failure(_fault(FaultKind.UNAVAILABLE))
-            source = self.items if self.stale is None else self.stale
+            source = self.items if self.stale_items is None else self.stale_items
             found = tuple(i for k, i in sorted(source.items()) if k.startswith(prefix))
             return Success(RangeAnswer(found, Revision(self.revision)))
 
@@ -66,24 +66,24 @@
             self.commits += 1
             if self.down:
                 return Failure(_fault(FaultKind.UNAVAILABLE))
-            if self.postpone:
-                self.postpone -= 1
-                self._late.append((compares, writes))
+            if self.postpone_commits:
+                self.postpone_commits -= 1
+                self._postponed.append((compares, writes))
                 return Failure(_fault(FaultKind.AMBIGUOUS))
             answer = self._apply(compares, writes)
-            if self.lose:
-                self.lose -= 1
+            if self.lose_answers:
+                self.lose_answers -= 1
                 return Failure(_fault(FaultKind.AMBIGUOUS))
             return Success(answer)
 
-    def land(self) -> None:
+    def apply_postponed(self) -> None:
         """Apply the postponed commits now, if their comparisons hold."""
         with self.lock:
-            for compares, writes in self._late:
+            for compares, writes in self._postponed:
                 self._apply(compares, writes)
-            self._late.clear()
+            self._postponed.clear()
 
-    def below(self, part: str) -> list[str]:
+    def keys_containing(self, part: str) -> list[str]:
         """Return the keys that contain ``part``."""
         with self.lock:
             return sorted(key for key in self.items if part in key)
@@ -108,13 +108,13 @@
         self, compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
     ) -> TxnAnswer:
         for compare in compares:
-            held = self.items.get(compare.key)
-            if (held.revision if held else 0) != compare.revision:
+            current = self.items.get(compare.key)
+            if (current.revision if current else 0) != compare.revision:
                 return TxnAnswer(False, Revision(self.revision))
         self.revision += 1
         for write in writes:
             if isinstance(write, Put):
-                self.largest = max(self.largest, len(write.value))
+                self.largest_value_bytes = max(self.largest_value_bytes, len(write.value))
                 self.items[write.key] = Item(write.key, write.value, Revision(self.revision))
             else:
                 end = write.end or write.key + "\0"
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -40,7 +40,7 @@
         test.addCleanup(self.client.close)
         test.addCleanup(self.owner.close)
 
-    def believes_in(self, owner: "Process") -> None:
+    def set_only_member(self, owner: "Process") -> None:
         """Make ``owner`` the only member in this process's membership list."""
         self.roster.members = (owner.member,)
 
@@ -62,7 +62,7 @@
     def assert_state(self, state: ClaimState, result: ClaimResult) -> None:
         self.assertEqual(state, result.state)
 
-    def drop_first_note(self) -> None:
+    def drop_first_outcome(self) -> None:
         """Drop the next message with an outcome."""
         lost: list[OutcomeNote] = []
 
@@ -74,7 +74,7 @@
 
         self.bus.drop = drop
 
-    def wait_told(self, process: Process) -> None:
+    def wait_acknowledged(self, process: Process) -> None:
         """Wait until every outcome of the process is acknowledged."""
         for _ in range(int(WAIT_S * 100)):
             if not process.client.untold:
@@ -96,7 +96,7 @@
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r4", key="k2"))
         recorded = Recorded(201, "text/plain", b"made")
         one.client.record(a_claim("r1"), recorded)
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         result = self.claim(one, "r5")
         self.assertEqual((ClaimState.RECORDED, recorded), (result.state, result.recorded))
 
@@ -104,16 +104,16 @@
         one = self.a_process("one")
         self.claim(one, "r1")
         one.client.release(a_claim("r1"))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
 
     def test_kept_bodies_are_bounded(self) -> None:
-        self.patch(_shard, "BODY_BYTES", 5)
+        self.patch(_shard, "MAX_BODY_BYTES", 5)
         one = self.a_process("one")
         for n in range(3):
             self.claim(one, f"r{n}", key=f"k{n}")
             one.client.record(a_claim(f"r{n}", key=f"k{n}"), Recorded(200, "", b"12345"))
-            self.wait_told(one)
+            self.wait_acknowledged(one)
         kept = [self.claim(one, f"again{n}", key=f"k{n}").recorded for n in range(3)]
         self.assertEqual([b"12345", None, None], [recorded and recorded.body for recorded in kept])
 
@@ -123,7 +123,7 @@
         one = self.a_process("one")
         self.claim(one, "r1")
         one.client.release(a_claim("r2"))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r3"))
 
     def test_claims_that_queue_up_share_a_commit(self) -> None:
@@ -133,11 +133,11 @@
         self.claim(one, "first", key="first")
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
+        self.platform.before_commit = block
         results: list[ClaimResult] = []
         tasks = [
             threading.Thread(
@@ -165,25 +165,28 @@
         one = self.a_process("one")
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
-        notes = [a_claim(f"r{n}", key='"' * 200 + str(n)) for n in range(400)]
+        self.platform.before_commit = block
+        claims = [a_claim(f"r{n}", key='"' * 200 + str(n)) for n in range(400)]
         one.client.release(a_claim("none"))
         entered.wait(WAIT_S)
-        tasks = [threading.Thread(target=one.client.claim, args=(note, WAIT_S)) for note in notes]
+        tasks = [
+            threading.Thread(target=one.client.claim, args=(one_claim, WAIT_S))
+            for one_claim in claims
+        ]
         for task in tasks:
             task.start()
         gate.set()
         for task in tasks:
             task.join(WAIT_S)
-        for note in notes:
-            one.client.record(note, Recorded(200, "text/plain", b"\0" * 4096))
-        self.wait_told(one)
-        self.assertLess(self.platform.largest, 1_000_000)
-        self.assertGreater(self.platform.largest, 100_000)
+        for one_claim in claims:
+            one.client.record(one_claim, Recorded(200, "text/plain", b"\0" * 4096))
+        self.wait_acknowledged(one)
+        self.assertLess(self.platform.largest_value_bytes, 1_000_000)
+        self.assertGreater(self.platform.largest_value_bytes, 100_000)
 
     def test_retention_cleans_up_and_keeps_what_is_in_progress(self) -> None:
         # The retention of one key has passed, and the gateway of another key failed during its
@@ -193,39 +196,39 @@
         self.claim(one, "done", key="done")
         self.claim(one, "died", key="died")
         one.client.record(a_claim("done", key="done"), Recorded(200, "", b""))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         one.now += RETENTION_S + 60
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "again", key="done"))
-        self.assertEqual(1, len(self.platform.below("/batch/")))
+        self.assertEqual(1, len(self.platform.keys_containing("/batch/")))
         two = self.a_process("two")
         two.now = one.now
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "x", key="died"))
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "y", key="done"))
 
-    def test_an_outcome_is_told_until_it_is_acknowledged(self) -> None:
+    def test_an_outcome_is_sent_until_it_is_acknowledged(self) -> None:
         # The message with an outcome is lost. If it were not sent again, the key would stay in
         # progress for hours although its outcome is known.
         one = self.a_process("one")
         self.claim(one, "r1")
-        self.drop_first_note()
+        self.drop_first_outcome()
         one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.RECORDED, self.claim(one, "r2"))
 
-    def test_a_planned_stop_tells_the_last_outcomes(self) -> None:
+    def test_a_planned_stop_sends_the_last_outcomes(self) -> None:
         # An entry host is stopped just after its last keyed job was answered, and the message
         # with the outcome is lost. The outcome must still be recorded, or the key would stay in
         # progress for hours.
         one, two = self.a_process("one"), self.a_process("two")
-        one.believes_in(two)
+        one.set_only_member(two)
         self.claim(one, "r1")
-        self.drop_first_note()
+        self.drop_first_outcome()
         one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
         one.client.close()
         self.assert_state(ClaimState.RECORDED, self.claim(two, "r2"))
 
-    def test_no_owner_does_not_hold_up_a_stop(self) -> None:
-        self.patch(_client, "LAST_NOTES_S", 0.1)
+    def test_a_missing_owner_does_not_delay_a_stop(self) -> None:
+        self.patch(_client, "CLOSE_TIMEOUT_S", 0.1)
         one = self.a_process("one")
         one.roster.members = ()
         one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
@@ -239,12 +242,12 @@
         # could be wrong, unless the owner reads the batch back.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
-        self.platform.lose = 1
+        self.platform.lose_answers = 1
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r2"))
 
     def test_a_lost_answer_of_the_take_over(self) -> None:
-        self.platform.lose = 1
+        self.platform.lose_answers = 1
         self.assert_state(ClaimState.CLAIMED, self.claim(self.a_process("one"), "r1"))
 
     def test_a_write_that_lands_late_claims_nothing(self) -> None:
@@ -253,13 +256,13 @@
         # write arrives, it must not take effect, as the key may be claimed by another request.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
-        self.platform.postpone = 1
+        self.platform.postpone_commits = 1
         result = one.client.claim(a_claim("r1"), SOON_S)
         self.assert_state(ClaimState.UNAVAILABLE, result)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
-        before = self.platform.below("/batch/")
-        self.platform.land()
-        self.assertEqual(before, self.platform.below("/batch/"))
+        before = self.platform.keys_containing("/batch/")
+        self.platform.apply_postponed()
+        self.assertEqual(before, self.platform.keys_containing("/batch/"))
 
     def test_platform_down_claims_nothing(self) -> None:
         one = self.a_process("one")
@@ -284,7 +287,7 @@
         self.bus.drop = lambda address, message: isinstance(message, ClaimAnswer)
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
         self.bus.drop = lambda address, message: False
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
 
     def test_a_stale_read_is_no_proof(self) -> None:
@@ -294,18 +297,18 @@
         self.claim(one, "r0", key="k0")
         past = dict(self.platform.items)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
-        self.platform.before_commit = lambda: setattr(self.platform, "stale", past)
+        self.platform.before_commit = lambda: setattr(self.platform, "stale_items", past)
         result = two.client.claim(a_claim("r2"), SOON_S)
         self.assert_state(ClaimState.UNAVAILABLE, result)
         self.platform.before_commit = lambda: None
-        self.platform.stale = None
+        self.platform.stale_items = None
         self.assert_state(ClaimState.IN_PROGRESS, self.eventually(two, "r3"))
 
     def test_an_unreadable_batch_stops_claims(self) -> None:
         # A batch that can't be decoded, for example from a faulty build, may contain any key.
         one = self.a_process("one")
         self.claim(one, "r1")
-        key = self.platform.below("/batch/")[0]
+        key = self.platform.keys_containing("/batch/")[0]
         item = self.platform.items[key]
         self.platform.items[key] = msgspec.structs.replace(item, value=b"{")
         two = self.a_process("two")
@@ -362,7 +365,7 @@
         self.platform.before_commit = claim_first
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r2"))
 
-    def test_a_restarted_owner_knows_nothing_of_itself(self) -> None:
+    def test_a_restarted_owner_takes_its_shard_over(self) -> None:
         # The owner fails after a claim was committed, and restarts with the same name and
         # without state. It must take the shard over like any other process and read the claims.
         one = self.a_process("one")
@@ -408,11 +411,11 @@
         ShardStore(self.platform, 2, other).take_over().unwrap()
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
+        self.platform.before_commit = block
         states: dict[int, ClaimState] = {}
 
         def claim(shard: int, key: str) -> None:
@@ -435,16 +438,16 @@
 
     def test_a_moved_shard_is_found(self) -> None:
         one, two = self.a_process("one"), self.a_process("two")
-        one.believes_in(two)
+        one.set_only_member(two)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
-        two.believes_in(one)
-        one.believes_in(one)
+        two.set_only_member(one)
+        one.set_only_member(one)
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r2"))
 
     def test_batches_decode_as_written(self) -> None:
         one = self.a_process("one")
         self.claim(one, "r1")
-        key = self.platform.below("/batch/")[0]
+        key = self.platform.keys_containing("/batch/")[0]
         value = self.platform.items[key].value
         assert value is not None
         record = msgspec.json.decode(value, type=BatchRecord)
