--- a/bench/claims.py
+++ b/bench/claims.py
@@ -24,7 +24,7 @@
 from lentilrill.ids import EntryHostId, Incarnation, PlanId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import ClaimState, Node
 from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, Recorded, _owner
-from lentilrill.jobs._ledger import Batch
+from lentilrill.jobs._claim_table import Batch
 from lentilrill.jobs._records import BatchRecord, Entry, EntryState
 from lentilrill.jobs._shard import Shard
 from lentilrill.jobs._store import ShardStore
--- a/src/lentilrill/gateway/_server.py
+++ b/src/lentilrill/gateway/_server.py
@@ -50,7 +50,7 @@
     :param claims: claims idempotency keys.
     :param may_serve: returns whether this process may send to endpoints.
     :param budget: limit of retries.
-    :param is_to_stop: returns whether a planned stop of this entry host is in progress.
+    :param is_to_stop: returns whether a planned stop requires this entry host to drain.
     """
 
     def __init__(
--- a/src/lentilrill/jobs/_shard.py
+++ b/src/lentilrill/jobs/_shard.py
@@ -10,7 +10,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import PlanId
 from lentilrill.inner import ClaimAnswer, ClaimAsk, ClaimState, Message, OutcomeAck, OutcomeNote
-from lentilrill.jobs._ledger import Batch, ClaimTable
+from lentilrill.jobs._claim_table import Batch, ClaimTable
 from lentilrill.jobs._records import BatchRecord, Entry, EntryState
 from lentilrill.jobs._store import ShardStore
 from lentilrill.membership import Member
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -7,7 +7,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
-from lentilrill.jobs._ledger import Batch
+from lentilrill.jobs._claim_table import Batch
 from lentilrill.jobs._records import (
     BatchRecord,
     OwnerRecord,
