--- a/bench/claims.py
+++ b/bench/claims.py
@@ -228,9 +228,9 @@
 def wait_told(client: ClaimClient) -> bool:
     """Wait until every outcome is acknowledged; return whether that was so in time."""
     end = time.monotonic() + 10
-    while client.untold and time.monotonic() < end:
+    while client.unacknowledged_outcomes and time.monotonic() < end:
         time.sleep(0.01)
-    return not client.untold
+    return not client.unacknowledged_outcomes
 
 
 def a_claim() -> Claim:
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -75,7 +75,7 @@
             self._thread.join()
 
     @property
-    def untold(self) -> int:
+    def unacknowledged_outcomes(self) -> int:
         """Number of outcomes that were not acknowledged yet."""
         return len(self._pending_by_request)
 
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -77,7 +77,7 @@
     def wait_acknowledged(self, process: Process) -> None:
         """Wait until every outcome of the process is acknowledged."""
         for _ in range(int(WAIT_S * 100)):
-            if not process.client.untold:
+            if not process.client.unacknowledged_outcomes:
                 return
             threading.Event().wait(0.01)
         self.fail("outcomes were not acknowledged")
@@ -233,7 +233,7 @@
         one.roster.members = ()
         one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
         one.client.close()
-        self.assertEqual(1, one.client.untold)
+        self.assertEqual(1, one.client.unacknowledged_outcomes)
 
 
 class FaultTest(ClaimTestCase):
