--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -27,7 +27,7 @@
 """Upper estimate of the encoded size of an entry without its key and body."""
 SYSTEM_WRITES_PER_S = 160.0
 """Maximum claim writes a second of all owners together."""
-NOTE_LINGER_S = 0.25
+OUTCOME_LINGER_S = 0.25
 """Maximum delay of outcomes, so that they share a commit with a claim; no caller waits for them."""
 IDLE_WAIT_S = 2.0
 MAX_MESSAGE_AGE_S = 5.0
@@ -129,7 +129,9 @@
         size, has_claim, began = 0, False, time.monotonic()
         while len(received_messages) < BATCH_ITEMS:
             linger_s = (
-                IDLE_WAIT_S if not received_messages else began + NOTE_LINGER_S - time.monotonic()
+                IDLE_WAIT_S
+                if not received_messages
+                else began + OUTCOME_LINGER_S - time.monotonic()
             )
             received = self._next_message(0.0 if has_claim else linger_s)
             if received is None:
