--- a/src/lentilrill/jobs/_shard.py
+++ b/src/lentilrill/jobs/_shard.py
@@ -143,7 +143,7 @@
     @property
     def fence(self) -> Compare:
         """Condition of the update's writes."""
-        return self.shard.store.fence()
+        return self.shard.store.fencing_condition()
 
     def prepare_writes(self) -> bool:
         """Prepare the writes of the update; return whether there are any."""
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -70,7 +70,7 @@
         self._sequence += 1
         return batch_key(self._shard, self._fencing_token, self._sequence)
 
-    def fence(self) -> Compare:
+    def fencing_condition(self) -> Compare:
         """Return the condition of each write: the shard's fencing token has not changed."""
         return Compare(owner_key(self._shard), self._fencing_token)
 
