--- a/bench/claims.py
+++ b/bench/claims.py
@@ -23,7 +23,7 @@
 from bench import figure
 from lentilrill.ids import EntryHostId, Incarnation, PlanId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import ClaimState, Node
-from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, Recorded, _owner
+from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, RecordedResponse, _owner
 from lentilrill.jobs._claim_table import Batch
 from lentilrill.jobs._records import BatchRecord, Entry, EntryState
 from lentilrill.jobs._shard import Shard
@@ -41,7 +41,7 @@
 CALLERS = 200
 KEPT_KEYS = (1_000, 10_000, 20_000)
 ENTRIES = 500
-ANSWER = Recorded(200, "application/json", b"x" * 200)
+ANSWER = RecordedResponse(200, "application/json", b"x" * 200)
 CLAIM_WAIT_S = 5.0
 
 
--- a/src/lentilrill/gateway/_keyed.py
+++ b/src/lentilrill/gateway/_keyed.py
@@ -17,7 +17,7 @@
 from lentilrill.gateway._problems import CONTENT_TYPE, Outcome, Problem, ProblemKind
 from lentilrill.gateway._request_head import RequestHead
 from lentilrill.inner import ClaimState
-from lentilrill.jobs import Claim, ClaimResult, Claims, Recorded
+from lentilrill.jobs import Claim, ClaimResult, Claims, RecordedResponse
 
 __all__ = ["KeyedDispatcher"]
 
@@ -76,19 +76,21 @@
     return digest.hexdigest()
 
 
-def _to_recorded(result: JobResult | None) -> Recorded:
+def _to_recorded(result: JobResult | None) -> RecordedResponse:
     if isinstance(result, BufferedResponse):
         content_type = dict(result.headers).get("Content-Type", "")[:MAX_CONTENT_TYPE_CHARACTERS]
         small = len(result.body) <= MAX_RECORDED_BODY_BYTES
-        return Recorded(result.status, content_type, result.body if small else None)
+        return RecordedResponse(result.status, content_type, result.body if small else None)
     if isinstance(result, StreamedResponse) and result.complete:
-        return Recorded(result.status, result.content_type[:MAX_CONTENT_TYPE_CHARACTERS], None)
+        return RecordedResponse(
+            result.status, result.content_type[:MAX_CONTENT_TYPE_CHARACTERS], None
+        )
     problem = Problem(
         ProblemKind.LOST,
         "the job with this key was sent, and its answer was lost; it is not sent again",
         Outcome.UNKNOWN,
     )
-    return Recorded(problem.kind.status, CONTENT_TYPE, problem.body())
+    return RecordedResponse(problem.kind.status, CONTENT_TYPE, problem.body())
 
 
 def _unclaimed_result(result: ClaimResult) -> JobResult:
@@ -112,7 +114,7 @@
     )
 
 
-def _replay(recorded: Recorded) -> JobResult:
+def _replay(recorded: RecordedResponse) -> JobResult:
     if recorded.body is None:
         # An empty body with the recorded status would look like the complete response.
         detail = f"the job with this key ran and was answered with status {recorded.status}"
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -16,7 +16,7 @@
     OutcomeAck,
     OutcomeNote,
 )
-from lentilrill.jobs._contract import Claim, ClaimResult, Recorded
+from lentilrill.jobs._contract import Claim, ClaimResult, RecordedResponse
 from lentilrill.jobs._shards import owner_of, shard_of
 from lentilrill.membership import Roster
 from lentilrill.telemetry import Event, log
@@ -97,10 +97,10 @@
             return ClaimResult(ClaimState.UNAVAILABLE, retry_after_s=after_s)
         recorded = None
         if answer.state is ClaimState.RECORDED:
-            recorded = Recorded(answer.status, answer.content_type, answer.body)
+            recorded = RecordedResponse(answer.status, answer.content_type, answer.body)
         return ClaimResult(answer.state, recorded, answer.retry_after_s)
 
-    def record(self, claim: Claim, recorded: Recorded) -> None:
+    def record(self, claim: Claim, recorded: RecordedResponse) -> None:
         """Record the job's response for repeats of the key."""
         self._queue_outcome(
             OutcomeNote(
--- a/src/lentilrill/jobs/_contract.py
+++ b/src/lentilrill/jobs/_contract.py
@@ -7,7 +7,7 @@
 from lentilrill.ids import PlanId, RequestId
 from lentilrill.inner import ClaimState
 
-__all__ = ["Claim", "ClaimResult", "Claims", "Recorded"]
+__all__ = ["Claim", "ClaimResult", "Claims", "RecordedResponse"]
 
 
 class Claim(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
     fingerprint: str
 
 
-class Recorded(msgspec.Struct, frozen=True):
+class RecordedResponse(msgspec.Struct, frozen=True):
     """The recorded response of a keyed job; ``body`` is ``None`` if it was too large to keep."""
 
     status: int
@@ -35,7 +35,7 @@
     """Result of a claim; only ``CLAIMED`` permits a dispatch."""
 
     state: ClaimState
-    recorded: Recorded | None = None
+    recorded: RecordedResponse | None = None
     retry_after_s: float | None = None
 
 
@@ -45,7 +45,7 @@
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
         """Claim the key at its shard's owner; return ``UNAVAILABLE`` without a timely answer."""
 
-    def record(self, claim: Claim, recorded: Recorded) -> None:
+    def record(self, claim: Claim, recorded: RecordedResponse) -> None:
         """Record the job's response for repeats of the key."""
 
     def release(self, claim: Claim) -> None:
--- a/src/lentilrill/jobs/_records.py
+++ b/src/lentilrill/jobs/_records.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from lentilrill.ids import Incarnation, PlanId, ProcessId, RequestId, Revision
-from lentilrill.jobs._contract import Recorded
+from lentilrill.jobs._contract import RecordedResponse
 
 __all__ = [
     "BatchRecord",
@@ -44,9 +44,9 @@
     body: bytes | None = None
 
     @property
-    def recorded(self) -> Recorded:
+    def recorded(self) -> RecordedResponse:
         """The recorded response."""
-        return Recorded(self.status, self.content_type, self.body)
+        return RecordedResponse(self.status, self.content_type, self.body)
 
 
 class BatchRecord(msgspec.Struct, frozen=True):
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -21,7 +21,7 @@
 from lentilrill.gateway import GatewayServer
 from lentilrill.ids import GrantId, HostId, PoolId, RequestId, Revision, ZoneId
 from lentilrill.inner import ClaimState, Refusal, Verdict
-from lentilrill.jobs import Claim, ClaimResult, Recorded
+from lentilrill.jobs import Claim, ClaimResult, RecordedResponse
 from lentilrill.routing import Decline, Job, Slot, Where
 from lentilrill.settings import Document, GatewaySettings
 from lentilrill.store import Item, Mirror
@@ -190,14 +190,14 @@
 
     def __init__(self) -> None:
         self.results_by_key: dict[str, ClaimResult] = {}
-        self.recorded_by_key: dict[str, Recorded] = {}
+        self.recorded_by_key: dict[str, RecordedResponse] = {}
         self.released: list[str] = []
 
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
         """Claim the key, unless a result is set for it."""
         return self.results_by_key.get(claim.key, ClaimResult(ClaimState.CLAIMED))
 
-    def record(self, claim: Claim, recorded: Recorded) -> None:
+    def record(self, claim: Claim, recorded: RecordedResponse) -> None:
         """Record the response for repeats of the key."""
         self.recorded_by_key[claim.key] = recorded
         self.results_by_key[claim.key] = ClaimResult(ClaimState.RECORDED, recorded)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -11,7 +11,7 @@
 from lentilrill.gateway._request_head import RequestHead
 from lentilrill.ids import RequestId, ServiceId
 from lentilrill.inner import ClaimState, Verdict
-from lentilrill.jobs import ClaimResult, Recorded
+from lentilrill.jobs import ClaimResult, RecordedResponse
 from lentilrill.routing import Where
 from tests import builders
 from tests.gateway.fakes import WAIT_S, Answer, GatewayTestCase, ok
@@ -191,7 +191,7 @@
         self.an_endpoint(lambda sock, request: sock.sendall(ok(bytes(5000))))
         self.a_gateway()
         self.keyed()
-        self.assertEqual(Recorded(200, "", None), self.claims.recorded_by_key["k1"])
+        self.assertEqual(RecordedResponse(200, "", None), self.claims.recorded_by_key["k1"])
         again = self.keyed()
         self.assertEqual((409, "ran"), (again.status, again.outcome))
         self.assertEqual("urn:lentilrill:problem:answer-not-kept", again.problem["type"])
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -8,7 +8,15 @@
 
 from lentilrill.ids import PlanId, RequestId
 from lentilrill.inner import ClaimAnswer, ClaimState, Node, OutcomeNote
-from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, ClaimResult, Recorded, _client, _shard
+from lentilrill.jobs import (
+    Claim,
+    ClaimClient,
+    ClaimOwner,
+    ClaimResult,
+    RecordedResponse,
+    _client,
+    _shard,
+)
 from lentilrill.jobs._records import BatchRecord
 from lentilrill.jobs._shards import shard_of
 from lentilrill.jobs._store import ShardStore
@@ -94,7 +102,7 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r2"))
         self.assert_state(ClaimState.MISMATCH, self.claim(one, "r3", fingerprint="other"))
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r4", key="k2"))
-        recorded = Recorded(201, "text/plain", b"made")
+        recorded = RecordedResponse(201, "text/plain", b"made")
         one.client.record(a_claim("r1"), recorded)
         self.wait_acknowledged(one)
         result = self.claim(one, "r5")
@@ -112,7 +120,7 @@
         one = self.a_process("one")
         for n in range(3):
             self.claim(one, f"r{n}", key=f"k{n}")
-            one.client.record(a_claim(f"r{n}", key=f"k{n}"), Recorded(200, "", b"12345"))
+            one.client.record(a_claim(f"r{n}", key=f"k{n}"), RecordedResponse(200, "", b"12345"))
             self.wait_acknowledged(one)
         kept = [self.claim(one, f"again{n}", key=f"k{n}").recorded for n in range(3)]
         self.assertEqual([b"12345", None, None], [recorded and recorded.body for recorded in kept])
@@ -183,7 +191,7 @@
         for task in tasks:
             task.join(WAIT_S)
         for one_claim in claims:
-            one.client.record(one_claim, Recorded(200, "text/plain", b"\0" * 4096))
+            one.client.record(one_claim, RecordedResponse(200, "text/plain", b"\0" * 4096))
         self.wait_acknowledged(one)
         self.assertLess(self.platform.largest_value_bytes, 1_000_000)
         self.assertGreater(self.platform.largest_value_bytes, 100_000)
@@ -195,7 +203,7 @@
         one = self.a_process("one")
         self.claim(one, "done", key="done")
         self.claim(one, "died", key="died")
-        one.client.record(a_claim("done", key="done"), Recorded(200, "", b""))
+        one.client.record(a_claim("done", key="done"), RecordedResponse(200, "", b""))
         self.wait_acknowledged(one)
         one.now += RETENTION_S + 60
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "again", key="done"))
@@ -211,7 +219,7 @@
         one = self.a_process("one")
         self.claim(one, "r1")
         self.drop_first_outcome()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         self.wait_acknowledged(one)
         self.assert_state(ClaimState.RECORDED, self.claim(one, "r2"))
 
@@ -223,7 +231,7 @@
         one.set_only_member(two)
         self.claim(one, "r1")
         self.drop_first_outcome()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         one.client.close()
         self.assert_state(ClaimState.RECORDED, self.claim(two, "r2"))
 
@@ -231,7 +239,7 @@
         self.patch(_client, "CLOSE_TIMEOUT_S", 0.1)
         one = self.a_process("one")
         one.roster.members = ()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         one.client.close()
         self.assertEqual(1, one.client.unacknowledged_outcomes)
 
