--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -98,7 +98,7 @@
             self._claims,
             common.metrics,
             lambda: self._routing.ledger.may_send,
-            is_to_stop=lambda: drains(
+            must_drain=lambda: drains(
                 common.member,
                 common.roster.alive(Role.GATEWAY, settings.zone),
                 {host for stop in common.view.document.stops for host in stop.hosts},
--- a/src/lentilrill/gateway/_server.py
+++ b/src/lentilrill/gateway/_server.py
@@ -50,7 +50,7 @@
     :param claims: claims idempotency keys.
     :param may_serve: returns whether this process may send to endpoints.
     :param budget: limit of retries.
-    :param is_to_stop: returns whether a planned stop requires this entry host to drain.
+    :param must_drain: returns whether a planned stop requires this entry host to drain.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         metrics: Metrics,
         may_serve: Callable[[], bool],
         budget: RetryBudget | None = None,
-        is_to_stop: Callable[[], bool] = lambda: False,
+        must_drain: Callable[[], bool] = lambda: False,
     ) -> None:
         self._settings = settings
         self._view = view
         self._may_serve = may_serve
-        self._is_to_stop = is_to_stop
+        self._is_to_stop = must_drain
         self._metrics = metrics
         self._plans = PlanDirectory(view)
         self._forwarder = ForwardingSigner(settings.keys.secret)
