--- a/bench/claims.py
+++ b/bench/claims.py
@@ -144,7 +144,7 @@
     former.take_over().unwrap()
     for first in range(0, kept, ENTRIES):
         entries = tuple(an_entry() for _ in range(min(ENTRIES, kept - first)))
-        batch = Batch(former.next_name(), BatchRecord(time.time(), entries))
+        batch = Batch(former.next_batch_key(), BatchRecord(time.time(), entries))
         platform.commit((former.fencing_condition(),), former.writes(batch, None)).unwrap()
     shard = Shard(platform, 0, a_member(), RETENTION_S, time.time)
     began = time.monotonic()
--- a/src/lentilrill/jobs/_shard.py
+++ b/src/lentilrill/jobs/_shard.py
@@ -152,7 +152,7 @@
             carried, self._first_kept = self._table.select_expired(self._now, MAX_CARRIED_ENTRIES)
         entries = (*carried, *self.entries)
         if entries:
-            record_key = self.shard.store.next_name()
+            record_key = self.shard.store.next_batch_key()
             self._batch = Batch(record_key, BatchRecord(self._now, entries))
         self.writes = self.shard.store.writes(self._batch, self._first_kept)
         return bool(self.writes)
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -65,7 +65,7 @@
             return self._conflict("another process took the shard over")
         return self._read_batches(owner_value)
 
-    def next_name(self) -> str:
+    def next_batch_key(self) -> str:
         """Return the key of the next batch; it is not used again, even if the write fails."""
         self._sequence += 1
         return batch_key(self._shard, self._fencing_token, self._sequence)
