--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -19,7 +19,7 @@
 __all__ = ["ClaimOwner"]
 
 MAX_INBOX_MESSAGES = 20_000
-BATCH_ITEMS = 500
+MAX_BATCH_MESSAGES = 500
 MAX_BATCH_BYTES = 450_000
 """Maximum estimated size of the messages of one commit. Entries carried over from the oldest
 batch, which have no bodies, may add as much; the platform accepts values below 1,000,000 bytes."""
@@ -127,7 +127,7 @@
         self._stopping.wait(max(0.0, self._next_commit - time.monotonic()))
         received_messages: list[ReceivedMessage] = []
         size, has_claim, began = 0, False, time.monotonic()
-        while len(received_messages) < BATCH_ITEMS:
+        while len(received_messages) < MAX_BATCH_MESSAGES:
             linger_s = (
                 IDLE_WAIT_S
                 if not received_messages
