--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -186,7 +186,7 @@
         """Commit the updates of several shards in one transaction, and complete each of them."""
         self._next_commit = time.monotonic() + self._min_commit_interval_s()
         result = self._platform.commit(
-            tuple(update.fence for update in updates),
+            tuple(update.fencing_condition for update in updates),
             tuple(write for update in updates for write in update.writes),
         )
         self._metrics.incr("claims.commits")
--- a/src/lentilrill/jobs/_shard.py
+++ b/src/lentilrill/jobs/_shard.py
@@ -141,7 +141,7 @@
             self._process_outcome(received.message, received.reply_to)
 
     @property
-    def fence(self) -> Compare:
+    def fencing_condition(self) -> Compare:
         """Condition of the update's writes."""
         return self.shard.store.fencing_condition()
 
