--- a/bench/claims.py
+++ b/bench/claims.py
@@ -106,10 +106,14 @@
 
 def measure(address: str, way: str, load: int, seconds: float) -> None:
     """Offer ``load`` new keys a second and print what it cost."""
-    grouped = (_owner.MAX_BATCH_MESSAGES, _owner.SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S)
+    grouped = (_owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S)
     writes_per_s = 25.0
     if way == "one_each":
-        _owner.MAX_BATCH_MESSAGES, _owner.SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = 1, 1e9, 0.0
+        _owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = (
+            1,
+            1e9,
+            0.0,
+        )
         writes_per_s = 1e9
     settings = PlatformSettings((address,), address, f"{uuid.uuid4().hex}/", calls_per_s=1e6)
     counted = Counted(EtcdKeyValue(settings, NoMetrics()))
@@ -133,7 +137,7 @@
         client.close()
         owner.close()
         node.close(0.1)
-        _owner.MAX_BATCH_MESSAGES, _owner.SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = grouped
+        _owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = grouped
 
 
 def take_over(address: str, kept: int) -> None:
--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -25,7 +25,7 @@
 batch, which have no bodies, may add as much; the platform accepts values below 1,000,000 bytes."""
 ENTRY_OVERHEAD_BYTES = 700
 """Upper estimate of the encoded size of an entry without its key and body."""
-SYSTEM_WRITES_PER_S = 160.0
+MAX_SYSTEM_WRITES_PER_S = 160.0
 """Maximum claim writes a second of all owners together."""
 OUTCOME_LINGER_S = 0.25
 """Maximum delay of outcomes, so that they share a commit with a claim; no caller waits for them."""
@@ -211,7 +211,7 @@
         All owners share the platform's write rate, which grows more slowly than the fleet.
         """
         owners = min(len(self._roster.alive(Role.GATEWAY)), len(self._shards))
-        return max(1.0 / self._writes_per_s, owners / SYSTEM_WRITES_PER_S)
+        return max(1.0 / self._writes_per_s, owners / MAX_SYSTEM_WRITES_PER_S)
 
 
 def _group_by_shard(
