--- a/bench/claims.py
+++ b/bench/claims.py
@@ -23,8 +23,8 @@
 from bench import figure
 from lentilrill.ids import EntryHostId, Incarnation, PlanId, ProcessId, RequestId, ZoneId
 from lentilrill.inner import ClaimState, Node
-from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, Recorded, _owner
-from lentilrill.jobs._ledger import Batch
+from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, RecordedResponse, _owner
+from lentilrill.jobs._claim_table import Batch
 from lentilrill.jobs._records import BatchRecord, Entry, EntryState
 from lentilrill.jobs._shard import Shard
 from lentilrill.jobs._store import ShardStore
@@ -41,7 +41,7 @@
 CALLERS = 200
 RETAINED_KEY_COUNTS = (1_000, 10_000, 20_000)
 ENTRIES_PER_BATCH = 500
-ANSWER = Recorded(200, "application/json", b"x" * 200)
+ANSWER = RecordedResponse(200, "application/json", b"x" * 200)
 CLAIM_WAIT_S = 5.0
 
 
@@ -106,10 +106,14 @@
 
 def measure(address: str, variant: str, rate_per_s: int, seconds: float) -> None:
     """Claim ``rate_per_s`` new keys a second and print the figures."""
-    defaults = (_owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S)
+    defaults = (_owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S)
     writes_per_s = 25.0
     if variant == "one_each":
-        _owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S = 1, 1e9, 0.0
+        _owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = (
+            1,
+            1e9,
+            0.0,
+        )
         writes_per_s = 1e9
     settings = PlatformSettings((address,), address, f"{uuid.uuid4().hex}/", calls_per_s=1e6)
     counted = CountingKeyValue(EtcdKeyValue(settings, NoMetrics()))
@@ -135,7 +139,9 @@
         client.close()
         owner.close()
         node.close(0.1)
-        _owner.BATCH_ITEMS, _owner.SYSTEM_WRITES_PER_S, _owner.NOTE_LINGER_S = defaults
+        _owner.MAX_BATCH_MESSAGES, _owner.MAX_SYSTEM_WRITES_PER_S, _owner.OUTCOME_LINGER_S = (
+            defaults
+        )
 
 
 def take_over(address: str, retained: int) -> None:
@@ -146,8 +152,10 @@
     previous_owner.take_over().unwrap()
     for first in range(0, retained, ENTRIES_PER_BATCH):
         entries = tuple(an_entry() for _ in range(min(ENTRIES_PER_BATCH, retained - first)))
-        batch = Batch(previous_owner.next_name(), BatchRecord(time.time(), entries))
-        platform.commit((previous_owner.fence(),), previous_owner.writes(batch, None)).unwrap()
+        batch = Batch(previous_owner.next_batch_key(), BatchRecord(time.time(), entries))
+        platform.commit(
+            (previous_owner.fencing_condition(),), previous_owner.writes(batch, None)
+        ).unwrap()
     shard = Shard(platform, 0, a_member(), RETENTION_S, time.time)
     began = time.monotonic()
     done = shard.take_over()
@@ -230,9 +238,9 @@
 def wait_acknowledged(client: ClaimClient) -> bool:
     """Wait until every outcome is acknowledged; return ``False`` on a timeout."""
     end = time.monotonic() + 10
-    while client.untold and time.monotonic() < end:
+    while client.unacknowledged_outcomes and time.monotonic() < end:
         time.sleep(0.01)
-    return not client.untold
+    return not client.unacknowledged_outcomes
 
 
 def a_claim() -> Claim:
--- a/src/lentilrill/gateway/_watch.py
+++ b/src/lentilrill/gateway/_disconnects.py
@@ -1,4 +1,4 @@
-"""Notices callers that leave while they wait for a slot."""
+"""Detection of callers that disconnect while they wait for a slot."""
 
 import contextlib
 import select
@@ -10,20 +10,21 @@
 from lentilrill.ids import RequestId
 from lentilrill.telemetry import Metrics
 
-__all__ = ["CallerWatch"]
+__all__ = ["CallerDisconnectWatcher"]
 
-POLL_S = 0.2
-EVENTS_AT_ONCE = 1024
+POLL_TIMEOUT_S = 0.2
+MAX_EVENTS_PER_POLL = 1024
 TCP_ESTABLISHED = 1
 
 
-class CallerWatch:
-    """One task that watches the sockets of all waiting callers.
+class CallerDisconnectWatcher:
+    """A thread that watches the sockets of all waiting callers.
 
-    The kernel tells of a peer's close even when unread bytes stand before it, so a caller that
-    pipelines its next request is still seen leaving. The waiting task then returns at once.
+    ``EPOLLRDHUP`` reports a peer's close even behind unread bytes, so that the disconnect of a
+    caller that pipelined its next request is detected too. The thread that waits for the slot
+    then returns at once.
 
-    :param abandon: called with each request whose caller left.
+    :param abandon: called with each request whose caller disconnected.
     """
 
     def __init__(self, abandon: Callable[[RequestId], None], metrics: Metrics) -> None:
@@ -33,22 +34,22 @@
         self._lock = threading.Lock()
         self._waiting_by_fd: dict[int, tuple[Caller, RequestId]] = {}
         self._stopping = threading.Event()
-        self._task = threading.Thread(target=self._run, name="caller-watch", daemon=True)
+        self._thread = threading.Thread(target=self._watch_loop, name="caller-watch", daemon=True)
 
     def start(self) -> None:
-        """Begin to watch."""
-        self._task.start()
+        """Start the thread."""
+        self._thread.start()
 
     def close(self) -> None:
-        """End the task."""
+        """Stop the thread."""
         self._stopping.set()
-        if self._task.is_alive():
-            self._task.join()
+        if self._thread.is_alive():
+            self._thread.join()
         self._epoll.close()
 
     @contextlib.contextmanager
     def watching(self, caller: Caller, request: RequestId) -> Iterator[None]:
-        """Abandon ``request`` if its caller leaves within the context."""
+        """Abandon ``request`` if its caller disconnects within the context."""
         fd = caller.socket.fileno()
         with self._lock:
             self._waiting_by_fd[fd] = (caller, request)
@@ -60,25 +61,25 @@
                 del self._waiting_by_fd[fd]
                 self._epoll.unregister(fd)
 
-    def _run(self) -> None:
+    def _watch_loop(self) -> None:
         while not self._stopping.is_set():
-            for fd, _ in self._epoll.poll(POLL_S, EVENTS_AT_ONCE):
+            for fd, _ in self._epoll.poll(POLL_TIMEOUT_S, MAX_EVENTS_PER_POLL):
                 with self._lock:
                     waiting = self._waiting_by_fd.get(fd)
-                if waiting is not None and _has_left(waiting[0]):
-                    self._left(*waiting)
+                if waiting is not None and _is_disconnected(waiting[0]):
+                    self._on_disconnect(*waiting)
 
-    def _left(self, caller: Caller, request: RequestId) -> None:
-        caller.gone = True
+    def _on_disconnect(self, caller: Caller, request: RequestId) -> None:
+        caller.disconnected = True
         self._metrics.incr("request.abandoned")
         self._abandon(request)
 
 
-def _has_left(caller: Caller) -> bool:
+def _is_disconnected(caller: Caller) -> bool:
     """Return whether the caller closed its side.
 
-    Guard against an event of a connection that ended just now, whose number a new connection
-    has already: the new caller would be abandoned for the old one.
+    The event may belong to a connection that has ended and whose file descriptor a new
+    connection has reused. Without this check the new caller's request would be abandoned.
     """
     state: bytes = caller.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
     return state[0] != TCP_ESTABLISHED
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -1,4 +1,4 @@
-"""The gateway's side of claims: asks the shard's owner, and tells it the outcomes."""
+"""The gateway's side of claims: sends claims and outcomes to the owners of the shards."""
 
 import queue
 import threading
@@ -16,32 +16,32 @@
     OutcomeAck,
     OutcomeNote,
 )
-from lentilrill.jobs._contract import Claim, ClaimResult, Recorded
+from lentilrill.jobs._contract import Claim, ClaimResult, RecordedResponse
 from lentilrill.jobs._shards import owner_of, shard_of
 from lentilrill.membership import Roster
 from lentilrill.telemetry import Event, log
 
 __all__ = ["ClaimClient"]
 
-ASK_AGAIN_S = 0.25
-NOTE_AGAIN_S = 0.5
-LAST_NOTES_S = 3.0
-NOTES = 20_000
-"""Outcomes that wait for an owner; the oldest is dropped, and its key stays in progress."""
+CLAIM_RESEND_S = 0.25
+OUTCOME_RESEND_S = 0.5
+CLOSE_TIMEOUT_S = 3.0
+MAX_PENDING_OUTCOMES = 20_000
+"""Maximum of unacknowledged outcomes; above it the oldest is dropped, and its key stays claimed."""
 UNAVAILABLE_RETRY_S = 2.0
 
 
-class _Pending(msgspec.Struct):
-    note: OutcomeNote
-    next_s: float
-    until_s: float
+class _PendingOutcome(msgspec.Struct):
+    outcome: OutcomeNote
+    resend_at: float
+    expires_at: float
 
 
 class ClaimClient:
-    """Claims keys with their owners, over a protocol whose messages may be lost.
+    """Claims keys at their owners, over a protocol whose messages may be lost.
 
-    :param shards: how many shards the keys are spread over; the same in every process.
-    :param retention_s: seconds for which telling an outcome is tried.
+    :param shards: number of shards of the keys; the same in every process.
+    :param retention_s: seconds for which an outcome is sent again until it is acknowledged.
     """
 
     def __init__(self, node: Node, roster: Roster, shards: int, retention_s: float) -> None:
@@ -50,59 +50,59 @@
         self._shards = shards
         self._retention_s = retention_s
         self._lock = threading.Lock()
-        self._acked = threading.Condition(self._lock)
+        self._all_acknowledged = threading.Condition(self._lock)
         self._answers_by_request: dict[RequestId, queue.SimpleQueue[ClaimAnswer]] = {}
-        self._pending_by_request: dict[RequestId, _Pending] = {}
+        self._pending_by_request: dict[RequestId, _PendingOutcome] = {}
         self._closed = threading.Event()
-        self._task = threading.Thread(target=self._resend, name="claim-notes", daemon=True)
+        self._thread = threading.Thread(target=self._resend_loop, name="claim-notes", daemon=True)
 
     def start(self) -> None:
-        """Begin to hear answers and to repeat what was not acknowledged."""
+        """Register the message handlers and start to resend unacknowledged outcomes."""
         self._node.on(ClaimAnswer, self._on_answer)
         self._node.on(OutcomeAck, self._on_ack)
-        self._task.start()
+        self._thread.start()
 
     def close(self) -> None:
-        """Wait a moment until all outcomes are acknowledged, then end the task.
+        """Wait a limited time until all outcomes are acknowledged, then stop the thread.
 
-        Guard against a planned stop that leaves the keys of the last jobs in progress for
-        hours: their outcomes are on their way when the last caller is answered.
+        The outcomes of the last jobs are not acknowledged yet when the last caller is answered.
+        If a planned stop lost them, their keys would stay in progress for hours.
         """
-        with self._acked:
-            self._acked.wait_for(lambda: not self._pending_by_request, LAST_NOTES_S)
+        with self._all_acknowledged:
+            self._all_acknowledged.wait_for(lambda: not self._pending_by_request, CLOSE_TIMEOUT_S)
         self._closed.set()
-        if self._task.is_alive():
-            self._task.join()
+        if self._thread.is_alive():
+            self._thread.join()
 
     @property
-    def untold(self) -> int:
-        """Outcomes whose owner did not acknowledge them yet."""
+    def unacknowledged_outcomes(self) -> int:
+        """Number of outcomes that were not acknowledged yet."""
         return len(self._pending_by_request)
 
     def claim(self, claim: Claim, timeout_s: float) -> ClaimResult:
-        """Claim the key with its shard's owner; without an answer in time: ``UNAVAILABLE``."""
+        """Claim the key at its shard's owner; return ``UNAVAILABLE`` without a timely answer."""
         answers: queue.SimpleQueue[ClaimAnswer] = queue.SimpleQueue()
         with self._lock:
             self._answers_by_request[claim.request] = answers
         try:
-            answer = self._ask(claim, answers, time.monotonic() + timeout_s)
+            answer = self._request_claim(claim, answers, time.monotonic() + timeout_s)
         finally:
             with self._lock:
                 del self._answers_by_request[claim.request]
         if answer is None or answer.state in (ClaimState.UNAVAILABLE, ClaimState.NOT_OWNER):
             # The claim may be committed although its answer was lost. The job is not sent, so
-            # the key is given back, or its owner would call it in progress for hours.
+            # the key is released; otherwise it would stay in progress for hours.
             self.release(claim)
             after_s = (answer and answer.retry_after_s) or UNAVAILABLE_RETRY_S
             return ClaimResult(ClaimState.UNAVAILABLE, retry_after_s=after_s)
         recorded = None
         if answer.state is ClaimState.RECORDED:
-            recorded = Recorded(answer.status, answer.content_type, answer.body)
+            recorded = RecordedResponse(answer.status, answer.content_type, answer.body)
         return ClaimResult(answer.state, recorded, answer.retry_after_s)
 
-    def record(self, claim: Claim, recorded: Recorded) -> None:
-        """Keep the job's answer for repeats of the key."""
-        self._tell(
+    def record(self, claim: Claim, recorded: RecordedResponse) -> None:
+        """Record the job's response for repeats of the key."""
+        self._queue_outcome(
             OutcomeNote(
                 request=claim.request,
                 shard=self._shard(claim),
@@ -116,68 +116,68 @@
         )
 
     def release(self, claim: Claim) -> None:
-        """Give the key back: no byte of the job reached an endpoint."""
+        """Release the key of a job of which no byte reached an endpoint."""
         shard = self._shard(claim)
-        self._tell(OutcomeNote(claim.request, shard, claim.plan, claim.key, ran=False))
+        self._queue_outcome(OutcomeNote(claim.request, shard, claim.plan, claim.key, ran=False))
 
     def _shard(self, claim: Claim) -> int:
         return shard_of(claim.plan, claim.key, self._shards)
 
-    def _ask(
-        self, claim: Claim, answers: "queue.SimpleQueue[ClaimAnswer]", until_s: float
+    def _request_claim(
+        self, claim: Claim, answers: "queue.SimpleQueue[ClaimAnswer]", deadline: float
     ) -> ClaimAnswer | None:
         shard = self._shard(claim)
         ask = ClaimAsk(
             claim.request, shard, claim.plan, claim.key, claim.fingerprint, self._node.address
         )
-        last = None
-        while (left_s := until_s - time.monotonic()) > 0:
+        last_answer = None
+        while (left_s := deadline - time.monotonic()) > 0:
             owner = owner_of(shard, self._roster)
             if owner is not None:
                 self._node.send(owner.inner, ask)
             try:
-                last = answers.get(timeout=min(left_s, ASK_AGAIN_S))
+                last_answer = answers.get(timeout=min(left_s, CLAIM_RESEND_S))
             except queue.Empty:
                 continue
-            if last.state is not ClaimState.NOT_OWNER:
-                return last
-            # The asked process believes in another owner: they agree once both have heard of
-            # the same members.
-            self._closed.wait(min(left_s, ASK_AGAIN_S))
-        return last
-
-    def _tell(self, note: OutcomeNote) -> None:
+            if last_answer.state is not ClaimState.NOT_OWNER:
+                return last_answer
+            # The receiver computed another owner of the shard: both agree once they have
+            # received the same membership.
+            self._closed.wait(min(left_s, CLAIM_RESEND_S))
+        return last_answer
+
+    def _queue_outcome(self, outcome: OutcomeNote) -> None:
         now = time.monotonic()
         with self._lock:
-            if len(self._pending_by_request) >= NOTES:
+            if len(self._pending_by_request) >= MAX_PENDING_OUTCOMES:
                 dropped = next(iter(self._pending_by_request))
                 del self._pending_by_request[dropped]
                 log(Event.OUTCOME_DROPPED, request=dropped)
-            self._pending_by_request[note.request] = _Pending(
-                note, now + NOTE_AGAIN_S, now + self._retention_s
+            self._pending_by_request[outcome.request] = _PendingOutcome(
+                outcome, now + OUTCOME_RESEND_S, now + self._retention_s
             )
-        self._send(note)
+        self._send_outcome(outcome)
 
-    def _send(self, note: OutcomeNote) -> None:
-        owner = owner_of(note.shard, self._roster)
+    def _send_outcome(self, outcome: OutcomeNote) -> None:
+        owner = owner_of(outcome.shard, self._roster)
         if owner is not None:
-            self._node.send(owner.inner, note)
+            self._node.send(owner.inner, outcome)
 
-    def _resend(self) -> None:
-        while not self._closed.wait(NOTE_AGAIN_S):
+    def _resend_loop(self) -> None:
+        while not self._closed.wait(OUTCOME_RESEND_S):
             now = time.monotonic()
-            for pending in self._due(now):
-                self._send(pending.note)
+            for pending in self._take_due(now):
+                self._send_outcome(pending.outcome)
 
-    def _due(self, now: float) -> list[_Pending]:
-        due: list[_Pending] = []
+    def _take_due(self, now: float) -> list[_PendingOutcome]:
+        due: list[_PendingOutcome] = []
         with self._lock:
             for request, pending in list(self._pending_by_request.items()):
-                if now >= pending.until_s:
+                if now >= pending.expires_at:
                     del self._pending_by_request[request]
                     log(Event.OUTCOME_DROPPED, request=request)
-                elif now >= pending.next_s:
-                    pending.next_s = now + NOTE_AGAIN_S
+                elif now >= pending.resend_at:
+                    pending.resend_at = now + OUTCOME_RESEND_S
                     due.append(pending)
         return due
 
@@ -191,4 +191,4 @@
         with self._lock:
             self._pending_by_request.pop(ack.request, None)
             if not self._pending_by_request:
-                self._acked.notify_all()
+                self._all_acknowledged.notify_all()
--- a/tests/gateway/test_serving.py
+++ b/tests/gateway/test_serving.py
@@ -1,8 +1,8 @@
-"""The gateway without faults, and requests that it must not accept."""
+"""The gateway without faults, and requests that it must refuse."""
 
 import hashlib
 
-from lentilrill.gateway._limits import BUFFERED_BYTES
+from lentilrill.gateway._limits import MAX_BUFFERED_BYTES
 from lentilrill.inner import Verdict
 from tests.gateway.fakes import Answer, GatewayTestCase, ok
 
@@ -21,7 +21,7 @@
         self.assertNotIn("token-schools", head)
         self.assertEqual([Verdict.OK], self.slots.verdicts)
 
-    def test_nothing_is_said_for_the_caller(self) -> None:
+    def test_no_headers_are_added_for_the_caller(self) -> None:
         endpoint = self.an_endpoint()
         self.a_gateway()
         connection = self.connect()
@@ -89,7 +89,7 @@
         self.assertEqual(200, self.call(path="/healthz").status)
         self.assertEqual(503, self.call(path="/readyz").status)
 
-    def test_nothing_is_served_that_may_not_be(self) -> None:
+    def test_a_gateway_that_may_not_serve_refuses_jobs(self) -> None:
         self.an_endpoint()
         self.a_gateway(may_serve=False)
         self.assertEqual(503, self.call(path="/readyz").status)
@@ -115,8 +115,9 @@
         self.assertEqual([], self.slots.jobs)
 
     def test_two_framings_are_refused(self) -> None:
-        # A caller declares both a length and chunks. Were one believed here and the other one
-        # further on, the rest of the body would run as a second job that nobody authorised.
+        # Request smuggling: a caller sends both Content-Length and Transfer-Encoding. If the
+        # endpoint used the other one than the gateway, it would run the rest of the body as a
+        # second job without authorization.
         endpoint = self.an_endpoint()
         self.a_gateway()
         answer = self.call("POST", Content_Length="4", Transfer_Encoding="chunked")
@@ -128,7 +129,7 @@
         self.a_gateway()
         connection = self.connect()
         headers = {"Authorization": "Bearer token-schools"}
-        connection.request("POST", "/schools/x", iter([bytes(BUFFERED_BYTES + 1)]), headers)
+        connection.request("POST", "/schools/x", iter([bytes(MAX_BUFFERED_BYTES + 1)]), headers)
         self.assertEqual(411, connection.getresponse().status)
         self.assertEqual([], self.slots.jobs)
 
@@ -143,7 +144,7 @@
             self.assertIn(b'"outcome":"not_run"', data)
 
     def assert_refused(self, status: int, name: str, answer: Answer) -> None:
-        """Check the status, the problem's type and that it says ``not_run``."""
+        """Check the status, the problem type and that the outcome is ``not_run``."""
         self.assertEqual(
             (status, f"urn:lentilrill:problem:{name}", "not_run"),
             (answer.status, answer.problem["type"], answer.outcome),
--- a/tests/jobs/fakes.py
+++ b/tests/jobs/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for claims: a platform that can be told to fail, a bus between nodes, a roster."""
+"""Fakes for tests of claims: a platform with injected faults, a message bus and a roster."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -25,10 +25,11 @@
 
 
 class FakePlatform:
-    """A key-value service in memory.
+    """A key-value service in memory with injected faults.
 
-    ``lose`` answers of commits are lost after the write took effect; ``postpone`` commits take
-    effect only at :meth:`land`; ``down`` fails every call; ``stale`` reads show the past.
+    The answers of the next ``lose`` commits are lost after the write took effect; the next
+    ``postpone`` commits take effect only at :meth:`land`; with ``down`` every call fails; with
+    ``stale`` reads return these items.
     """
 
     def __init__(self) -> None:
@@ -36,20 +37,20 @@
         self.items: dict[str, Item] = {}
         self.revision = 0
         self.commits = 0
-        self.largest = 0
-        self.lose = 0
-        self.postpone = 0
+        self.largest_value_bytes = 0
+        self.lose_answers = 0
+        self.postpone_commits = 0
         self.down = False
-        self.stale: dict[str, Item] | None = None
+        self.stale_items: dict[str, Item] | None = None
         self.before_commit: Callable[[], None] = lambda: None
-        self._late: list[tuple[tuple[Compare, ...], tuple[Put | DeleteRange, ...]]] = []
+        self._postponed: list[tuple[tuple[Compare, ...], tuple[Put | DeleteRange, ...]]] = []
 
     def read(self, prefix: str, priority: Priority = Priority.FIRST) -> Result[RangeAnswer, Fault]:
         """Read a prefix."""
         with self.lock:
             if self.down:
                 return Failure(_fault(FaultKind.UNAVAILABLE))
-            source = self.items if self.stale is None else self.stale
+            source = self.items if self.stale_items is None else self.stale_items
             found = tuple(i for k, i in sorted(source.items()) if k.startswith(prefix))
             return Success(RangeAnswer(found, Revision(self.revision)))
 
@@ -59,31 +60,31 @@
         writes: tuple[Put | DeleteRange, ...],
         priority: Priority = Priority.FIRST,
     ) -> Result[TxnAnswer, Fault]:
-        """Apply a transaction, or do with it what was told."""
+        """Apply a transaction, or inject the fault that was set."""
         self.before_commit()
         with self.lock:
             self.commits += 1
             if self.down:
                 return Failure(_fault(FaultKind.UNAVAILABLE))
-            if self.postpone:
-                self.postpone -= 1
-                self._late.append((compares, writes))
+            if self.postpone_commits:
+                self.postpone_commits -= 1
+                self._postponed.append((compares, writes))
                 return Failure(_fault(FaultKind.AMBIGUOUS))
             answer = self._apply(compares, writes)
-            if self.lose:
-                self.lose -= 1
+            if self.lose_answers:
+                self.lose_answers -= 1
                 return Failure(_fault(FaultKind.AMBIGUOUS))
             return Success(answer)
 
-    def land(self) -> None:
-        """Let postponed commits take effect now, if their comparisons hold."""
+    def apply_postponed(self) -> None:
+        """Apply the postponed commits now, if their comparisons hold."""
         with self.lock:
-            for compares, writes in self._late:
+            for compares, writes in self._postponed:
                 self._apply(compares, writes)
-            self._late.clear()
+            self._postponed.clear()
 
-    def below(self, part: str) -> list[str]:
-        """Return the keys that hold ``part``."""
+    def keys_containing(self, part: str) -> list[str]:
+        """Return the keys that contain ``part``."""
         with self.lock:
             return sorted(key for key in self.items if part in key)
 
@@ -107,13 +108,13 @@
         self, compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
     ) -> TxnAnswer:
         for compare in compares:
-            held = self.items.get(compare.key)
-            if (held.revision if held else 0) != compare.revision:
+            current = self.items.get(compare.key)
+            if (current.revision if current else 0) != compare.revision:
                 return TxnAnswer(False, Revision(self.revision))
         self.revision += 1
         for write in writes:
             if isinstance(write, Put):
-                self.largest = max(self.largest, len(write.value))
+                self.largest_value_bytes = max(self.largest_value_bytes, len(write.value))
                 self.items[write.key] = Item(write.key, write.value, Revision(self.revision))
             else:
                 end = write.end or write.key + "\0"
@@ -127,7 +128,7 @@
 
 
 class Bus:
-    """Delivers messages between nodes of one test, at once, unless told to drop them."""
+    """Delivers messages between the nodes of a test synchronously; ``drop`` selects losses."""
 
     def __init__(self) -> None:
         self.nodes_by_address: dict[str, BusNode] = {}
@@ -149,7 +150,7 @@
         self._handlers_by_kind.setdefault(kind, []).append(handler)
 
     def send(self, address: str, message: Message) -> None:
-        """Deliver at once."""
+        """Deliver the message synchronously."""
         target = self.bus.nodes_by_address.get(address)
         if target is None or self.bus.drop(address, message):
             return
@@ -159,18 +160,18 @@
 
 
 class FakeRoster:
-    """Members as one process believes them to be, set by the test."""
+    """One process's membership list, set by the test."""
 
     def __init__(self, me: Member, *others: Member) -> None:
         self.me = me
         self.members = (me, *others)
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        """Return the believed members."""
+        """Return the members set by the test."""
         return tuple(sorted(self.members, key=lambda member: member.process))
 
     def liveness(self, member: Member) -> Liveness:
-        """Return what is believed."""
+        """Return alive for the members set by the test, else suspect."""
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys between a client, owners and the platform."""
+"""Claims of idempotency keys by a client, with owners and the platform."""
 
 import threading
 from typing import Any, cast
@@ -8,7 +8,15 @@
 
 from lentilrill.ids import PlanId, RequestId
 from lentilrill.inner import ClaimAnswer, ClaimState, Node, OutcomeNote
-from lentilrill.jobs import Claim, ClaimClient, ClaimOwner, ClaimResult, Recorded, _client, _shard
+from lentilrill.jobs import (
+    Claim,
+    ClaimClient,
+    ClaimOwner,
+    ClaimResult,
+    RecordedResponse,
+    _client,
+    _shard,
+)
 from lentilrill.jobs._records import BatchRecord
 from lentilrill.jobs._shards import shard_of
 from lentilrill.jobs._store import ShardStore
@@ -23,7 +31,7 @@
 
 
 class Process:
-    """One gateway's claim side."""
+    """Claim client and claim owner of one gateway process."""
 
     def __init__(self, test: "ClaimTestCase", member: Member, shards: int) -> None:
         self.member = member
@@ -40,8 +48,8 @@
         test.addCleanup(self.client.close)
         test.addCleanup(self.owner.close)
 
-    def believes_in(self, owner: "Process") -> None:
-        """Let this process believe that ``owner`` alone is alive."""
+    def set_only_member(self, owner: "Process") -> None:
+        """Make ``owner`` the only member in this process's membership list."""
         self.roster.members = (owner.member,)
 
 
@@ -62,8 +70,8 @@
     def assert_state(self, state: ClaimState, result: ClaimResult) -> None:
         self.assertEqual(state, result.state)
 
-    def drop_first_note(self) -> None:
-        """Let the next message with an outcome be lost."""
+    def drop_first_outcome(self) -> None:
+        """Drop the next message with an outcome."""
         lost: list[OutcomeNote] = []
 
         def drop(address: str, message: object) -> bool:
@@ -74,10 +82,10 @@
 
         self.bus.drop = drop
 
-    def wait_told(self, process: Process) -> None:
+    def wait_acknowledged(self, process: Process) -> None:
         """Wait until every outcome of the process is acknowledged."""
         for _ in range(int(WAIT_S * 100)):
-            if not process.client.untold:
+            if not process.client.unacknowledged_outcomes:
                 return
             threading.Event().wait(0.01)
         self.fail("outcomes were not acknowledged")
@@ -94,9 +102,9 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r2"))
         self.assert_state(ClaimState.MISMATCH, self.claim(one, "r3", fingerprint="other"))
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r4", key="k2"))
-        recorded = Recorded(201, "text/plain", b"made")
+        recorded = RecordedResponse(201, "text/plain", b"made")
         one.client.record(a_claim("r1"), recorded)
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         result = self.claim(one, "r5")
         self.assertEqual((ClaimState.RECORDED, recorded), (result.state, result.recorded))
 
@@ -104,40 +112,40 @@
         one = self.a_process("one")
         self.claim(one, "r1")
         one.client.release(a_claim("r1"))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
 
     def test_kept_bodies_are_bounded(self) -> None:
-        self.patch(_shard, "BODY_BYTES", 5)
+        self.patch(_shard, "MAX_BODY_BYTES", 5)
         one = self.a_process("one")
         for n in range(3):
             self.claim(one, f"r{n}", key=f"k{n}")
-            one.client.record(a_claim(f"r{n}", key=f"k{n}"), Recorded(200, "", b"12345"))
-            self.wait_told(one)
+            one.client.record(a_claim(f"r{n}", key=f"k{n}"), RecordedResponse(200, "", b"12345"))
+            self.wait_acknowledged(one)
         kept = [self.claim(one, f"again{n}", key=f"k{n}").recorded for n in range(3)]
         self.assertEqual([b"12345", None, None], [recorded and recorded.body for recorded in kept])
 
     def test_only_the_holder_can_end_a_claim(self) -> None:
-        # A request that gave up waiting gives its key back, although another request got the
-        # key meanwhile. Were that taken for the other's release, a third one would run it too.
+        # A request whose claim timed out releases the key, although another request has claimed
+        # it meanwhile. If that released the other's claim, a third request would run the job too.
         one = self.a_process("one")
         self.claim(one, "r1")
         one.client.release(a_claim("r2"))
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r3"))
 
     def test_claims_that_queue_up_share_a_commit(self) -> None:
-        # The first commit is held; what arrives meanwhile must go out in one further batch, or
-        # the platform's writes would follow the jobs.
+        # The first commit is blocked. All messages that arrive meanwhile must share one commit;
+        # otherwise the write rate on the platform would grow with the number of jobs.
         one = self.a_process("one")
         self.claim(one, "first", key="first")
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
+        self.platform.before_commit = block
         results: list[ClaimResult] = []
         tasks = [
             threading.Thread(
@@ -165,101 +173,104 @@
         one = self.a_process("one")
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
-        notes = [a_claim(f"r{n}", key='"' * 200 + str(n)) for n in range(400)]
+        self.platform.before_commit = block
+        claims = [a_claim(f"r{n}", key='"' * 200 + str(n)) for n in range(400)]
         one.client.release(a_claim("none"))
         entered.wait(WAIT_S)
-        tasks = [threading.Thread(target=one.client.claim, args=(note, WAIT_S)) for note in notes]
+        tasks = [
+            threading.Thread(target=one.client.claim, args=(one_claim, WAIT_S))
+            for one_claim in claims
+        ]
         for task in tasks:
             task.start()
         gate.set()
         for task in tasks:
             task.join(WAIT_S)
-        for note in notes:
-            one.client.record(note, Recorded(200, "text/plain", b"\0" * 4096))
-        self.wait_told(one)
-        self.assertLess(self.platform.largest, 1_000_000)
-        self.assertGreater(self.platform.largest, 100_000)
+        for one_claim in claims:
+            one.client.record(one_claim, RecordedResponse(200, "text/plain", b"\0" * 4096))
+        self.wait_acknowledged(one)
+        self.assertLess(self.platform.largest_value_bytes, 1_000_000)
+        self.assertGreater(self.platform.largest_value_bytes, 100_000)
 
     def test_retention_cleans_up_and_keeps_what_is_in_progress(self) -> None:
-        # A key's retention has passed, and another key's gateway died in the middle of its job.
-        # The first becomes free and its batch is deleted; the second must stay claimed, also
-        # for the next owner, or the job whose end nobody knows would run again.
+        # The retention of one key has passed, and the gateway of another key failed during its
+        # job. The first key becomes free and its batch is deleted. The second one must stay
+        # claimed, also for the next owner, or a job whose outcome is unknown would run again.
         one = self.a_process("one")
         self.claim(one, "done", key="done")
         self.claim(one, "died", key="died")
-        one.client.record(a_claim("done", key="done"), Recorded(200, "", b""))
-        self.wait_told(one)
+        one.client.record(a_claim("done", key="done"), RecordedResponse(200, "", b""))
+        self.wait_acknowledged(one)
         one.now += RETENTION_S + 60
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "again", key="done"))
-        self.assertEqual(1, len(self.platform.below("/batch/")))
+        self.assertEqual(1, len(self.platform.keys_containing("/batch/")))
         two = self.a_process("two")
         two.now = one.now
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "x", key="died"))
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "y", key="done"))
 
-    def test_an_outcome_is_told_until_it_is_acknowledged(self) -> None:
-        # The message that tells an outcome is lost. Without another try the key would be "in
-        # progress" for hours although its answer is known.
+    def test_an_outcome_is_sent_until_it_is_acknowledged(self) -> None:
+        # The message with an outcome is lost. If it were not sent again, the key would stay in
+        # progress for hours although its outcome is known.
         one = self.a_process("one")
         self.claim(one, "r1")
-        self.drop_first_note()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
-        self.wait_told(one)
+        self.drop_first_outcome()
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.RECORDED, self.claim(one, "r2"))
 
-    def test_a_planned_stop_tells_the_last_outcomes(self) -> None:
+    def test_a_planned_stop_sends_the_last_outcomes(self) -> None:
         # An entry host is stopped just after its last keyed job was answered, and the message
-        # with its outcome is lost. It must still be kept, or the key would be in progress for
-        # hours.
+        # with the outcome is lost. The outcome must still be recorded, or the key would stay in
+        # progress for hours.
         one, two = self.a_process("one"), self.a_process("two")
-        one.believes_in(two)
+        one.set_only_member(two)
         self.claim(one, "r1")
-        self.drop_first_note()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
+        self.drop_first_outcome()
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         one.client.close()
         self.assert_state(ClaimState.RECORDED, self.claim(two, "r2"))
 
-    def test_no_owner_does_not_hold_up_a_stop(self) -> None:
-        self.patch(_client, "LAST_NOTES_S", 0.1)
+    def test_a_missing_owner_does_not_delay_a_stop(self) -> None:
+        self.patch(_client, "CLOSE_TIMEOUT_S", 0.1)
         one = self.a_process("one")
         one.roster.members = ()
-        one.client.record(a_claim("r1"), Recorded(200, "", b"x"))
+        one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         one.client.close()
-        self.assertEqual(1, one.client.untold)
+        self.assertEqual(1, one.client.unacknowledged_outcomes)
 
 
 class FaultTest(ClaimTestCase):
     def test_a_lost_answer_is_read_back(self) -> None:
-        # The batch is committed, but the platform's answer is lost. Answered "claimed" without
-        # a look, or "not claimed", one of two callers with the key would be told a lie.
+        # The batch is committed, but the platform's answer is lost. Either answer to the claim
+        # could be wrong, unless the owner reads the batch back.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
-        self.platform.lose = 1
+        self.platform.lose_answers = 1
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(one, "r2"))
 
     def test_a_lost_answer_of_the_take_over(self) -> None:
-        self.platform.lose = 1
+        self.platform.lose_answers = 1
         self.assert_state(ClaimState.CLAIMED, self.claim(self.a_process("one"), "r1"))
 
     def test_a_write_that_lands_late_claims_nothing(self) -> None:
-        # The batch's write is under way when its call times out; reading back shows nothing
-        # yet, so the caller is told "not run" and a later request claims the key. Then the
-        # write lands. It must not take effect: its claim is nobody's, or is another's.
+        # The write of a batch times out and is still in progress. The read back doesn't show it,
+        # so the caller is told "not_run" and a later request claims the key. When the delayed
+        # write arrives, it must not take effect, as the key may be claimed by another request.
         one = self.a_process("one")
         self.claim(one, "r0", key="k0")
-        self.platform.postpone = 1
+        self.platform.postpone_commits = 1
         result = one.client.claim(a_claim("r1"), SOON_S)
         self.assert_state(ClaimState.UNAVAILABLE, result)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
-        before = self.platform.below("/batch/")
-        self.platform.land()
-        self.assertEqual(before, self.platform.below("/batch/"))
+        before = self.platform.keys_containing("/batch/")
+        self.platform.apply_postponed()
+        self.assertEqual(before, self.platform.keys_containing("/batch/"))
 
     def test_platform_down_claims_nothing(self) -> None:
         one = self.a_process("one")
@@ -277,42 +288,42 @@
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
 
     def test_an_unanswered_claim_is_given_back(self) -> None:
-        # The owner commits a claim, but its answer never reaches the asking gateway, which
-        # tells its caller that the job did not run. The caller's next try must not hear "in
-        # progress" for hours.
+        # The owner commits a claim, but its answer is lost, and the gateway tells its caller
+        # that the job did not run. The caller's next attempt must not be refused as in progress
+        # for hours.
         one = self.a_process("one")
         self.bus.drop = lambda address, message: isinstance(message, ClaimAnswer)
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
         self.bus.drop = lambda address, message: False
-        self.wait_told(one)
+        self.wait_acknowledged(one)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r2"))
 
     def test_a_stale_read_is_no_proof(self) -> None:
-        # A new owner's read comes from a replica that lags: the former owner's claims are not
-        # in it. Believed, the key would be free and its job would run twice.
+        # A new owner reads from a replica that lags, without the former owner's claims. If the
+        # read were accepted, the key would be free and its job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
         past = dict(self.platform.items)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
-        self.platform.before_commit = lambda: setattr(self.platform, "stale", past)
+        self.platform.before_commit = lambda: setattr(self.platform, "stale_items", past)
         result = two.client.claim(a_claim("r2"), SOON_S)
         self.assert_state(ClaimState.UNAVAILABLE, result)
         self.platform.before_commit = lambda: None
-        self.platform.stale = None
+        self.platform.stale_items = None
         self.assert_state(ClaimState.IN_PROGRESS, self.eventually(two, "r3"))
 
     def test_an_unreadable_batch_stops_claims(self) -> None:
-        # A batch of a broken build can't be decoded; it may hold any key.
+        # A batch that can't be decoded, for example from a faulty build, may contain any key.
         one = self.a_process("one")
         self.claim(one, "r1")
-        key = self.platform.below("/batch/")[0]
+        key = self.platform.keys_containing("/batch/")[0]
         item = self.platform.items[key]
         self.platform.items[key] = msgspec.structs.replace(item, value=b"{")
         two = self.a_process("two")
         self.assert_state(ClaimState.UNAVAILABLE, two.client.claim(a_claim("r2"), SOON_S))
 
     def eventually(self, process: Process, request: str) -> ClaimResult:
-        """Claim until the owner's back-off is over."""
+        """Repeat the claim until the owner's back-off has ended."""
         for n in range(100):
             result = process.client.claim(a_claim(f"{request}-{n}"), SOON_S)
             if result.state is not ClaimState.UNAVAILABLE:
@@ -323,9 +334,9 @@
 
 class TwoOwnersTest(ClaimTestCase):
     def test_a_paused_former_owner_claims_nothing(self) -> None:
-        # The owner decides that the key is free and is paused just before its write. Another
-        # process takes the shard over, claims the key and runs the job. The first wakes up and
-        # writes. Were its claim to count, the job would run twice.
+        # The owner finds the key free and is paused just before its write. Another process takes
+        # the shard over and claims the key for its request. If the write of the first owner took
+        # effect once it resumes, the job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
         paused, wake = threading.Event(), threading.Event()
@@ -349,9 +360,9 @@
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r3"))
 
     def test_a_claim_committed_during_a_take_over_is_seen(self) -> None:
-        # While another process takes the shard over, the former owner, still in charge, claims
-        # a key. Had the new owner read the batches before it took the fence, the key would be
-        # free to it, and the job would run twice.
+        # While another process takes the shard over, the former owner still commits a claim. If
+        # the new owner read the batches before it changed the fencing token, it would miss the
+        # claim, and the job would run twice.
         one, two = self.a_process("one"), self.a_process("two")
         self.claim(one, "r0", key="k0")
 
@@ -362,20 +373,20 @@
         self.platform.before_commit = claim_first
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r2"))
 
-    def test_a_restarted_owner_knows_nothing_of_itself(self) -> None:
-        # The owner dies after its claim was committed, and comes back under the same name with
-        # an empty memory. It must take over like anybody else, and read what was claimed.
+    def test_a_restarted_owner_takes_its_shard_over(self) -> None:
+        # The owner fails after a claim was committed, and restarts with the same name and
+        # without state. It must take the shard over like any other process and read the claims.
         one = self.a_process("one")
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
         again = self.a_process("one")
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(again, "r2"))
-        # The former incarnation, if it still runs, can't claim any more.
+        # If the former incarnation still runs, it can't commit claims any more.
         result = one.owner.owns(0) and one.client.claim(a_claim("r3", key="k3"), SOON_S)
         self.assertNotEqual(ClaimState.CLAIMED, cast(ClaimResult, result).state)
 
     def test_two_owners_at_once_never_both_claim(self) -> None:
-        # Two processes can't hear each other, and each believes to own the shard. Callers come
-        # to both with the same keys. Whatever the order, one request at most holds a key.
+        # Two processes are partitioned from each other, and both act as owners of the shard.
+        # Callers send the same keys to both. At most one request may hold the claim of a key.
         one, two = self.a_process("one"), self.a_process("two")
         winners: dict[str, int] = {}
         lock = threading.Lock()
@@ -397,9 +408,9 @@
         self.assertEqual({1}, set(winners.values()))
 
     def test_a_lost_shard_does_not_stop_the_others(self) -> None:
-        # One transaction carries the claims of several shards, and another process has taken
-        # one of these over. The whole transaction fails; the claims of the other shards must
-        # still be made, and that one's must not.
+        # One transaction contains claims of several shards, and another process has taken one of
+        # them over. The whole transaction fails. The claims of the other shards must still be
+        # committed, and those of that shard must not.
         one = self.a_process("one", shards=4)
         keys_by_shard = {shard_of(PlanId("schools"), f"k{n}", 4): f"k{n}" for n in range(40)}
         for key in keys_by_shard.values():
@@ -408,11 +419,11 @@
         ShardStore(self.platform, 2, other).take_over().unwrap()
         entered, gate = threading.Event(), threading.Event()
 
-        def held() -> None:
+        def block() -> None:
             entered.set()
             gate.wait(WAIT_S)
 
-        self.platform.before_commit = held
+        self.platform.before_commit = block
         states: dict[int, ClaimState] = {}
 
         def claim(shard: int, key: str) -> None:
@@ -435,16 +446,16 @@
 
     def test_a_moved_shard_is_found(self) -> None:
         one, two = self.a_process("one"), self.a_process("two")
-        one.believes_in(two)
+        one.set_only_member(two)
         self.assert_state(ClaimState.CLAIMED, self.claim(one, "r1"))
-        two.believes_in(one)
-        one.believes_in(one)
+        two.set_only_member(one)
+        one.set_only_member(one)
         self.assert_state(ClaimState.IN_PROGRESS, self.claim(two, "r2"))
 
     def test_batches_decode_as_written(self) -> None:
         one = self.a_process("one")
         self.claim(one, "r1")
-        key = self.platform.below("/batch/")[0]
+        key = self.platform.keys_containing("/batch/")[0]
         value = self.platform.items[key].value
         assert value is not None
         record = msgspec.json.decode(value, type=BatchRecord)
