--- a/src/lentilrill/inner/_claims.py
+++ b/src/lentilrill/inner/_claims.py
@@ -10,21 +10,21 @@
 
 
 class ClaimState(Enum):
-    """What the owner knows of a key."""
+    """State of a key at its owner."""
 
     CLAIMED = "claimed"
-    """The key is this request's: it alone may dispatch the job."""
+    """The request holds the claim: it alone may dispatch the job."""
     IN_PROGRESS = "in_progress"
     RECORDED = "recorded"
     MISMATCH = "mismatch"
     """The key was used with another request body or path."""
     UNAVAILABLE = "unavailable"
-    """The owner can't claim now; nothing ran."""
+    """The owner can't make claims at the moment; nothing ran."""
     NOT_OWNER = "not_owner"
 
 
 class ClaimAsk(msgspec.Struct, frozen=True, tag="claim_ask"):
-    """Asks the shard's owner to claim a key for a request. Idempotent for the same request.
+    """Request to a shard's owner to claim a key. Idempotent for the same request.
 
     :param fingerprint: digest of method, path and body.
     """
@@ -38,7 +38,7 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, tag="claim_answer"):
-    """What became of a claim.
+    """Result of a claim.
 
     :param status: recorded HTTP status, when ``state`` is ``RECORDED``.
     :param body: recorded body; ``None`` if it was too large to keep.
@@ -53,7 +53,10 @@
 
 
 class OutcomeNote(msgspec.Struct, frozen=True, tag="outcome_note"):
-    """How a claimed job ended. ``ran`` false releases the key: no byte reached an endpoint."""
+    """Outcome of a claimed job.
+
+    :param ran: whether any byte reached an endpoint; ``False`` releases the key.
+    """
 
     request: RequestId
     shard: int
@@ -66,6 +69,6 @@
 
 
 class OutcomeAck(msgspec.Struct, frozen=True, tag="outcome_ack"):
-    """The owner has committed the request's note, or has no claim of it to end."""
+    """Acknowledgement that an outcome was committed, or that its claim no longer exists."""
 
     request: RequestId
--- a/src/lentilrill/inner/_codec.py
+++ b/src/lentilrill/inner/_codec.py
@@ -1,4 +1,4 @@
-"""One batch of messages on the wire, in MessagePack."""
+"""MessagePack encoding of batches of messages."""
 
 import zlib
 
@@ -12,7 +12,7 @@
 __all__ = ["MAX_BATCH_BYTES", "Batch", "Message", "decode", "encode"]
 
 MAX_BATCH_BYTES = 16 * 1024 * 1024
-"""Larger than the whole state of the largest fleet; a longer batch is dropped unread."""
+"""Larger than the whole state of the largest fleet; a longer batch is dropped without decoding."""
 COMPRESS_FROM_BYTES = 1024
 COMPRESSION_LEVEL = 1
 PLAIN, COMPRESSED = b"\x00", b"\x01"
@@ -50,10 +50,10 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Messages of one sender, in order.
+    """Messages of one sender, in the order in which they were sent.
 
     :param sender: the sending process.
-    :param reply_to: inner address at which the sender listens.
+    :param reply_to: inner address on which the sender listens.
     """
 
     sender: ProcessId
@@ -67,7 +67,7 @@
 
 
 def encode(batch: Batch) -> bytes:
-    """Return ``batch`` as bytes: a byte that tells the form, then the form's data."""
+    """Return ``batch`` as bytes: one byte for the format, then the data."""
     data = _ENCODER.encode(batch)
     if len(data) < COMPRESS_FROM_BYTES:
         return PLAIN + data
@@ -75,13 +75,13 @@
 
 
 def decode(data: bytes) -> Result[Batch, Fault]:
-    """Return the batch in ``data``, or an ``INVALID`` fault."""
+    """Return the batch encoded in ``data``, or an ``INVALID`` fault."""
     form, body = data[:1], data[1:]
     try:
         if form == COMPRESSED:
             body = _decompressed(body)
         elif form != PLAIN:
-            return _invalid(f"unknown form {form!r}")
+            return _invalid(f"unknown batch format {form!r}")
         return Success(_DECODER.decode(body))
     except (
         msgspec.MsgspecError,
@@ -94,10 +94,10 @@
 
 
 def _decompressed(body: bytes) -> bytes:
-    """Return the data in ``body``, up to the limit of a batch.
+    """Return the decompressed ``body``, truncated at the maximum size of a batch.
 
-    A small message may be made to grow to gigabytes and end the process for want of memory. The
-    output is bounded here, and what is cut off can't be decoded any more.
+    A few kilobytes can decompress to gigabytes and exhaust the process's memory, so the output
+    is bounded. A truncated batch fails to decode.
     """
     return zlib.decompressobj().decompress(body, MAX_BATCH_BYTES)
 
--- a/src/lentilrill/inner/_entry.py
+++ b/src/lentilrill/inner/_entry.py
@@ -1,4 +1,4 @@
-"""Messages between entry hosts: news of each other, accepted jobs, questions about jobs."""
+"""Messages between entry hosts: their status, accepted jobs, and queries about jobs."""
 
 import msgspec
 
@@ -20,19 +20,20 @@
 
 
 class PoolPressure(msgspec.Struct, frozen=True, tag=True):
-    """How busy a pool is, from its owner.
+    """Load of a pool, as reported by its owner.
 
-    :param wait_s: seconds of work that goes before a new job, at the rate of the whole pool.
-    :param waiting_by_queue: accepted jobs of which nothing has started.
+    :param wait_s: seconds of work queued ahead of a new job, at the rate of the whole pool.
+    :param waiting_by_queue: number of accepted jobs of which no task has started.
     :param token: the owner's fencing token.
-    :param need: hosts that its work needs to be done when it is due, also what is forecast.
-    :param hosts: endpoints that take tasks.
+    :param need: hosts needed to meet the deadlines of the pool's current and forecast work.
+    :param hosts: number of endpoints that accept tasks.
     :param idle: endpoints on which nothing has run for a while.
-    :param late_wait_s: seconds of work of jobs that can't be in time any more.
-    :param late: endpoints on which only such jobs run.
+    :param late_wait_s: seconds of overdue work: work of jobs that can no longer meet their
+        deadline.
+    :param late: endpoints that run only overdue jobs.
     :param firm: as ``need``, without the forecast.
-    :param light: endpoints beyond what the pool needs whose tasks could go on elsewhere in it, the
-        one with the least to lose first.
+    :param light: endpoints beyond the pool's need that can be drained cheaply, since their tasks
+        could run on other endpoints of the pool; the one that loses the least work first.
     """
 
     pool: PoolId
@@ -49,13 +50,13 @@
 
 
 class HostNews(msgspec.Struct, frozen=True, tag=True):
-    """What an entry host tells others of itself.
+    """Status of an entry host, which it sends to the other entry hosts.
 
-    :param store_silent_s: seconds since the store last answered it.
-    :param version: version of the configuration in force there.
-    :param takes_over: whether it can take over a shard now.
-    :param asks: whether the receiver is to answer with its own news.
-    :param sent_s: when it was sent, by the sender's clock; 0 if it does not say.
+    :param store_silent_s: seconds since the store last answered the sender.
+    :param version: version of the sender's configuration.
+    :param takes_over: whether the sender can take over a shard at the moment.
+    :param asks: whether the receiver is to answer with its own status.
+    :param sent_s: time of sending by the sender's clock; 0 if not given.
     """
 
     store_silent_s: float
@@ -67,14 +68,14 @@
 
 
 class Configured(msgspec.Struct, frozen=True, tag=True):
-    """A configuration as it stands in the store, for a host that has an older one."""
+    """A configuration as stored, sent to a host that has an older version."""
 
     version: int
     value: bytes
 
 
 class JobAccepted(msgspec.Struct, frozen=True, tag=True):
-    """A job was committed; sent to the owner of its pool so that it needn't wait for its watch."""
+    """A committed job, sent to its pool's owner, which need not wait for its store watch."""
 
     pool: PoolId
     job: JobId
@@ -83,20 +84,20 @@
 
 
 class JobCancelled(msgspec.Struct, frozen=True, tag=True):
-    """A job's cancelling was committed."""
+    """A job whose cancellation was committed."""
 
     pool: PoolId
     job: JobId
 
 
 class JobDoubted(msgspec.Struct, frozen=True, tag=True):
-    """A job's commit got no answer: it may be stored, so that no host may refuse it."""
+    """A job whose commit got no answer. It may be stored, so no host may reject it."""
 
     job: JobId
 
 
 class JobAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks a pool's owner for a job's state."""
+    """Request to a pool's owner for a job's state."""
 
     ask: int
     pool: PoolId
@@ -106,8 +107,8 @@
 class JobTold(msgspec.Struct, frozen=True, tag=True):
     """Answer to :class:`JobAsk`.
 
-    :param is_owner: whether the answering process owns the pool; if not, the rest says nothing.
-    :param state: the state's name; empty if the owner knows no such job.
+    :param is_owner: whether the answering process owns the pool; if not, ``state`` has no meaning.
+    :param state: name of the job's state; empty if the owner has no such job.
     """
 
     ask: int
@@ -116,9 +117,9 @@
 
 
 class ReleaseAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks a pool's owner to empty an endpoint, so that its host can be taken away.
+    """Request to a pool's owner to drain an endpoint, so that its host can be removed.
 
-    :param cancel: the host is not to be taken away after all.
+    :param cancel: whether to cancel an earlier request, since the host is to stay.
     """
 
     ask: int
@@ -139,7 +140,7 @@
     """Answer to :class:`ReleaseAsk`.
 
     :param state: one of :class:`ReleaseState`.
-    :param reason: what it waits for.
+    :param reason: what the release waits for.
     """
 
     ask: int
--- a/src/lentilrill/inner/_grants.py
+++ b/src/lentilrill/inner/_grants.py
@@ -25,18 +25,18 @@
 
 
 class Ask(msgspec.Struct, frozen=True, tag="ask"):
-    """Asks the pool's scheduler for one slot.
+    """Request to a pool's scheduler for one slot.
 
-    Idempotent: the same request asked again keeps its place, or has its grant repeated.
+    Idempotent: a repeated request keeps its place in the queue, or gets the same grant again.
 
     :param urgency: rank of the urgency class, 0 first.
     :param wait_s: seconds from now within which the job must start.
     :param reply_to: inner address of the asking gateway.
     :param avoid: hosts on which earlier attempts failed.
-    :param answer_s: seconds from now until which the job may run.
+    :param answer_s: seconds from now within which the job must finish.
     :param spillable: whether a gateway of another zone may take the job instead.
-    :param insist: the asked process said before that it does not schedule the pool, but the
-        sender finds no other; serve it all the same.
+    :param insist: whether to serve the request even if the receiver is not the pool's scheduler.
+        Set after the receiver answered ``NOT_SCHEDULER`` and the sender found no other scheduler.
     """
 
     request: RequestId
@@ -52,16 +52,20 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel"):
-    """The caller left or the gateway gave up: forget the ask, or free its grant unused."""
+    """Cancellation of a request, since the caller disconnected or the gateway gave up.
+
+    The scheduler removes the request from its queue, or frees its unused grant.
+    """
 
     request: RequestId
     pool: PoolId
 
 
 class Granted(msgspec.Struct, frozen=True, tag="granted"):
-    """One slot of ``host`` is the request's until its gateway reports it done.
+    """Grant of one slot of ``host``, which the request holds until its gateway sends ``Done``.
 
-    :param epoch: names this run of the scheduler; grants of another are reconciled by reports.
+    :param epoch: identifies this run of the scheduler; grants of earlier runs are reconciled
+        from the gateways' reports.
     :param start_within_s: seconds after receipt within which the job must be sent.
     """
 
@@ -74,23 +78,23 @@
 
 
 class Refusal(Enum):
-    """Why no slot is given."""
+    """Reason why no slot is granted."""
 
     QUEUE_FULL = "queue_full"
     PLAN_LIMIT = "plan_limit"
     TOO_LATE = "too_late"
     """The job could not start within its wait."""
     NO_HOSTS = "no_hosts"
-    """The pool has no host here that may take it."""
+    """The pool has no host in this zone that may take the job."""
     NOT_SCHEDULER = "not_scheduler"
-    """The asked process does not schedule this pool; ask again."""
+    """The receiver does not schedule this pool; ask another process."""
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """The final answer to an ask.
+    """Final negative answer to a request for a slot.
 
-    :param retry_after_s: seconds after which a new try makes sense; ``None`` for never.
-    :param spill: zone that has free slots of the pool, if any.
+    :param retry_after_s: seconds after which a retry may succeed; ``None`` for never.
+    :param spill: another zone in which the pool has free slots, if any.
     """
 
     request: RequestId
@@ -101,26 +105,26 @@
 
 
 class Verdict(Enum):
-    """How a granted job ended, as far as the scheduler needs to know."""
+    """How a granted job ended, in the detail that the scheduler needs."""
 
     OK = "ok"
-    """The endpoint gave a whole answer, whatever its status below 500."""
+    """The endpoint gave a complete answer with a status below 500."""
     ERROR = "error"
     """The endpoint answered with a status of 500 or above."""
     UNREACHABLE = "unreachable"
     """No connection could be opened; nothing was sent."""
     BROKEN = "broken"
-    """The exchange broke after bytes went out."""
+    """The connection failed after part of the request was sent."""
     LEAVING = "leaving"
-    """The endpoint said that it is leaving."""
+    """The endpoint answered that it is leaving."""
     UNUSED = "unused"
     """The grant was not used."""
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """The grant is over.
+    """The end of a grant.
 
-    :param run_s: seconds from sending to the whole answer.
+    :param run_s: seconds from sending the request to receiving the complete answer.
     """
 
     pool: PoolId
@@ -132,9 +136,9 @@
 
 
 class Held(msgspec.Struct, frozen=True):
-    """One grant that a gateway still holds.
+    """One grant that a gateway holds.
 
-    :param answer_s: seconds from now until which its job may run.
+    :param answer_s: seconds from now within which its job must finish.
     """
 
     grant: GrantId
@@ -144,18 +148,18 @@
 
 
 class HeldAsk(msgspec.Struct, frozen=True, tag="held_ask"):
-    """A new scheduler asks a gateway for the grants of the pool that it holds."""
+    """Request of a new scheduler to a gateway for the grants of the pool that the gateway holds."""
 
     pool: PoolId
     reply_to: str
 
 
 class HeldGrants(msgspec.Struct, frozen=True, tag="held_grants"):
-    """All grants of a pool that the sender holds; told to a new scheduler, and now and then.
+    """All grants of a pool that the sender holds, sent to a new scheduler and periodically.
 
-    A grant that a gateway does not list, although it was given long ago, ended without its
-    report arriving. A scheduler that took over grants a host's slots only after it heard from
-    every living gateway of the zone, or after its rebuild time.
+    If an old grant is not listed, it has ended and its ``Done`` message was lost. A scheduler that
+    took over grants a host's slots only once every living gateway of the zone has reported, or
+    its rebuild time has passed.
     """
 
     pool: PoolId
@@ -163,11 +167,11 @@
 
 
 class GrantCopy(msgspec.Struct, frozen=True, tag="grant_copy"):
-    """Grants that a scheduler's process holds itself, told to the next process in line.
+    """Copy of a scheduler's own grants, sent to the process that would succeed it.
 
-    :param held: grants that began, or all of them.
-    :param ended: grants that are over.
-    :param whole: whether grants that are not in ``held`` are over.
+    :param held: new grants, or all grants if ``whole``.
+    :param ended: grants that have ended.
+    :param whole: whether ``held`` is complete, so that grants missing from it have ended.
     """
 
     pool: PoolId
@@ -177,10 +181,10 @@
 
 
 class PoolLoad(msgspec.Struct, frozen=True, tag="pool_load"):
-    """How busy a pool is in the sender's zone, told to its schedulers in other zones.
+    """Load of a pool in the sender's zone, sent to its schedulers in other zones.
 
-    :param free: slots that nothing waits for.
-    :param wait_s: seconds until an ask of now would start.
+    :param free: free slots for which no request waits.
+    :param wait_s: expected wait of a new request in seconds.
     :param ejected: hosts that the sender's scheduler has ejected.
     """
 
--- a/src/lentilrill/inner/_node.py
+++ b/src/lentilrill/inner/_node.py
@@ -1,4 +1,4 @@
-"""ZeroMQ between the system's processes: one listening socket, one task that sends."""
+"""ZeroMQ messaging between the system's processes: one listening socket, one sender thread."""
 
 import queue
 import threading
@@ -22,7 +22,7 @@
 IDLE_PEER_S = 20.0
 SWEEP_EVERY_S = 1.0
 LAST_LINGER_MS = 500
-"""How long what was sent last may take to leave once a connection is given up."""
+"""Time that the last messages have to be sent once a connection is closed."""
 RECEIVE_POLL_MS = 1000
 PING_MS = 2000
 SILENT_MS = 4000
@@ -31,10 +31,10 @@
 
 
 class _AllowedKey:
-    """ZAP credentials: only holders of the system's own key pair may connect.
+    """ZAP credentials provider that accepts only the system's own key pair.
 
-    Guard against a stray process that joins or acknowledges: its CURVE handshake fails, and no
-    message of it is ever read.
+    A process of another system must not join this one or acknowledge a withdrawal. Its CURVE
+    handshake fails, so none of its messages is ever read.
     """
 
     def __init__(self, public: bytes) -> None:
@@ -47,16 +47,16 @@
 
 
 class Node:
-    """A process's end of the inner protocol.
+    """A process's endpoint of the inner protocol.
 
-    Handlers run on the receiving task and must not block. Sending never blocks: the outbox and
-    each peer's queue are bounded, and what does not fit is dropped and counted. Every message of
-    the protocol may be lost, so whoever needs an answer asks again.
+    Handlers run on the receiver thread and must not block. Sending never blocks: the outbox and
+    each peer's queue are bounded, and messages that do not fit are dropped and counted. Any
+    message of the protocol may be lost, so a sender that needs an answer retries.
 
-    :param address: ``ip:port`` to listen on; also told to peers as the address to reply to.
-    :param keys: key pair shared by the system's processes; ``None``: the network between them
-        is trusted, and nothing is authenticated.
-    :param listen: ``ip:port`` to listen on instead, if peers reach it by another address.
+    :param address: ``ip:port`` to listen on; peers reply to it.
+    :param keys: key pair shared by the system's processes; ``None`` if the network between them
+        is trusted, in which case peers are not authenticated.
+    :param listen: ``ip:port`` to bind to instead, if it differs from the address peers use.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._handlers_by_kind.setdefault(kind, []).append(handler)
 
     def start(self) -> None:
-        """Listen, and begin to receive."""
+        """Bind the listening socket and start the receiver and sender threads."""
         if self._auth is not None and self._keys is not None:
             self._auth.start()
             self._auth.configure_curve_callback(
@@ -103,12 +103,12 @@
         self._sender.start()
 
     def send(self, address: str, message: Message) -> None:
-        """Queue ``message`` for the process that listens on ``address``."""
+        """Queue ``message`` for the process at ``address``."""
         if not self._stopping.is_set():
             self._sender.put(address, message)
 
     def close(self, linger_s: float = 0.5) -> None:
-        """Send what is queued, for at most ``linger_s`` seconds, and end all tasks."""
+        """Send queued messages for at most ``linger_s`` seconds, then stop all threads."""
         self._stopping.set()
         self._sender.finish()
         if self._sender.is_alive():
@@ -121,17 +121,17 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the node was closed."""
+        """Whether the node is closed or closing."""
         return self._stopping.is_set()
 
     def socket(self, kind: int) -> zmq.Socket:
-        """Return a socket with the system's keys and limits."""
+        """Return a socket of type ``kind`` with the system's keys and limits."""
         socket = self._context.socket(kind)
         if self._keys is not None:
             socket.curve_publickey = self._keys.public.encode()
             socket.curve_secretkey = self._keys.secret.encode()
-        # A connection that something in between forgot goes silent for good, while a new one
-        # works. Unanswered pings show it; the library then closes it and connects anew.
+        # A firewall or NAT device may drop the state of a connection, which then stays silent for
+        # good while a new connection works. ZeroMQ detects it by missing pongs and reconnects.
         socket.setsockopt(zmq.HEARTBEAT_IVL, PING_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENT_MS)
         socket.setsockopt(zmq.HEARTBEAT_TTL, SILENT_MS)
@@ -143,7 +143,7 @@
         return socket
 
     def connected(self, address: str) -> zmq.Socket:
-        """Return a sending socket that connects to ``address``, now and after each loss."""
+        """Return a sending socket that connects, and reconnects, to ``address``."""
         socket = self.socket(zmq.DEALER)
         if self._keys is not None:
             socket.curve_serverkey = self._keys.public.encode()
@@ -153,21 +153,21 @@
         return socket
 
     def batch(self, messages: tuple[Message, ...]) -> Batch:
-        """Return ``messages`` in a batch of this process."""
+        """Return a batch of ``messages`` with this process as the sender."""
         return Batch(self.process, self.incarnation, self.address, messages)
 
     def dropped(self, peer: str, reason: str) -> None:
-        """Count and log a message that could not be used."""
+        """Count and log a message that could not be sent or decoded."""
         self._metrics.incr("inner.dropped")
         log(Event.INNER_DROPPED, peer=peer or "unknown", reason=reason)
 
     def deliver(self, batch: Batch) -> None:
-        """Hand each message of ``batch`` to its handlers."""
+        """Call the handlers of each message of ``batch``."""
         for message in batch.messages:
             for handler in self._handlers_by_kind.get(type(message), ()):
                 try:
                     handler(batch, message)
-                except Exception as error:  # a failing handler must not end the receiving task
+                except Exception as error:  # a failing handler must not stop the receiver thread
                     log(Event.TASK_FAILED, task=type(message).__name__, error=repr(error))
 
     def _receive(self) -> None:
@@ -185,10 +185,10 @@
 
 
 class _Sender(threading.Thread):
-    """Sends all peers their messages, many for one peer in one batch when they queue up.
+    """Thread that sends the messages of all peers, batching those that are queued for one peer.
 
-    One task for all peers: the cost of a process must not grow with the number of processes that
-    it has ever told something. Sending never waits for a peer, so that none holds up the others.
+    A single thread serves all peers, so that the number of threads does not grow with the number
+    of peers. It never waits for a peer, so that a slow one does not delay the others.
     """
 
     def __init__(self, node: Node) -> None:
@@ -200,18 +200,18 @@
         self._swept_at = time.monotonic()
 
     def put(self, address: str, message: Message) -> None:
-        """Queue a message for the process that listens on ``address``."""
+        """Queue a message for the process at ``address``, or drop it if the outbox is full."""
         if self._outbox.qsize() >= OUTBOX_MESSAGES:
             self._node.dropped(address, "outbox full")
         else:
             self._outbox.put((address, message))
 
     def finish(self) -> None:
-        """End the task once all that is queued has been sent."""
+        """Stop the thread once all queued messages have been sent."""
         self._outbox.put(None)
 
     def run(self) -> None:
-        """Send until finished."""
+        """Send messages until :meth:`finish` is called."""
         finished = False
         while not finished:
             messages_by_address, finished = self._next()
@@ -222,7 +222,7 @@
             socket.close(linger=LAST_LINGER_MS)
 
     def _next(self) -> tuple[dict[str, list[Message]], bool]:
-        """Return what is queued, by peer, and whether the task is to end after it."""
+        """Return the queued messages by address, and whether the thread is to stop after them."""
         messages_by_address: dict[str, list[Message]] = {}
         wait_s = IDLE_PEER_S
         for _ in range(BATCH_MESSAGES):
@@ -240,7 +240,7 @@
     def _try_to_send(self, address: str, messages: list[Message]) -> None:
         try:
             self._send(address, messages)
-        except Exception as error:  # one peer's odd address must not end the sending to all
+        except Exception as error:  # one malformed address must not stop sending to other peers
             self._node.dropped(address, repr(error))
 
     def _send(self, address: str, messages: list[Message]) -> None:
@@ -255,7 +255,7 @@
             socket.send(data, zmq.NOBLOCK)
             self._node.bytes_sent += len(data)
         except zmq.Again:
-            self._node.dropped(address, "peer does not read")
+            self._node.dropped(address, "peer's send queue is full")
 
     def _socket(self, address: str) -> zmq.Socket:
         socket = self._sockets_by_address.get(address)
--- a/src/lentilrill/inner/_state.py
+++ b/src/lentilrill/inner/_state.py
@@ -1,4 +1,4 @@
-"""Messages about members and mirrored state."""
+"""Messages about members and about the replicated state."""
 
 import msgspec
 
@@ -10,14 +10,15 @@
 
 
 class ZoneHealth(msgspec.Struct, frozen=True):
-    """What the controllers of one zone last knew of their zone's members.
+    """Latest status of one zone's members, as reported by the zone's controllers.
 
-    :param age_s: seconds since a controller of the zone said so.
+    :param age_s: seconds since a controller of the zone reported it.
     :param suspects: registered members that were silent.
-    :param complete_to: least revision to which all other members' mirrors were complete.
-    :param drained: gateways that take no callers for a planned stop, and hold none any more.
-    :param ejected: workers of the zone that its schedulers send nothing, as they fail.
-    :param leaving: workers of the zone that said they are leaving.
+    :param complete_to: lowest revision to which the mirrors of the other members were complete.
+    :param drained: gateways that are drained for a planned stop: they accept no callers and have
+        none left.
+    :param ejected: workers that the zone's schedulers send no work, because they fail.
+    :param leaving: workers that reported that they are leaving.
     """
 
     zone: ZoneId
@@ -30,12 +31,13 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """The sender lives, and how far its mirror is complete.
+    """Liveness of the sender, and the revision to which its mirror is complete.
 
-    :param answers: whether it answers a heartbeat, so that it needs no answer itself.
+    :param answers: whether this heartbeat is an answer, so that it needs no answer itself.
     :param platform: whether the platform answered the sender's last call.
-    :param drained: whether the sender's callers go elsewhere, and it holds none any more.
-    :param health: zones the sender has heard of; only controllers tell.
+    :param drained: whether the sender accepts no callers and has none left.
+    :param health: latest status of each zone that the sender has received; only controllers
+        send it.
     """
 
     member: Member
@@ -47,21 +49,22 @@
 
 
 class Leave(msgspec.Struct, frozen=True, tag="leave"):
-    """The sender ends cleanly: nothing of it is in flight, and it sends nothing any more."""
+    """Clean end of the sender: it has nothing in flight and sends nothing after this."""
 
     member: Member
 
 
 class StateAsk(msgspec.Struct, frozen=True, tag="state_ask"):
-    """Asks for the state items changed after ``after``, to be sent to the batch's sender."""
+    """Request for the state items changed after revision ``after``."""
 
     after: Revision
 
 
 class StateItems(msgspec.Struct, frozen=True, tag="state_items"):
-    """State items: all those changed after ``after`` and up to ``complete_to``.
+    """All state items changed after revision ``after``, up to and including ``complete_to``.
 
-    A receiver whose mirror is not complete to ``after`` takes the items but not ``complete_to``.
+    A receiver whose mirror is not complete to ``after`` stores the items, but does not advance to
+    ``complete_to``.
     """
 
     items: tuple[Item, ...]
--- a/src/lentilrill/inner/_withdrawals.py
+++ b/src/lentilrill/inner/_withdrawals.py
@@ -1,4 +1,4 @@
-"""Messages of a withdrawal."""
+"""Messages about withdrawals and unhealthy hosts."""
 
 import msgspec
 
@@ -9,9 +9,9 @@
 
 
 class Barred(msgspec.Struct, frozen=True):
-    """One host the sender will not send to any more.
+    """A blocked host, to which the sender no longer sends work.
 
-    :param revision: revision of the pool record in which the sender saw the withdrawal.
+    :param revision: revision of the pool record in which the sender read the withdrawal.
     """
 
     host: HostId
@@ -19,14 +19,17 @@
 
 
 class WithdrawalAck(msgspec.Struct, frozen=True, tag="withdrawal_ack"):
-    """The sender has nothing in flight, or between its check and its send, on these hosts."""
+    """Acknowledgement that the sender has no request in flight to these hosts.
+
+    This includes requests that were checked but not yet sent.
+    """
 
     member: Member
     barred: tuple[Barred, ...]
 
 
 class HostTrouble(msgspec.Struct, frozen=True, tag="host_trouble"):
-    """Hosts that a scheduler has ejected, or that said they are leaving, told to controllers."""
+    """Hosts that a scheduler has ejected or that are leaving, sent to the controllers."""
 
     member: Member
     ejected: tuple[HostId, ...]
--- a/tests/inner/test_codec.py
+++ b/tests/inner/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: whatever bytes come, a batch or a fault."""
+"""The codec returns a batch or a fault for any input."""
 
 import zlib
 
@@ -29,8 +29,8 @@
         self.assertLess(len(encode(a_batch(100_000))), 5_000)
 
     def test_a_batch_that_grows_beyond_all_bounds_is_refused(self) -> None:
-        # A peer of a broken build sends a few kilobytes that decompress to gigabytes. Read
-        # without a bound, they would end the process, and with it every request that it holds.
+        # A faulty peer sends a few kilobytes that decompress to gigabytes. Without a bound on the
+        # output, the process would run out of memory and lose all its requests.
         bomb = b"\x01" + zlib.compress(bytes(4 * MAX_BATCH_BYTES), 9)
         self.assertIsInstance(decode(bomb), Failure)
 
--- a/tests/inner/test_node.py
+++ b/tests/inner/test_node.py
@@ -44,9 +44,9 @@
         self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
 
     def test_a_stray_process_is_not_heard(self) -> None:
-        # A process of another system, or an attacker, reaches the inner address and sends a
-        # heartbeat. Were it heard, it could join, be granted slots or acknowledge a withdrawal.
-        # Its key pair is not the system's, so its handshake must fail.
+        # A process of another system, or an attacker, sends a heartbeat to the inner address. If
+        # it were accepted, that process could join, get grants or acknowledge a withdrawal. Its
+        # key pair is not the system's, so its handshake must fail.
         keys = builders.inner_keys()
         stray, friend = self.a_node("stray", builders.inner_keys()), self.a_node("two", keys)
         listener = self.a_node("one", keys)
@@ -62,7 +62,7 @@
         stray_socket.close(linger=0)
 
     def test_peers_cost_no_task_each(self) -> None:
-        """An entry host of a site of 97 had a hundred threads for messages alone."""
+        """A thread per peer gave an entry host of a site of 97 hosts a hundred sender threads."""
         keys = builders.inner_keys()
         node = self.a_node("one", keys)
         peers = [self.a_node(f"peer-{n}", keys) for n in range(8)]
@@ -75,7 +75,7 @@
         self.assertLessEqual(threading.active_count(), before)
 
     def test_a_peer_that_is_gone_holds_up_no_other(self) -> None:
-        """News stopped for all hosts while one of them had no power."""
+        """Messages to all hosts stopped while one of the hosts had no power."""
         keys = builders.inner_keys()
         node, peer = self.a_node("one", keys), self.a_node("two", keys)
         heard = self.heard_by(peer)
@@ -86,7 +86,7 @@
         self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
 
     def test_an_odd_address_stops_no_other_message(self) -> None:
-        """A record with a garbled address ended all that a process sent, to all hosts."""
+        """A record with a malformed address stopped all messages of a process, to all hosts."""
         keys = builders.inner_keys()
         node, peer = self.a_node("one", keys), self.a_node("two", keys)
         heard = self.heard_by(peer)
@@ -96,7 +96,7 @@
         self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
 
     def test_an_idle_connection_is_closed_and_opened_again(self) -> None:
-        """A process kept a connection to each host that had ever been at its site."""
+        """A process kept a connection open to every host that had ever been at its site."""
         self.patch(_node, "IDLE_PEER_S", 0.01)
         self.patch(_node, "SWEEP_EVERY_S", 0.0)
         keys = builders.inner_keys()
@@ -108,8 +108,8 @@
         self.assertTrue(eventually(lambda: not node._sender._sockets_by_address))
 
     def test_malformed_messages_are_dropped(self) -> None:
-        # A peer of a broken build sends bytes that are no batch. The receiver must drop and
-        # count them and go on, or one bad peer would silence the whole process.
+        # A faulty peer sends bytes that are not a batch. The receiver must drop and count them
+        # and continue; otherwise one faulty peer would stop the process from receiving anything.
         keys = builders.inner_keys()
         listener = self.a_node("one", keys)
         heard = self.heard_by(listener)
