--- a/src/lentilrill/gossip/__init__.py
+++ b/src/lentilrill/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""How members hear of each other, and how the platform's state reaches every process."""
+"""Failure detection by heartbeats, and replication of the platform's state to every process."""
 
 from lentilrill.gossip._heartbeats import Heartbeats
 from lentilrill.gossip._recorder import ZoneRecorder, next_record
--- a/src/lentilrill/gossip/_exchange.py
+++ b/src/lentilrill/gossip/_exchange.py
@@ -1,4 +1,4 @@
-"""Peers bring each other's mirrors up to date."""
+"""Exchange of state items between peers, to bring their mirrors up to date."""
 
 import time
 
@@ -12,7 +12,7 @@
 
 
 class StateExchange:
-    """Answers peers that lack state, and asks those that have more."""
+    """Sends state items to peers that request them, and requests missing items from peers."""
 
     def __init__(self, node: Node, mirror: Mirror) -> None:
         self._node = node
@@ -22,7 +22,7 @@
         node.on(StateItems, self._told)
 
     def pull(self, address: str) -> None:
-        """Ask the peer at ``address`` for what is missing here, unless one was asked just now."""
+        """Request missing items from the peer at ``address``, at a limited rate over all peers."""
         now = time.monotonic()
         if now - self._last_ask_at < ASK_PAUSE_S:
             return
@@ -35,7 +35,7 @@
 
     def _told(self, batch: Batch, message: StateItems) -> None:
         del batch
-        # Items that start after this mirror's end leave a hole; were complete_to taken over with
-        # it, the missed change would never be asked for again. So only the items are taken.
+        # If the items start after the end of this mirror, changes in between are missing. Storing
+        # complete_to as well would hide the gap, and the missing changes would never be requested.
         whole = message.after <= self._mirror.complete_to
         self._mirror.offer(message.items, message.complete_to if whole else Revision(0))
--- a/src/lentilrill/gossip/_health.py
+++ b/src/lentilrill/gossip/_health.py
@@ -1,4 +1,4 @@
-"""What members tell of a zone, on the wire and as they remember it."""
+"""Conversion of a zone's status between its message and its local form."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 def health(news: ZoneNews) -> ZoneHealth:
-    """Return ``news`` as a message; monotonic clocks differ, so its age is told."""
+    """Return the message for ``news``, with its age, since monotonic clocks are not comparable."""
     return ZoneHealth(
         news.zone,
         round(time.monotonic() - news.at, 2),
@@ -22,7 +22,7 @@
 
 
 def news(health: ZoneHealth) -> ZoneNews:
-    """Return what was just heard, by this process's own clock."""
+    """Return the local form of a message received just now, timed by this process's clock."""
     return ZoneNews(
         health.zone,
         time.monotonic() - health.age_s,
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between members, and what they say of the mirror."""
+"""Heartbeats between members, with the revision of each member's mirror."""
 
 import threading
 import time
@@ -19,7 +19,7 @@
 CHANGE_PAUSE_S = 0.1
 ANSWER_LASTS_S = 0.25
 PROBE_EVERY = 8
-"""Heartbeats between two in which a head tells all members, silent ones too."""
+"""Every how many heartbeats a head sends to all members, including silent ones."""
 METRICS_EVERY = 4
 FORGET_AFTER_S = 60.0
 LEAVE_REPEATS = 3
@@ -33,19 +33,20 @@
 
 
 class Heartbeats:
-    """Tells peers that this process lives, hears them, and pulls state that they have newer.
+    """Exchange of heartbeats with peers, which also requests newer state from them.
 
-    Within a zone every member exchanges heartbeats with the zone's heads, which tell it whom
-    else they hear. So a member that is no head costs the same in a zone of any size. Between
-    zones the first heads form a ring, along which they tell what they know of every zone.
+    Within a zone every member exchanges heartbeats with the zone's heads, which report to it
+    which other members are alive. So the cost of a member that is not a head does not depend on
+    the size of the zone. Between zones the first heads form a ring, along which they pass on the
+    status of every zone.
 
-    Guard against a broken control path that hides gateways from each other: a member that hears
-    no head tells all members of the zone directly, and each answers. Otherwise each gateway
-    would believe itself alone, and every one of them would hand out all slots of the zone.
+    A member that receives no heartbeat of any head sends its own to all members of the zone, and
+    each answers. Otherwise a failure of all heads would hide the gateways from each other, and
+    every gateway, as the only one alive in its own view, would grant all slots of the zone.
 
     :param platform_ok: whether the platform answered this process's last call.
     :param trouble: ejected and leaving workers of this zone, for the other zones' controllers.
-    :param is_drained: whether callers go elsewhere, and this process holds none any more.
+    :param is_drained: whether this process accepts no callers and has none left.
     """
 
     def __init__(
@@ -80,17 +81,17 @@
         node.on(Leave, self._left)
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Start sending heartbeats."""
         self._thread.start()
 
     def close(self, is_clean: bool = True) -> None:
-        """End the task, and say that this process ends.
+        """Stop the thread and, after a clean end, send a ``Leave`` message to the zone.
 
-        Guard against a host that is released under a job: a leave says that nothing of this
-        process is in flight. One that gives up on its jobs ends without it, and withdrawals go
-        on waiting until it is proved gone.
+        ``Leave`` means that this process has nothing in flight. A process that abandons its jobs
+        must not send it: a host could be released while one of the jobs still runs there. Without
+        it, withdrawals wait until there is other proof that the process has ended.
 
-        :param is_clean: whether nothing is in flight any more.
+        :param is_clean: whether nothing is in flight.
         """
         self._stopping.set()
         self._wake.set()
@@ -116,7 +117,7 @@
             self._pause()
 
     def _pause(self) -> None:
-        """Wait for the next beat; a changed state is told sooner, but not at once each time."""
+        """Wait for the next heartbeat; a change of state shortens the wait, down to a minimum."""
         if not self._stopping.wait(CHANGE_PAUSE_S):
             self._wake.wait(max(0.0, self._settings.heartbeat_s - CHANGE_PAUSE_S))
         self._wake.clear()
@@ -136,8 +137,8 @@
             self._roster.try_out(member)
         addresses = [member.inner for member in others]
         settled = self._knows_zone if is_head else self._roster.word() is not None
-        # Two heads that were cut off from each other each believe the other silent, and are
-        # heads still; only by trying all members again do they meet once the cut has healed.
+        # During a network partition two heads may each consider the other silent and remain
+        # heads. They find each other afterwards only by sending to all members again.
         if not settled or (is_head and beat % PROBE_EVERY == 0):
             addresses = self._zone_peers()
         self._tell(addresses)
@@ -158,7 +159,7 @@
 
     @property
     def _knows_zone(self) -> bool:
-        """Whether this process is a head that has heard every living member, or had the time to."""
+        """Whether this process is a head that has heard all members, or waited long enough."""
         since = self._head_since
         if since is None:
             return False
@@ -177,7 +178,7 @@
         )
 
     def _answer(self) -> Heartbeat:
-        """Return an answer; one serves all members that ask at about the same time."""
+        """Return an answer, which is cached for a short time to serve several members."""
         now = time.monotonic()
         held = self._held_answer
         fresh = held is not None and now - held[0] < ANSWER_LASTS_S
@@ -245,10 +246,10 @@
         if message.complete_to > self._mirror.complete_to:
             self._exchange.pull(batch.reply_to)
         elif last is not None and message.complete_to > last.complete_to:
-            self._wake.set()  # other zones' operators wait to hear that the change is here
+            self._wake.set()  # operators of other zones wait until the change is reported here
 
     def _is_to_answer(self, member: Member) -> bool:
-        """Whether the member waits for an answer: two heads tell each other without being asked."""
+        """Return whether to answer the member; two heads send to each other anyway."""
         heads = self._roster.heads()
         both_heads = member in heads and self._roster.me in heads
         return member.zone == self._settings.zone and not both_heads
--- a/src/lentilrill/gossip/_recorder.py
+++ b/src/lentilrill/gossip/_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the zone's record of members on the platform."""
+"""Maintenance of the zone's record of members on the platform."""
 
 import threading
 import time
@@ -31,12 +31,12 @@
 def next_record(
     record: ZoneRecord, heard: tuple[Member, ...], is_gone: Callable[[Member], bool]
 ) -> ZoneRecord:
-    """Return the record with newcomers added and members taken out that are proved gone.
+    """Return the record with new members added and members removed that have provably ended.
 
-    A registered member that is only silent stays: it may be paused between a check and a send.
+    A registered member that is merely silent stays: it may be paused between a check and a send.
 
-    :param heard: living members of the zone, heard of late.
-    :param is_gone: whether an incarnation is proved to have ended.
+    :param heard: living members of the zone.
+    :param is_gone: returns whether an incarnation has provably ended.
     """
     members = [member for member in record.members if not is_gone(member)]
     held_by_process = {member.process: member for member in members}
@@ -49,13 +49,13 @@
 
 
 class ZoneRecorder:
-    """Writes the zone's record when members join or are proved gone.
+    """Task that updates the zone's record when members join or have provably ended.
 
-    Any controller of the zone may write, by compare-and-swap on the record's revision; the first
-    of the zone's heads does, since it hears every member.
+    Any controller of the zone may write, by compare-and-swap on the record's revision. Normally
+    only the zone's first head does, since it receives the heartbeats of every member.
 
-    :param publish: told of this process's own committed write.
-    :param host_list_lag_s: how old the host list may be.
+    :param publish: called with the items of each committed write.
+    :param host_list_lag_s: maximum lag of the host list.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
         self._thread = threading.Thread(target=self._run, name="zone-recorder", daemon=True)
 
     def start(self) -> None:
-        """Begin to keep the record."""
+        """Start the task."""
         self._thread.start()
 
     def close(self) -> None:
-        """End the task."""
+        """Stop the task."""
         self._stopping.set()
         self._thread.join()
 
@@ -94,11 +94,11 @@
         while not self._stopping.wait(ROUND_S):
             try:
                 self.round()
-            except Exception as error:  # the task must outlive one bad round
+            except Exception as error:  # a failed round must not stop the task
                 log(Event.TASK_FAILED, task="zone-recorder", error=repr(error))
 
     def round(self) -> None:
-        """Look once at the zone's members and write the record if it has to change."""
+        """Check the zone's members once, and write the record if it has to change."""
         me = self._roster.me
         if self._roster.heads()[:1] != (me,):
             return
@@ -132,11 +132,11 @@
         return self._roster.liveness(member) is Liveness.GONE or self._is_delisted(member)
 
     def _is_delisted(self, member: Member) -> bool:
-        """Whether the platform ended the member's entry host.
+        """Return whether the host list proves that the member's entry host has ended.
 
-        The list lags: one that was made soon after the silence began may lack a host that is
-        only being started, or show one that has ended. So it has to be newer by more than its
-        lag, and is read only while the member is silent.
+        The list lags: soon after the silence began it may lack a host that is starting, or still
+        contain one that has ended. So it must be newer than the start of the silence by more than
+        its lag. It is read only while members are silent.
         """
         since = self._silent_since.get(member)
         listing = self._listing
@@ -150,7 +150,7 @@
         result = self._kv.commit((Compare(key, revision),), (Put(key, value),))
         if isinstance(result, Failure):
             if result.failure().kind is FaultKind.AMBIGUOUS:
-                # The write may have taken effect; the watch brings it before the next try.
+                # The write may have taken effect; the watch delivers it before the next attempt.
                 self._stopping.wait(AMBIGUOUS_PAUSE_S)
             return
         answer = result.unwrap()
--- a/src/lentilrill/gossip/_ring.py
+++ b/src/lentilrill/gossip/_ring.py
@@ -1,4 +1,4 @@
-"""Whom a head tells of what it knows of every zone."""
+"""Selection of the peers in other zones to which a head sends heartbeats."""
 
 import math
 import random
@@ -10,19 +10,20 @@
 __all__ = ["OtherZones"]
 
 FEW_PEERS = 2
-"""Peers below which strangers are tried at every beat."""
+"""With fewer peers, a random controller is added at every heartbeat."""
 STRANGER_EVERY = 5
-"""Heartbeats between two in which a head tries another controller at random."""
+"""Every how many heartbeats a head also sends to a random controller of another zone."""
 SECOND_HEAD_EVERY = 4
-"""Heartbeats between two in which the second head tells other zones."""
+"""Every how many heartbeats the second head sends to other zones."""
 
 
 class OtherZones:
-    """The first heads of all zones form a ring, in the order of the zones' names.
+    """Ring of the first heads of all zones, in the order of the zones' names.
 
-    News crosses it in about twice the root of the number of zones beats. A fixed few peers keep
-    the number of open connections, and with it the pings, the same for any number of zones;
-    picked at random each beat, they were all open all the time.
+    A status reaches all zones within about twice the square root of the number of zones
+    heartbeats. The few fixed peers keep the number of open connections, and of their pings, the
+    same for any number of zones. With random peers at each heartbeat, connections to all of them
+    stayed open all the time.
     """
 
     def __init__(self, roster: RosterView, zone: ZoneId, seeds: Collection[str]) -> None:
@@ -33,11 +34,12 @@
         self._random = random.Random(f"{me.process}/{me.incarnation}")
 
     def peers(self, beat: int, zone_peers: Collection[str]) -> list[str]:
-        """Return the addresses to tell at a beat; none for a member that is no head.
+        """Return the addresses to send to at a heartbeat; none for a member that is not a head.
 
-        The second head steps in now and then: its word reaches the other zones also when just
-        the first is cut off.
+        The second head also sends periodically, so that the zone's status reaches other zones
+        when only the first head is cut off.
 
+        :param beat: number of the heartbeat.
         :param zone_peers: addresses of members of this process's own zone.
         """
         heads = self._roster.heads()
@@ -45,8 +47,8 @@
         if self._roster.me not in heads[:1] and not is_second:
             return []
         chosen = self._ring()
-        # While a zone is believed silent none of its members is alive here; its seeds and
-        # registered members are still tried, or two zones that were cut would never meet again.
+        # All members of a silent zone are suspect. Sending to its seeds and registered members
+        # nevertheless lets two zones reconnect after a network partition.
         if len(chosen) < FEW_PEERS or beat % STRANGER_EVERY == 0:
             chosen |= self._stranger(zone_peers)
         return sorted(chosen)
@@ -60,7 +62,7 @@
         return {heads_by_zone[zone].inner for zone in chosen if zone != self._zone}
 
     def _stranger(self, zone_peers: Collection[str]) -> set[str]:
-        """Return one controller of another zone at random, believed alive or not."""
+        """Return a random controller of another zone, whether it is alive or not."""
         known = set(self._seeds) | {
             member.inner
             for zone in self._roster.zones()
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -1,4 +1,4 @@
-"""Brings the platform's state keys into the mirror and tells the zone."""
+"""Replication of the platform's state keys into the mirror and to the zone's members."""
 
 import threading
 
@@ -16,15 +16,15 @@
 STATE = "state/"
 RETRY_S = 0.5
 CHECK_S = 2.0
-"""How often the watch is checked against the store's newest change, and how often a
-controller that does not watch looks whether it should."""
+"""Interval at which the watch is compared with the store's newest change, and at which a
+controller without a watch checks whether the platform is reachable."""
 
 
 class Watcher:
-    """One controller of each zone watches the platform; it tells the others what changes.
+    """Watch of the platform by one controller of each zone, which sends changes to the others.
 
-    It is the first of the zone's heads that reaches the platform; if none does, everybody tries.
-    Two that watch at once cost a call more, no more.
+    The first of the zone's heads that reaches the platform watches; if none reaches it, all
+    controllers try. Two simultaneous watchers do no harm beyond an extra call.
     """
 
     def __init__(
@@ -44,23 +44,23 @@
 
     @property
     def platform_ok(self) -> bool:
-        """Whether the platform answered the last look at it."""
+        """Whether the platform answered the last call."""
         return self._reachable
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         self._thread.start()
         self._checker.start()
 
     def close(self) -> None:
-        """End the watch."""
+        """Stop watching."""
         self._stopping.set()
         self._end_stream()
         self._checker.join()
         self._thread.join()
 
     def publish(self, items: tuple[Item, ...]) -> None:
-        """Take over this process's own committed writes, and tell the zone at once."""
+        """Apply this process's own committed writes, and send them to the zone at once."""
         if self._mirror.offer(items):
             self._tell(items, self._mirror.complete_to, self._mirror.complete_to)
 
@@ -98,7 +98,7 @@
         with self._lock:
             self._stream = stream
         try:
-            # close() may have looked for a stream before this one was kept; nobody would end it.
+            # close() may have run before self._stream was set; it could not end this stream.
             if self._stopping.is_set():
                 return None
             for result in stream:
@@ -121,10 +121,11 @@
 
     def _take(self, batch: WatchBatch) -> None:
         before = self._mirror.complete_to
-        # The batch's own revision may be ahead of events still to come; only the items' counts.
+        # The batch's revision may be ahead of events still to come, so the items' is used.
         newest = max((item.revision for item in batch.items), default=before)
-        # An item of this process's own write is no news here, but that nothing is missing up to
-        # it is: the others would learn of it only by the next heartbeat.
+        # An item of this process's own write is already in the mirror, but its batch shows that
+        # nothing is missing up to it. Without this message, peers would learn that only from the
+        # next heartbeat.
         if self._mirror.offer(batch.items, newest) or newest > before:
             self._tell(batch.items, before, newest)
 
@@ -136,10 +137,10 @@
                 self._node.send(member.inner, message)
 
     def _check(self) -> None:
-        """Find a watch that went silent although its connection stays open.
+        """Detect a watch that stays silent although its connection is open, and restart it.
 
-        It shows as a store whose newest change is later than the mirror's, for longer than a
-        watch takes. One cheap read each few seconds tells; the watch is then begun anew.
+        If the store's newest change is later than the mirror's in two successive checks, the
+        watch has missed it. The check costs one cheap read every few seconds.
         """
         behind = Revision(0)
         while not self._stopping.wait(CHECK_S):
--- a/tests/gossip/test_heartbeats.py
+++ b/tests/gossip/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""State and liveness spread between real nodes, without the platform."""
+"""State and liveness are replicated between real nodes without the platform."""
 
 import threading
 
@@ -19,7 +19,7 @@
 
 
 class Peer:
-    """One process's gossip over a real node."""
+    """The heartbeats of one process over a real node."""
 
     def __init__(
         self,
@@ -86,8 +86,9 @@
         return peer
 
     def test_a_restarted_process_learns_from_its_peers_in_an_outage(self) -> None:
-        # The platform is down and an entry host is replaced. Its new process knows nothing and
-        # can't read the platform; without its peers it would serve nothing, or an old document.
+        # The platform is down and an entry host is replaced. Its new process has no state and
+        # can't read the platform. Without its peers it could serve nothing, or only by an
+        # old document.
         keys = builders.inner_keys()
         old = self.a_peer("ct-1", keys)
         old.mirror.replace((Item(DOCUMENT_KEY, b"{}", Revision(5)),), Revision(7))
@@ -103,8 +104,8 @@
         self.assertTrue(there.until(lambda: there.view.document_revision == 5))
 
     def test_state_with_a_hole_before_it_is_not_taken_as_whole(self) -> None:
-        # Of two changes told by a peer the first message is lost. Were the second one's end
-        # taken over, the first change would be in force everywhere but here, for good.
+        # A peer sends two changes and the first message is lost. If the second message advanced
+        # complete_to, this process would never request the first change.
         keys = builders.inner_keys()
         peer = self.a_peer("ct-1", keys)
         teller = self.a_peer("ct-2", keys)
@@ -122,8 +123,8 @@
         self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.GONE))
 
     def test_a_process_that_gave_up_on_its_jobs_does_not_leave(self) -> None:
-        # A gateway is told to stop, and after its drain time a long volume still runs. Did it
-        # say that it leaves, a planned stop would be granted at once and cut the volume off.
+        # A gateway is stopped, and a long job still runs when its drain time ends. If it sent
+        # Leave, a planned stop of the job's host would be granted at once and abort the job.
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         ends = Peer("ct-2", keys, seeds=(stays.address,))
@@ -144,9 +145,9 @@
         self.assertTrue(one.until(lambda: one.roster.word() is not None))
 
     def test_gateways_find_each_other_without_any_head(self) -> None:
-        # Every controller of a zone is down, as a bad release crashes them. The gateways must
-        # still see each other, or each would schedule every pool for itself and hand out all
-        # slots several times.
+        # A faulty release crashes every controller of a zone. The gateways must still detect each
+        # other; otherwise each would schedule every pool and all slots would be granted several
+        # times.
         keys = builders.inner_keys()
         head = Peer("ct-1", keys)
         gateways = [
--- a/tests/gossip/test_recorder.py
+++ b/tests/gossip/test_recorder.py
@@ -1,4 +1,4 @@
-"""The zone's record takes members out only when they are proved gone."""
+"""Members are removed from the zone's record only when they have provably ended."""
 
 from collections.abc import Callable
 
@@ -30,8 +30,9 @@
 
 class NextRecordTest(TestCase):
     def test_a_silent_member_stays(self) -> None:
-        # A gateway falls silent while a host is being withdrawn. Taken out of the record, it
-        # would no longer be asked; it wakes up and sends to a host that has moved on.
+        # A gateway is paused while a host is being withdrawn. If it were removed from the record,
+        # its acknowledgement would not be required, and it could resume and send to a host that
+        # was released meanwhile.
         silent = builders.a_member("gw-silent")
         record = ZoneRecord(ZONE, (silent,))
         self.assertEqual(record, next_record(record, (), never))
@@ -44,7 +45,7 @@
 
 
 class FakeStore:
-    """Commits always succeed unless ``fault`` is set; keeps what was written."""
+    """Store whose commits succeed unless ``fault`` is set."""
 
     def __init__(self) -> None:
         self.fault: Fault | None = None
@@ -111,9 +112,9 @@
         self.assertEqual(("ct-me",), self.round()())
 
     def test_a_silent_member_leaves_by_a_fresh_host_list_only(self) -> None:
-        # An entry host's processes fall silent. The host list still in hand was made before
-        # that, and lacks the host because it lagged at its start. Only a list made later than
-        # the silence by more than its lag shows that the platform has ended the host.
+        # An entry host's processes fall silent. The last host list is older than that, and lacks
+        # the host only because the list lagged when the host started. Only a list that is newer
+        # than the start of the silence by more than its lag proves that the host has ended.
         peer = builders.a_member("gw-1", entry_host=EntryHostId("entry-1"))
         self.zones[ZONE] = (ZoneRecord(ZONE, (self.me, peer)), Revision(1))
         self.hosts.listing = HostListing((), 1.0)
--- a/tests/gossip/test_ring.py
+++ b/tests/gossip/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring of zones: news reaches every zone, over few connections."""
+"""The ring of zones: a zone's status reaches every zone over few connections."""
 
 from testtools import TestCase
 
@@ -40,8 +40,8 @@
             self.assertEqual(ZONES, len(knowing))
 
     def test_a_zone_that_hears_nobody_still_tries(self) -> None:
-        # A zone was cut off from all others and believes them silent, as they believe it. When
-        # the cut heals, somebody has to speak first, or they stay apart for good.
+        # A network partition separates a zone from all others, and each side considers the other
+        # silent. Afterwards one side has to send first, or they stay separated for good.
         alone = self.zones_of(self.members[0], hears=False)
         tried = {address for beat in range(100) for address in alone.peers(beat, ())}
         self.assertEqual({m.inner for m in self.members[1:]}, tried)
--- a/tests/gossip/test_watcher.py
+++ b/tests/gossip/test_watcher.py
@@ -1,4 +1,4 @@
-"""The watcher's end."""
+"""Shutdown of the watcher."""
 
 from collections.abc import Iterator
 
@@ -14,7 +14,7 @@
 
 
 class LateStream:
-    """A watch that nothing ends but its close."""
+    """A watch that ends only when it is closed."""
 
     def __init__(self) -> None:
         self.read = self.closed = False
@@ -28,7 +28,7 @@
 
 
 class StoppedMeanwhile:
-    """A service whose watch is opened just as the watcher is told to end."""
+    """A key-value service that opens a watch while the watcher is being closed."""
 
     def __init__(self) -> None:
         self.stream = LateStream()
@@ -42,8 +42,8 @@
 
 class WatcherTest(TestCase):
     def test_a_watch_opened_at_the_end_is_not_waited_for(self) -> None:
-        # A controller is told to stop and hangs. Its watch was being opened while it was told:
-        # the end found no stream to close, and the task then waits in the new one for good.
+        # A controller hangs on shutdown. close() runs while the watch is being opened, finds no
+        # stream to close, and the watcher's thread then waits on the new stream forever.
         me = builders.a_member("ct-1", role=Role.CONTROLLER)
         roster = RosterView(me, dict, 2.0, 5.0)
         service = StoppedMeanwhile()
