--- a/src/lentilrill/membership/__init__.py
+++ b/src/lentilrill/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Members of the system, their liveness, and who is responsible for what."""
+"""Members of the system, their liveness, and their responsibilities."""
 
 from lentilrill.membership._contract import Roster, ranked, rendezvous
 from lentilrill.membership._drain import drains
--- a/src/lentilrill/membership/_contract.py
+++ b/src/lentilrill/membership/_contract.py
@@ -1,4 +1,4 @@
-"""What other packages need to know of the members."""
+"""The interface through which other packages see the members."""
 
 import hashlib
 from collections.abc import Callable, Sequence
@@ -11,36 +11,36 @@
 
 
 class Roster(Protocol):
-    """Members as this process believes them to be."""
+    """Members of the system, with their liveness in this process's view."""
 
     @property
     def me(self) -> Member:
         """This process."""
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        """Return members heard of late (this process too), sorted by process id."""
+        """Return the living members, including this process, sorted by process id."""
 
     def liveness(self, member: Member) -> Liveness:
-        """Return what is believed of one incarnation of a process."""
+        """Return the liveness of one incarnation of a process."""
 
     def news(self) -> tuple[ZoneNews, ...]:
-        """Return what the controllers of other zones last said of them, sorted by zone."""
+        """Return the last status received from each other zone's controllers, sorted by zone."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after a member's liveness changed."""
 
 
 def rendezvous(key: str, members: Sequence[Member]) -> Member | None:
-    """Return the member responsible for ``key``: the highest of all hashes of key and member.
+    """Return the member responsible for ``key``, by rendezvous hashing; ``None`` without members.
 
-    Processes that believe in the same members choose the same one, and a member that joins or
-    ends moves only the keys that it gains or loses.
+    Processes with the same list of members choose the same one. A member that joins or ends moves
+    only the keys that it gains or loses.
     """
     return max(members, key=lambda member: (_weight(key, member), member.process), default=None)
 
 
 def ranked(key: str, members: Sequence[Member]) -> list[Member]:
-    """Return ``members`` in the order in which they are responsible for ``key``."""
+    """Return ``members`` in the order of their responsibility for ``key``."""
     return sorted(members, key=lambda member: (_weight(key, member), member.process), reverse=True)
 
 
--- a/src/lentilrill/membership/_drain.py
+++ b/src/lentilrill/membership/_drain.py
@@ -1,4 +1,4 @@
-"""Which entry hosts stop taking callers for a planned stop."""
+"""Selection of the entry hosts that drain their callers for a planned stop."""
 
 from collections.abc import Collection, Sequence
 
@@ -9,13 +9,12 @@
 
 
 def drains(me: Member, gateways: Sequence[Member], to_stop: Collection[HostId]) -> bool:
-    """Return whether this gateway's entry host should send its callers elsewhere now.
+    """Return whether this gateway's entry host should drain its callers.
 
-    Guard against a zone without callers' entry: a planned stop that names all entry hosts of a
-    zone, or all that are left of it, would drain the last one too. So if all living gateways
-    are to stop, the last of them in order goes on until another one is back.
+    If a planned stop names all entry hosts of a zone, or all that are still alive, the last one
+    in order keeps serving until another one is back, so that callers can always reach the zone.
 
-    :param gateways: living gateways of the zone, this one among them.
+    :param gateways: living gateways of the zone, including this one.
     :param to_stop: hosts named by planned stops.
     """
     if me.entry_host not in to_stop:
--- a/src/lentilrill/membership/_records.py
+++ b/src/lentilrill/membership/_records.py
@@ -1,4 +1,4 @@
-"""Who is in the system: members, and the record of each zone's members on the platform."""
+"""Members of the system, and the record of each zone's members on the platform."""
 
 from enum import Enum
 
@@ -10,27 +10,27 @@
 
 
 class Role(Enum):
-    """What a process does."""
+    """Role of a process."""
 
     GATEWAY = "gateway"
     CONTROLLER = "controller"
 
 
 class Liveness(Enum):
-    """What this process believes of a peer."""
+    """Liveness of a peer in this process's view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """Silent. Enough to stop sending work; never enough to take over what it owns."""
+    """Silent. It gets no new work, but what it owns must not be taken over."""
     GONE = "gone"
-    """Proved to have ended: it left, was replaced by a newer incarnation, or its host ended."""
+    """Provably ended: it left, was replaced by a newer incarnation, or its host ended."""
 
 
 class Member(msgspec.Struct, frozen=True):
     """One incarnation of one process.
 
-    :param inner: address of its inner socket.
-    :param http: address for callers (gateway) or operators (controller).
+    :param inner: address for the inner protocol.
+    :param http: HTTP address for callers (gateway) or operators (controller).
     """
 
     process: ProcessId
@@ -45,8 +45,8 @@
 class ZoneRecord(msgspec.Struct, frozen=True):
     """Members registered in one zone.
 
-    Only a registered gateway sends to the zone's hosts, so these are all that a withdrawal has to
-    hear from.
+    Only a registered gateway sends to the zone's hosts, so a withdrawal needs no acknowledgement
+    from any other.
     """
 
     zone: ZoneId
@@ -54,7 +54,10 @@
 
 
 class ZoneNews(msgspec.Struct, frozen=True):
-    """What the controllers of another zone last said of it; ``at`` in monotonic seconds."""
+    """Last status of a zone that its controllers reported.
+
+    :param at: time of the report in monotonic seconds.
+    """
 
     zone: ZoneId
     at: float
--- a/src/lentilrill/membership/_roster.py
+++ b/src/lentilrill/membership/_roster.py
@@ -1,4 +1,4 @@
-"""What this process believes of the other members, from what it hears."""
+"""This process's view of the other members, from the heartbeats and reports it receives."""
 
 import threading
 import time
@@ -13,17 +13,17 @@
 __all__ = ["Heard", "RosterView"]
 
 KEPT_ENDED = 2000
-"""Ended members that are still told from unknown ones; some days' replaced entry hosts."""
+"""Limit of ended members that are remembered; some days' worth of replaced entry hosts."""
 HEADS = 2
-"""Heads of a zone; the second one is known to all when the first falls silent."""
+"""Number of heads of a zone; members already know the second when the first one fails."""
 
 
 class Heard(msgspec.Struct):
     """The last heartbeat of one process.
 
-    :param at: monotonic seconds at which it came.
-    :param left: whether this incarnation said that it ends.
-    :param drained: whether it takes no callers any more and holds none.
+    :param at: time of receipt in monotonic seconds.
+    :param left: whether this incarnation sent ``Leave``.
+    :param drained: whether it accepts no callers and has none left.
     """
 
     member: Member
@@ -35,19 +35,19 @@
 
 
 class RosterView:
-    """The process's beliefs, by heartbeats and by the word of controllers.
+    """Liveness of all members, from heartbeats and from the reports of controllers.
 
-    Each zone has a few *heads*: controllers that every member of the zone exchanges heartbeats
-    with. For any other member of its own zone a process takes a head's word, and for those of
-    other zones the word of their heads, passed on between controllers.
+    Each zone has a few *heads*: controllers with which every member of the zone exchanges
+    heartbeats. A process relies on a head's report for the other members of its own zone, and on
+    the reports of other zones' heads, passed on between controllers, for their members.
 
-    A silent member is suspect. It is gone only by proof: its own word that it ends, a newer
-    incarnation of the same process, or the zone's record without it, from which it is taken only
-    with such a proof. Silence alone never is: a paused process wakes up and goes on sending.
+    A silent member is suspect. It is gone only by proof: its ``Leave`` message, a newer
+    incarnation of the same process, or its removal from the zone's record, which itself requires
+    such a proof. Silence alone is no proof, since a paused process may resume and go on sending.
 
-    :param zones_by_id: the current zone records.
+    :param zones_by_id: returns the current zone records.
     :param suspect_after_s: silence after which a member is suspect.
-    :param zone_silent_after_s: silence after which all of another zone is suspect.
+    :param zone_silent_after_s: silence after which all members of another zone are suspect.
     """
 
     def __init__(
@@ -80,11 +80,11 @@
         return self._me
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        """Return the members to work with, as of the last refresh, sorted by process id."""
+        """Return the usable members, as of the last refresh, sorted by process id."""
         return self._alive.get((role, zone), ())
 
     def liveness(self, member: Member) -> Liveness:
-        """Return what is believed of one incarnation of a process."""
+        """Return the liveness of one incarnation of a process."""
         if member.process == self._me.process:
             return Liveness.ALIVE if member == self._me else Liveness.GONE
         if self._is_gone(member):
@@ -92,7 +92,7 @@
         return Liveness.ALIVE if self._is_heard(member) else Liveness.SUSPECT
 
     def registered_in(self, zone: ZoneId) -> tuple[Member, ...]:
-        """Return the members that the zone's record names."""
+        """Return the members in the zone's record."""
         held = self._zones_by_id().get(zone)
         return held[0].members if held is not None else ()
 
@@ -106,24 +106,23 @@
             return tuple(heard for _, heard in sorted(self._heard_by_process.items()))
 
     def news(self) -> tuple[ZoneNews, ...]:
-        """Return what is known of other zones, sorted by zone."""
+        """Return the last status received of each other zone, sorted by zone."""
         with self._lock:
             return tuple(news for _, news in sorted(self._news_by_zone.items()))
 
     def word(self) -> ZoneNews | None:
-        """Return the newest word of a head of this process's own zone, if any is fresh."""
+        """Return the newest report of a head of this process's own zone, if one is recent."""
         return max(self._fresh_words(), key=lambda news: news.at, default=None)
 
     def heads(self) -> tuple[Member, ...]:
-        """Return the controllers of this zone that its members exchange heartbeats with, as of
-        the last refresh."""
+        """Return the heads of this process's zone, as of the last refresh."""
         return self._heads
 
     def _choose_heads(self) -> tuple[Member, ...]:
-        """Return the first controllers in order that may be heads.
+        """Return the heads: the first eligible controllers in rendezvous order.
 
-        A controller that was never tried may be one. One that does not answer stops being one
-        until it, or another head's word, says that it lives.
+        A controller to which no heartbeat was sent yet is eligible. One that does not answer is
+        not, until it sends a heartbeat or another head reports that it is alive.
         """
         zone = self._me.zone
         known = {m.process: m for m in self.registered_in(zone) if m.role is Role.CONTROLLER}
@@ -147,12 +146,12 @@
         }
 
     def last_heard(self, member: Member) -> Heard | None:
-        """Return the last heartbeat of one incarnation."""
+        """Return the last heartbeat of one incarnation, or ``None``."""
         heard = self._heard_by_process.get(member.process)
         return heard if heard is not None and heard.member == member else None
 
     def silent(self) -> tuple[Member, ...]:
-        """Return the registered members of this zone that this process itself does not hear."""
+        """Return the registered members of this zone that sent no recent heartbeat here."""
         return tuple(
             member
             for member in self.registered_in(self._me.zone)
@@ -160,15 +159,16 @@
         )
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after the members to work with changed."""
+        """Call ``listener`` after each change of the usable members."""
         self._listeners.append(listener)
 
     def hear(
         self, member: Member, complete_to: Revision, platform: bool, drained: bool = False
     ) -> bool:
-        """Take note of a heartbeat.
+        """Record a heartbeat.
 
-        :return: whether it counts; a heartbeat of an older incarnation was delayed on its way.
+        :return: ``False`` if the heartbeat is outdated: a newer incarnation is known, or this
+            incarnation has left.
         """
         with self._lock:
             held = self._heard_by_process.get(member.process)
@@ -186,17 +186,17 @@
         return True
 
     def try_out(self, member: Member) -> None:
-        """Take note that a heartbeat was sent to a head, which is to be answered."""
+        """Record that a heartbeat was sent to a head, which must answer it."""
         with self._lock:
             self._tried_by_process.setdefault(member.process, self._clock())
 
     def hear_word(self, head: ProcessId, news: ZoneNews) -> None:
-        """Take over what a head says of this process's own zone."""
+        """Record the report of a head on this process's own zone."""
         with self._lock:
             self._word_by_head[head] = news
 
     def hear_leave(self, member: Member) -> None:
-        """Take note that an incarnation ends."""
+        """Record that an incarnation has left."""
         with self._lock:
             held = self._heard_by_process.get(member.process)
             if held is None or held.member.incarnation <= member.incarnation:
@@ -206,7 +206,7 @@
         self.refresh()
 
     def hear_zones(self, news: Iterable[ZoneNews]) -> None:
-        """Take over what is newer about other zones."""
+        """Record those statuses of other zones that are newer than the recorded ones."""
         with self._lock:
             for one in news:
                 held = self._news_by_zone.get(one.zone)
@@ -214,7 +214,7 @@
                     self._news_by_zone[one.zone] = one
 
     def refresh(self) -> None:
-        """Recompute the members to work with; listeners hear of a change."""
+        """Recompute the usable members, and call the listeners if they changed."""
         self._heads = self._choose_heads()
         members = [member for member in self._candidates() if self._is_usable(member)]
         members.sort(key=lambda member: member.process)
@@ -229,7 +229,7 @@
                 listener()
 
     def forget(self, silent_s: float) -> None:
-        """Drop unregistered members that were silent for ``silent_s`` seconds or more."""
+        """Remove unregistered members that have been silent for more than ``silent_s`` seconds."""
         with self._lock:
             for process, heard in list(self._heard_by_process.items()):
                 old = self._clock() - heard.at > silent_s
@@ -238,7 +238,7 @@
             self._forget_ended()
 
     def _forget_ended(self) -> None:
-        """Bound what is kept of members that ended; entry hosts are replaced every day."""
+        """Limit the data kept on ended members, since entry hosts are replaced every day."""
         registered = {
             member.process
             for record, _ in self._zones_by_id().values()
--- a/tests/membership/test_drain.py
+++ b/tests/membership/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop of entry hosts leaves each zone one that takes callers."""
+"""A planned stop of entry hosts leaves one entry host of each zone in service."""
 
 from testtools import TestCase
 
@@ -28,8 +28,8 @@
         self.assertEqual(["gw-1", "gw-2"], self.draining(self.all, "entry-1", "entry-2"))
 
     def test_the_last_of_a_zone_goes_on(self) -> None:
-        # Operators declare one stop for every entry host of a zone, for new switches. Did all
-        # of them turn callers away, the zone's endpoints would stand idle and its callers fail.
+        # Operators declare one stop for every entry host of a zone, to replace its switches. If
+        # all of them drained, the zone's callers would fail while its endpoints are idle.
         names = [member.entry_host for member in self.all]
         self.assertEqual(["gw-1", "gw-2"], self.draining(self.all, *names))
         self.assertEqual([], self.draining((self.two,), *names))
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -1,4 +1,4 @@
-"""The roster keeps silent members apart from those proved to be gone."""
+"""Silent members are distinguished from those that have provably ended."""
 
 import msgspec
 from testtools import TestCase
@@ -46,8 +46,8 @@
 
 class RosterTest(RosterCase):
     def test_a_silent_member_is_suspect_and_never_gone(self) -> None:
-        # A gateway is paused for minutes between its check and its send. It must get no new
-        # work, but were it called gone, its host would be given away, and then it wakes up.
+        # A gateway is paused for minutes between its check and its send. It must get no new work.
+        # If it counted as gone, a host could be released before the gateway resumes and sends.
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
         self.hear(peer)
@@ -65,8 +65,8 @@
         self.assertEqual((self.me,), self.alive(HERE))
 
     def test_a_late_heartbeat_does_not_bring_back_what_left(self) -> None:
-        # A gateway says that it ends; a heartbeat sent before that arrives after it. Work sent
-        # to the ended process would fail until it is suspect again.
+        # A gateway's Leave is received before a heartbeat that it sent earlier. If the heartbeat
+        # counted, work sent to the ended process would fail until it is suspect.
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
         self.roster.hear_leave(peer)
@@ -74,8 +74,8 @@
         self.assertIs(Liveness.GONE, self.roster.liveness(peer))
 
     def test_gone_by_a_newer_incarnation(self) -> None:
-        # An entry host is replaced and its successor takes the name. A heartbeat of the former
-        # incarnation is still on its way and must not pass for the new one's.
+        # An entry host is replaced by one with the same process name. A delayed heartbeat of the
+        # old incarnation must not be attributed to the new one.
         old, new = builders.a_member("gw-peer"), builders.a_member("gw-peer")
         self.register(HERE, self.me, old)
         self.hear(new)
@@ -92,8 +92,8 @@
         self.assertIs(Liveness.GONE, self.roster.liveness(peer))
 
     def test_an_unregistered_gateway_gets_no_work(self) -> None:
-        # A newcomer is heard before it stands in the zone's record. Were it sent work, it could
-        # send to a host whose withdrawal nobody asked it to acknowledge.
+        # A new gateway sends heartbeats before it is in the zone's record. If it got work, it
+        # could send to a host whose withdrawal does not require its acknowledgement.
         newcomer = builders.a_member("gw-new")
         self.hear(newcomer)
         self.assertEqual((self.me,), self.alive(HERE))
@@ -101,8 +101,8 @@
         self.assertEqual((self.me, newcomer), self.alive(HERE))
 
     def test_another_zone_is_alive_by_its_controllers_word(self) -> None:
-        # Two zones are cut off from each other. Nothing is heard of the other zone's members,
-        # so after a few seconds no job may be spilled there; they are suspect, not gone.
+        # A network partition separates two zones. After a few seconds without a status of the
+        # other zone no job may be spilled to it, but its members are only suspect, not gone.
         one = builders.a_member("gw-a", zone=THERE)
         two = builders.a_member("gw-b", zone=THERE)
         self.register(THERE, one, two)
@@ -124,8 +124,8 @@
         self.assertEqual((one,), self.alive(THERE))
 
     def test_what_is_kept_of_ended_members_is_bounded(self) -> None:
-        # Entry hosts are replaced under new names for months. Were each kept for good, the
-        # process would end for want of memory one day.
+        # Entry hosts are replaced under new names for months. Without a limit on the ended ones,
+        # the process would eventually run out of memory.
         for n in range(KEPT_ENDED + 100):
             self.register(HERE, self.me, builders.a_member(f"gw-{n}"))
             self.roster.refresh()
@@ -163,7 +163,7 @@
 
 
 class HeadsTest(RosterCase):
-    """A member takes the word of its zone's heads for whom it does not hear itself."""
+    """A member relies on its zone's heads for members whose heartbeats it does not receive."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -196,8 +196,8 @@
         self.assertEqual((first, second), self.heads())
 
     def test_a_peer_lives_by_a_heads_word_and_dies_with_it(self) -> None:
-        # Gateways hear only the heads. When a gateway dies, the heads' next word calls it
-        # suspect; and when the heads fall silent, an old word must not keep it alive.
+        # Gateways receive heartbeats only from the heads. When a gateway fails, the heads' next
+        # report lists it as suspect; when the heads fall silent, an old report must expire.
         head = self.heads()[0]
         self.roster.hear_word(head.process, self.word())
         self.assertEqual((self.me, self.peer), self.alive(HERE))
