--- a/src/lentilrill/__init__.py
+++ b/src/lentilrill/__init__.py
@@ -1,7 +1,7 @@
 """Fleet capacity and maintenance manager.
 
 Operators edit two lists (plans, and what each plan may use) and declare planned stops. The
-packages below turn them into owed hosts, safe withdrawals and exactly answered requests.
+subpackages assign hosts to plans, withdraw hosts safely, and answer callers' requests.
 """
 
 __all__ = ["__version__"]
--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gateway process and of a controller process together."""
+"""Assembly of a gateway process and of a controller process from their parts."""
 
 import time
 
@@ -19,13 +19,13 @@
 __all__ = ["ControllerProcess", "GatewayProcess"]
 
 ZONE_SILENT_FACTOR = 2.5
-"""Another zone is heard of by gossip, which takes a few heartbeats more than a peer does."""
+"""Other zones' statuses arrive by gossip, a few heartbeats later than heartbeats of peers."""
 
 REPORT_AGE_S = 1.0
 
 
 class _Common:
-    """What both kinds of process have: node, mirror, roster and metrics."""
+    """Parts that both kinds of process have: node, mirror, members and metrics."""
 
     def __init__(self, settings: ProcessSettings, role: Role, http: str) -> None:
         self.metrics: Metrics = connect(settings.statsd, settings.process)
@@ -106,7 +106,7 @@
         )
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._heartbeats.start()
         self._routing.start()
@@ -115,7 +115,7 @@
         self._server.start()
 
     def drain(self) -> None:
-        """Finish the requests in flight, then leave."""
+        """Finish the requests in flight, then shut down."""
         finished = self._server.drain()
         self._server.close()
         self._claims.close()
@@ -175,15 +175,17 @@
         )
 
     def _fleet_report(self) -> FleetReport:
-        """Return a report that is at most a second old; clients ask for it several times a
-        second while they wait."""
+        """Return a report that is at most ``REPORT_AGE_S`` old.
+
+        It is cached, since waiting clients request it several times a second.
+        """
         report = self._fleet.report
         if time.time() - report.now > REPORT_AGE_S:
             report = self._fleet.current_report()
         return report
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._heartbeats.start()
         self._watcher.start()
@@ -192,7 +194,7 @@
         self._operators.start()
 
     def drain(self) -> None:
-        """End the tasks, then leave."""
+        """Stop the tasks, then shut down."""
         self._operators.drain()
         self._operators.stop()
         self._fleet.close()
--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -1,4 +1,4 @@
-"""What a controller shows operators, from its roster, its view and its last look at the fleet."""
+"""The status that a controller shows operators, from its members, view and last fleet report."""
 
 from collections import Counter
 
@@ -20,11 +20,11 @@
 def status(
     roster: RosterView, view: FleetView, report: FleetReport, platform_reachable: bool
 ) -> Status:
-    """Return the whole picture as of this controller."""
+    """Return the status of the whole system in this controller's view."""
     entry_hosts = _entry_hosts(roster)
     document = view.document
     declared = {stop.id for stop in document.stops}
-    # The report may be older than the document: what was removed since is no longer shown.
+    # The report may be older than the document; stops that were removed since are not shown.
     reports_by_stop = {stop.stop: stop for stop in report.stops if stop.stop in declared}
     return Status(
         process=roster.me.process,
@@ -65,11 +65,12 @@
 
 
 def _complete_to_by_process(roster: RosterView, view: FleetView) -> dict[ProcessId, Revision]:
-    """Return how far each process is; of another zone's, the least that its controllers told.
+    """Return the revision to which each process's mirror is known to be complete.
 
-    Guard against an edit told as in force everywhere while a paused or cut-off gateway goes on by
-    the older one: a zone's word is the least of those that it hears, so it rises as soon as such
-    a gateway is suspect there. It must not count for the suspect ones, of which nothing is known.
+    For members of another zone it is the lowest revision that the zone's controllers report. That
+    covers only the members they hear, so it rises once a paused or disconnected gateway becomes
+    suspect. It is not used for suspect members: an edit would be shown as in force everywhere
+    while such a gateway still works by the previous document.
     """
     found = {
         member.process: news.complete_to
@@ -91,10 +92,10 @@
 
 
 def _pools(report: FleetReport, view: FleetView) -> tuple[PoolStatus, ...]:
-    """Return each pool's counts, as of the last look at the fleet if there was one.
+    """Return the host counts of each pool, from the last fleet report if there is one.
 
-    A controller that started while the platform is away has seen no host list, so that it can't
-    look; the records that its peers gave it still tell how many hosts are in which phase.
+    A controller that started while the platform is unreachable has no host list and thus no
+    report. It counts the hosts by phase in the records that it received from its peers.
     """
     reports_by_pool = {pool.pool: pool for pool in report.pools}
     return tuple(_pool(pool, reports_by_pool.get(pool.id), view) for pool in view.document.pools)
@@ -118,7 +119,7 @@
 
 
 def _owed(pool: Pool, document: Document) -> int:
-    """Return the hosts owed to plans that prefer this pool."""
+    """Return the number of hosts owed to the plans whose first pool is this one."""
     plans_by_id = document.plans_by_id()
     return sum(
         plans_by_id[entitlement.plan].hosts_owed
@@ -128,9 +129,9 @@
 
 
 def _entry_hosts(roster: RosterView) -> dict[HostId, bool]:
-    """Return every entry host that runs a gateway, and whether all its gateways are drained.
+    """Return the entry hosts that run gateways, and whether all gateways of each are drained.
 
-    A gateway that is gone holds no caller either.
+    Gateways that are gone are not registered any more, and need not be drained.
     """
     drained = {one.member.process for one in roster.heard() if one.drained}
     news = (*roster.news(), *_own_word(roster))
--- a/src/lentilrill/_stop_status.py
+++ b/src/lentilrill/_stop_status.py
@@ -1,4 +1,4 @@
-"""How far a planned stop is, from the document, the pools' records and the last look."""
+"""Progress of a planned stop, from the document, the pool records and the last fleet report."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class Progress(msgspec.Struct):
-    """Hosts of a stop by how far they are."""
+    """Hosts of a stop by their progress."""
 
     waiting: list[HostId] = []
     withdrawing: list[HostId] = []
@@ -24,7 +24,7 @@
     def state(self, retire: bool) -> StopState:
         """Return the state of the whole stop.
 
-        A retired host is forgotten once it was released, so an unknown one is done.
+        The record of a retired host is deleted after its release, so an unknown one is done.
         """
         begun = bool(self.withdrawing or self.stopped or self.done)
         if self.withdrawing or (self.waiting and begun):
@@ -41,11 +41,11 @@
     drained_by_entry_host: dict[HostId, bool],
     unacknowledged: dict[HostId, str],
 ) -> StopStatus:
-    """Return what operators see of one stop.
+    """Return the status of one stop for operators.
 
-    :param report: the fleet's last look at it; ``None`` if there was none since it was declared.
+    :param report: last fleet report on the stop; ``None`` if there is none since its declaration.
     :param drained_by_entry_host: entry hosts that run gateways, and whether those are drained.
-    :param unacknowledged: why withdrawing hosts are not released yet.
+    :param unacknowledged: reasons why withdrawing hosts are not released yet.
     """
     progress = _progress(stop, view, drained_by_entry_host)
     waits = () if report is None else report.waits
--- a/src/lentilrill/clocks.py
+++ b/src/lentilrill/clocks.py
@@ -1,21 +1,21 @@
-"""Another process's clock, as far as it can be told from readings that come late."""
+"""Conversion of another process's clock, from readings that arrive with unknown delays."""
 
 import math
 
 __all__ = ["RemoteClock"]
 
 LAG_HOLDS_S = 5.0
-"""How long the least difference of two clocks counts as it was read: longer than most delays of a
-busy reader, and so short that a slow clock makes a tenth of a second of it."""
+"""Time for which the smallest difference of two clocks is used without a correction for drift.
+It is longer than most delays of a busy reader; a slow clock drifts by a tenth of a second in it."""
 
 
 class RemoteClock:
-    """Tells when another clock showed a time, by this process's monotonic clock.
+    """Converts another process's clock to this process's monotonic clock.
 
-    The reading with the shortest delay tells how the clocks differ. Since the other one may run
-    slow, the difference may grow once that reading is old.
+    The reading with the shortest delay gives the difference of the clocks. The other clock may run
+    slow, so the difference is allowed to grow once that reading is old.
 
-    :param error: by how much the other clock may run slow, as a share.
+    :param error: maximum rate error of the other clock, as a fraction.
     """
 
     def __init__(self, error: float) -> None:
@@ -24,9 +24,9 @@
         self._lag_read = 0.0
 
     def moment_of(self, shown_s: float, read_at: float) -> float:
-        """Return when the other clock showed ``shown_s`` seconds.
+        """Return the local time at which the other clock showed ``shown_s`` seconds.
 
-        :param read_at: when this process read it, which is later by an unknown delay.
+        :param read_at: local time at which this process read it, after an unknown delay.
         """
         lag_s = read_at - shown_s
         age_s = max(0.0, read_at - self._lag_read - LAG_HOLDS_S)
--- a/src/lentilrill/daemon.py
+++ b/src/lentilrill/daemon.py
@@ -29,7 +29,7 @@
 EXIT_SETTINGS = 2
 SETTINGS_VARIABLE = "LENTILRILL_CONFIG"
 SETTINGS_LOOK_S = 1.0
-"""Pause between two looks at the settings file, which may change without a signal."""
+"""Interval at which the settings file is checked for changes, which may come without a signal."""
 EPILOG = """\
 Exit codes: 0 ended after a clean drain, 1 it could not start, 2 the settings are wrong.
 SIGTERM or SIGINT drains the process: it finishes what is in flight, then ends.
@@ -45,20 +45,20 @@
 
 
 class Process(Protocol):
-    """A whole process: built, started, and told once to drain."""
+    """A process that is started once and drained once."""
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     def drain(self) -> None:
-        """Finish what is in flight, leave the system and end all tasks."""
+        """Finish requests in flight, leave the system and stop all tasks."""
 
 
 class SettingsWatch:
-    """Reads the settings file again on SIGHUP, and when it has changed without a signal.
+    """Reloads the settings file on SIGHUP, and when it has changed without a signal.
 
-    What a process is and where it listens stays as it was until it starts again; the log level is
-    taken over. A file that can't be used is told of, and the settings in force stay.
+    Only the log level takes effect; changes of other settings, such as the role and the addresses,
+    need a restart. An invalid file is logged, and the current settings stay in force.
     """
 
     def __init__(self, path: Path, kind: type[ProcessSettings] | type[EntrySettings]) -> None:
@@ -68,11 +68,11 @@
         self._changed = self._stamp()
 
     def ask(self) -> None:
-        """Read the file at the next look, whether it has changed or not."""
+        """Request that the next check reads the file, whether it has changed or not."""
         self._asked.set()
 
     def look(self) -> None:
-        """Read the file if it has changed or somebody asked for it."""
+        """Read the file if it has changed or a reload was requested."""
         stamp = self._stamp()
         if stamp == self._changed and not self._asked.is_set():
             return
@@ -89,13 +89,13 @@
         try:
             stat = self._path.stat()
         except OSError:
-            # It is being replaced; the next look finds it.
+            # The file is being replaced; the next check finds it.
             return (0, 0)
         return stat.st_mtime_ns, stat.st_size
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one process until it is told to stop.
+    """Run one process until it receives a signal to stop.
 
     :return: the exit code.
     """
@@ -108,11 +108,11 @@
 
 
 def _build(settings: ProcessSettings | EntrySettings) -> Process:
-    """Put the process of a role together, loading only what that role runs.
+    """Build the process of a role, importing only the packages that the role uses.
 
-    Entry hosts are small and their memory is paid for: without the other roles' packages one has
-    37 MB instead of 40 MB resident once all is imported, after 0.41 s instead of 0.51 s of
-    processor time (``getrusage`` and ``process_time``, three runs each).
+    Entry hosts have little memory: without the other roles' packages a process uses 37 MB instead
+    of 40 MB of resident memory after its imports, which take 0.41 s instead of 0.51 s of processor
+    time.
     """
     if isinstance(settings, EntrySettings):
         from lentilrill.entry import EntryProcess
@@ -168,14 +168,15 @@
     # A second signal only sets the same flag, so it can't cut short requests in flight.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
-    # Without a handler SIGHUP would end the process, and with it the requests in flight.
+    # Without a handler SIGHUP would terminate the process and abort the requests in flight.
     signal.signal(signal.SIGHUP, lambda *_: watch.ask())
     started = time.monotonic()
     try:
         process.start()
     except Exception:
-        # What has started would keep the process: an owner of pools that hears neither callers
-        # nor signals. Ended at once, its lease lapses and its supervisor starts it again.
+        # Threads that have started would keep the process alive as an owner of pools that serves
+        # no callers and handles no signals. After an immediate exit its lease expires, and its
+        # supervisor restarts it.
         traceback.print_exc()
         os._exit(EXIT_START)
     log(Event.PROCESS_STARTED, process=settings.process, zone=settings.zone)
--- a/src/lentilrill/faults.py
+++ b/src/lentilrill/faults.py
@@ -1,6 +1,7 @@
-"""The error value that travels in a ``returns`` result.
+"""The error value of a ``returns`` result.
 
-Exceptions stay inside the function that met them; what crosses a package is a :class:`Fault`.
+Exceptions are caught in the function that calls the failing code; packages report errors to each
+other as a :class:`Fault`.
 """
 
 from enum import Enum
@@ -11,18 +12,18 @@
 
 
 class FaultKind(Enum):
-    """What a caller of the failed step can do about it."""
+    """Kind of a failure, by what the caller of the failed step can do about it."""
 
     UNAVAILABLE = "unavailable"
-    """The peer did not answer, or answered that it can't now; a later try may help."""
+    """The peer did not answer, or is temporarily unable to; a retry may succeed."""
     AMBIGUOUS = "ambiguous"
     """The request may have taken effect, but its answer was lost."""
     CONFLICT = "conflict"
     """Another writer or a newer revision won."""
     INVALID = "invalid"
-    """The input is wrong and stays wrong."""
+    """The input is invalid; a retry can't succeed."""
     REFUSED = "refused"
-    """A limit, budget or rule forbids it now."""
+    """A limit, budget or rule currently forbids the step."""
     EXHAUSTED = "exhausted"
     """The deadline or the call budget ran out before the step began."""
 
@@ -31,11 +32,11 @@
     """One failed step.
 
     :param step: the step that failed, as ``package.verb``, such as ``platform.txn``.
-    :param peer: the address or process at the other end; empty where there is none.
-    :param kind: what can be done about it.
-    :param reason: one line for people.
-    :param retry_after_s: seconds after which another try makes sense; ``None`` if unknown.
-    :param unsent: whether nothing of the request left this process: it surely has no effect.
+    :param peer: address or name of the peer process; empty if there is none.
+    :param kind: what the caller can do about it.
+    :param reason: human-readable description, in one line.
+    :param retry_after_s: seconds after which a retry may succeed; ``None`` if unknown.
+    :param unsent: whether no part of the request was sent, so that it can't have taken effect.
     """
 
     step: str
--- a/src/lentilrill/ids.py
+++ b/src/lentilrill/ids.py
@@ -24,7 +24,7 @@
 
 CustomerId = NewType("CustomerId", str)
 EndpointId = NewType("EndpointId", str)
-"""One life of the endpoint software on a host, as the platform names it."""
+"""The platform's identifier of one run of the endpoint software on a host."""
 EntryHostId = NewType("EntryHostId", str)
 GrantId = NewType("GrantId", str)
 HostId = NewType("HostId", str)
@@ -38,7 +38,7 @@
 RackId = NewType("RackId", str)
 RequestId = NewType("RequestId", str)
 Revision = NewType("Revision", int)
-"""The platform's modification revision of a key: one counter over the whole store."""
+"""The platform's modification revision of a key, from one counter for the whole store."""
 ServiceId = NewType("ServiceId", str)
 StopId = NewType("StopId", str)
 ZoneId = NewType("ZoneId", str)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: valid values with defaults, changed by keyword."""
+"""Builders of test data: valid values with defaults that keywords override."""
 
 import functools
 import hashlib
@@ -63,12 +63,12 @@
 
 
 def digest(token: str) -> str:
-    """Return the hex SHA-256 under which a token is configured."""
+    """Return the hex SHA-256 digest of a token, as it stands in the configuration."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def an_address() -> str:
-    """Return a loopback address that is handed out once, in all tests that run side by side."""
+    """Return a loopback address that is unique among all tests that run in parallel."""
     return _network().address(1, 1, next(_ports))
 
 
@@ -109,11 +109,11 @@
 
 
 def a_document(*names: str, **changes: Any) -> Document:
-    """Return a document with a plan, a pool and an entitlement of each name.
+    """Return a document with a plan, a pool and an entitlement for each name.
 
-    The last one's pool is the spare.
+    The pool of the last name is the spare.
 
-    :param changes: what differs in every plan.
+    :param changes: values of every plan that differ from the defaults.
     """
     return Document(
         plans=tuple(a_plan(name, **changes) for name in names),
@@ -148,12 +148,12 @@
 
 
 def a_member_record(name: str = "h1", inner: str = "127.0.0.1:1") -> MemberRecord:
-    """Return the record of an entry host of usual strength."""
+    """Return the record of an entry host of strength 1."""
     return MemberRecord(ProcessId(name), Incarnation(1), ZoneId("z1"), inner, 1)
 
 
 def a_pressure(**changes: Any) -> PoolPressure:
-    """Return the pressure of the pool ``notices``, which has nothing to do."""
+    """Return the pressure of the idle pool ``notices``."""
     values: dict[str, Any] = {
         "pool": PoolId("notices"),
         "wait_s": 0.0,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that KNOWN-RED.txt names are played, told of, and their failure is passed over."""
+"""Support for KNOWN-RED.txt: listed tests run and are reported, but their failure is accepted."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -10,20 +10,20 @@
 
 
 def entries(folder: Path) -> list[str]:
-    """Return the lines of ``folder``'s list that name something known to be red."""
+    """Return the entries of the list in ``folder``, without blank lines and comments."""
     path = folder / KNOWN_RED
     lines = path.read_text().splitlines() if path.exists() else []
     return [line for line in lines if line.strip() and not line.startswith("#")]
 
 
 def listed_ids(entries: list[str]) -> set[str]:
-    """Return the ids of the tests that entries name; an entry may name what is no test."""
+    """Return the ids of the tests in ``entries``; some entries name other checks."""
     names = (entry.split("|")[0].strip() for entry in entries)
     return {name for name in names if "::" in name}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Pass over the failure of tests that are known to be red, and of no others."""
+    """Mark the listed tests, and no others, as expected to fail."""
     known = listed_ids(entries(config.rootpath))
     for item in items:
         if item.nodeid in known:
@@ -33,7 +33,7 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Tell what is known to be red, and how its tests ended in this run."""
+    """Print the entries of the list, and the results of their tests in this run."""
     known = entries(config.rootpath)
     if len(known) > MOST_ENTRIES:
         raise pytest.UsageError(f"{KNOWN_RED} holds more than {MOST_ENTRIES} entries")
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces, which can be told to fail."""
+"""Fakes of interfaces, with failures that tests can set."""
 
 import threading
 from collections import Counter, deque
@@ -39,38 +39,38 @@
 SILENT_WATCH_S = 0.2
 
 Fate = Callable[[Callable[[], Result]], Result]
-"""What becomes of one call: gets the call itself, and returns what its caller sees."""
+"""Wrapper of one call that decides whether it takes effect and which result its caller gets."""
 
 
 def lose_answer(call: Callable[[], Result]) -> Result:
-    """Fate of a call that takes effect while its answer is lost."""
+    """Make the call, but lose its answer."""
     call()
     return _lost()
 
 
 def lose_request(call: Callable[[], Result]) -> Result:
-    """Fate of a call that never arrives, which its caller can't tell from a lost answer."""
+    """Lose the call; its caller can't distinguish that from a lost answer."""
     del call
     return _lost()
 
 
 def refuse(call: Callable[[], Result]) -> Result:
-    """Fate of a call that is given up before it is sent."""
+    """Fail the call before it is sent."""
     del call
     return _unavailable("call")
 
 
 class FakeKeyValue:
-    """The key-value service in memory, with compare-and-swap over one revision counter.
+    """In-memory key-value service, with compare-and-swap and one revision counter.
 
-    :ivar down: every call fails as unavailable.
-    :ivar lose_answers: how many of the next commits take effect but lose their answer.
-    :ivar lose_requests: how many of the next commits are lost before they take effect; the
-        caller can't tell the two apart.
-    :ivar before_commit: called once before the next commit, as a racing writer.
+    :ivar down: whether every call fails as unavailable.
+    :ivar lose_answers: number of next commits that take effect but lose their answer.
+    :ivar lose_requests: number of next commits that are lost before they take effect; the caller
+        can't distinguish the two.
+    :ivar before_commit: called once before the next commit, to simulate a racing writer.
     :ivar observer: called after each change with the items as they were before it.
-    :ivar priorities: of the reads of single keys.
-    :ivar commits: fates of the next commits, in order; the same for reads.
+    :ivar priorities: priorities of the reads of single keys.
+    :ivar commits: wrappers of the next commits, in order; ``reads`` are those of the next reads.
     """
 
     def __init__(self) -> None:
@@ -152,7 +152,7 @@
         return bool(lease) and lease not in self._leases
 
     def put(self, key: str, value: bytes) -> Revision:
-        """Write without comparison, as an operator's tool or another process would."""
+        """Write unconditionally, as an operator's tool or another process would."""
         with self._changed:
             self._apply((Put(key, value),))
             return self.revision
@@ -162,7 +162,7 @@
         return FakeWatch(self, prefix, after)
 
     def news(self, prefix: str, after: Revision) -> Result[WatchBatch, Fault]:
-        """Wait for changes below ``prefix``; a watch that hears nothing for long is a fault."""
+        """Wait for changes below ``prefix``; return a fault if there are none for a while."""
         with self._changed:
             if not self._news(prefix, after):
                 self._changed.wait(SILENT_WATCH_S)
@@ -197,7 +197,7 @@
         return Success(None)
 
     def sync(self, mirror: Mirror) -> None:
-        """Bring a mirror up to date with the state keys, as the relayed watch would."""
+        """Update a mirror with the state keys, as the relayed watch would."""
         with self._changed:
             items = [i for k, i in self.items_by_key.items() if k.startswith("state/")]
             mirror.replace(items, self.revision)
@@ -234,7 +234,7 @@
 
 
 class FakeWatch:
-    """A watch of the key-value service in memory; any task may close it."""
+    """A watch of the in-memory key-value service; any thread may close it."""
 
     def __init__(self, kv: FakeKeyValue, prefix: str, after: Revision) -> None:
         self._kv = kv
@@ -255,10 +255,10 @@
 
 
 class FakeHostList:
-    """The platform's host list.
+    """Fake of the platform's host list.
 
-    :ivar as_of: when the list was made; ``None`` means right now by the clock.
-    :ivar last: the list as last given out.
+    :ivar as_of: time at which the list was made; ``None`` for the current time of the clock.
+    :ivar last: the last returned list.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -270,7 +270,7 @@
         self._clock = clock
 
     def add(self, *infos: HostInfo) -> None:
-        """List hosts, or change what is listed of them."""
+        """Add hosts to the list, or replace their entries."""
         self.infos_by_id.update({info.id: info for info in infos})
 
     def hosts(self) -> Result[HostListing, Fault]:
@@ -283,7 +283,7 @@
 
 
 class FakeRoster:
-    """Members as a process believes them to be, set by the test."""
+    """List of members that the test sets."""
 
     def __init__(self, me: Member, members: list[Member]) -> None:
         self.me = me
@@ -309,7 +309,7 @@
 
 
 class CountingMetrics(NoMetrics):
-    """Metrics that keep counters."""
+    """Metrics that record counters."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -319,7 +319,7 @@
 
 
 class FakeNode:
-    """The inner protocol's node: keeps handlers, and hands messages to them at once."""
+    """Fake of the inner protocol's node that calls handlers directly."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any, Any], None]] = {}
@@ -328,7 +328,7 @@
         self.handlers[kind] = handler
 
     def deliver(self, batch: Any) -> None:
-        """Handle each message of a batch."""
+        """Call the handler of each message of ``batch``."""
         for message in batch.messages:
             self.handlers[type(message)](batch, message)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the test command does with tests that are known to be red."""
+"""Handling of the tests listed in KNOWN-RED.txt by the test command."""
 
 import subprocess
 import sys
@@ -24,7 +24,7 @@
 
 class KnownRedTest(TestCase):
     def play(self, *listed: str) -> tuple[int, str]:
-        """Run a small suite of one red and one green test; return exit code and output."""
+        """Run a suite of one failing and one passing test; return exit code and output."""
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "conftest.py").write_text(CONFTEST.read_text())
@@ -37,7 +37,7 @@
         return run.returncode, run.stdout + run.stderr
 
     def test_a_listed_test_that_fails_is_passed_over_and_told(self) -> None:
-        """README's test command failed on a fresh clone, by a failure that was known."""
+        """The test command of the README failed on a fresh clone because of a known failure."""
         code, output = self.play(RED)
         self.assertEqual(0, code)
         self.assertThat(output, Contains(f"known red: {RED} | command | seen | issue 1"))
@@ -45,13 +45,13 @@
         self.assertThat(output, Contains("as listed"))
 
     def test_a_failure_that_is_not_listed_fails_the_run(self) -> None:
-        """A new failure was passed over beside a known one."""
+        """A new failure was accepted along with a known one."""
         code, output = self.play(GREEN, "make matrix: a cell")
         self.assertEqual(1, code)
         self.assertThat(output, Contains(f"known red, passed: {GREEN}"))
         self.assertThat(output, Not(Contains(f"known red, failed: {RED}")))
 
     def test_the_list_stays_short(self) -> None:
-        """Failures piled up in the list, and nobody mended them."""
+        """Failures accumulated in the list and were not fixed."""
         code, _ = self.play(*(f"make matrix: {number}" for number in range(4)), RED)
         self.assertNotEqual(0, code)
