--- a/src/lentilrill/inner/_codec.py
+++ b/src/lentilrill/inner/_codec.py
@@ -79,7 +79,7 @@
     form, body = data[:1], data[1:]
     try:
         if form == COMPRESSED:
-            body = _decompressed(body)
+            body = _decompress(body)
         elif form != PLAIN:
             return _invalid(f"unknown batch format {form!r}")
         return Success(_DECODER.decode(body))
@@ -93,7 +93,7 @@
         return _invalid(str(error))
 
 
-def _decompressed(body: bytes) -> bytes:
+def _decompress(body: bytes) -> bytes:
     """Return the decompressed ``body``, truncated at the maximum size of a batch.
 
     A few kilobytes can decompress to gigabytes and exhaust the process's memory, so the output
--- a/src/lentilrill/inner/_node.py
+++ b/src/lentilrill/inner/_node.py
@@ -17,15 +17,15 @@
 
 __all__ = ["Node"]
 
-OUTBOX_MESSAGES = 20_000
-BATCH_MESSAGES = 256
-IDLE_PEER_S = 20.0
-SWEEP_EVERY_S = 1.0
-LAST_LINGER_MS = 500
+MAX_OUTBOX_MESSAGES = 20_000
+MAX_BATCH_MESSAGES = 256
+IDLE_TIMEOUT_S = 20.0
+IDLE_CHECK_INTERVAL_S = 1.0
+CLOSE_LINGER_MS = 500
 """Time that the last messages have to be sent once a connection is closed."""
 RECEIVE_POLL_MS = 1000
-PING_MS = 2000
-SILENT_MS = 4000
+PING_INTERVAL_MS = 2000
+PING_TIMEOUT_MS = 4000
 
 Handler = Callable[[Batch, Any], None]
 
@@ -37,13 +37,13 @@
     handshake fails, so none of its messages is ever read.
     """
 
-    def __init__(self, public: bytes) -> None:
-        self._public = public
+    def __init__(self, public_key: bytes) -> None:
+        self._public_key = public_key
 
     def callback(self, domain: str, key: bytes) -> bool:
         """Return whether ``key`` (Z85) is the system's."""
         del domain
-        return key == self._public
+        return key == self._public_key
 
 
 class Node:
@@ -71,7 +71,7 @@
         self.process = process
         self.incarnation = incarnation
         self.address = address
-        self._listen = listen or address
+        self._bind_address = listen or address
         self.bytes_sent = 0
         self.bytes_received = 0
         self._keys = keys
@@ -94,11 +94,11 @@
             self._auth.configure_curve_callback(
                 credentials_provider=_AllowedKey(self._keys.public.encode())
             )
-        self._listening = self.socket(zmq.ROUTER)
+        self._listener = self.socket(zmq.ROUTER)
         if self._keys is not None:
-            self._listening.curve_server = True
-        self._listening.setsockopt(zmq.MAXMSGSIZE, MAX_BATCH_BYTES)
-        self._listening.bind(f"tcp://{self._listen}")
+            self._listener.curve_server = True
+        self._listener.setsockopt(zmq.MAXMSGSIZE, MAX_BATCH_BYTES)
+        self._listener.bind(f"tcp://{self._bind_address}")
         self._receiver.start()
         self._sender.start()
 
@@ -132,9 +132,9 @@
             socket.curve_secretkey = self._keys.secret.encode()
         # A firewall or NAT device may drop the state of a connection, which then stays silent for
         # good while a new connection works. ZeroMQ detects it by missing pongs and reconnects.
-        socket.setsockopt(zmq.HEARTBEAT_IVL, PING_MS)
-        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENT_MS)
-        socket.setsockopt(zmq.HEARTBEAT_TTL, SILENT_MS)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, PING_INTERVAL_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, PING_TIMEOUT_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TTL, PING_TIMEOUT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL, 50)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
         socket.setsockopt(zmq.CONNECT_TIMEOUT, 1000)
@@ -142,12 +142,12 @@
         socket.setsockopt(zmq.LINGER, 0)
         return socket
 
-    def connected(self, address: str) -> zmq.Socket:
+    def sender_socket(self, address: str) -> zmq.Socket:
         """Return a sending socket that connects, and reconnects, to ``address``."""
         socket = self.socket(zmq.DEALER)
         if self._keys is not None:
             socket.curve_serverkey = self._keys.public.encode()
-        own_ip = self._listen.rpartition(":")[0]
+        own_ip = self._bind_address.rpartition(":")[0]
         same_family = own_ip.startswith("[") == address.startswith("[")
         socket.connect(f"tcp://{own_ip}:0;{address}" if same_family else f"tcp://{address}")
         return socket
@@ -156,7 +156,7 @@
         """Return a batch of ``messages`` with this process as the sender."""
         return Batch(self.process, self.incarnation, self.address, messages)
 
-    def dropped(self, peer: str, reason: str) -> None:
+    def report_dropped(self, peer: str, reason: str) -> None:
         """Count and log a message that could not be sent or decoded."""
         self._metrics.incr("inner.dropped")
         log(Event.INNER_DROPPED, peer=peer or "unknown", reason=reason)
@@ -172,16 +172,16 @@
 
     def _receive(self) -> None:
         while not self._stopping.is_set():
-            if not self._listening.poll(RECEIVE_POLL_MS):
+            if not self._listener.poll(RECEIVE_POLL_MS):
                 continue
-            frames = self._listening.recv_multipart()
+            frames = self._listener.recv_multipart()
             self.bytes_received += len(frames[-1])
             result = decode(frames[-1])
             if isinstance(result, Failure):
-                self.dropped("", result.failure().reason)
+                self.report_dropped("", result.failure().reason)
             else:
                 self.deliver(result.unwrap())
-        self._listening.close()
+        self._listener.close()
 
 
 class _Sender(threading.Thread):
@@ -197,12 +197,12 @@
         self._outbox: queue.SimpleQueue[tuple[str, Message] | None] = queue.SimpleQueue()
         self._sockets_by_address: dict[str, zmq.Socket] = {}
         self._used_at: dict[str, float] = {}
-        self._swept_at = time.monotonic()
+        self._idle_checked_at = time.monotonic()
 
     def put(self, address: str, message: Message) -> None:
         """Queue a message for the process at ``address``, or drop it if the outbox is full."""
-        if self._outbox.qsize() >= OUTBOX_MESSAGES:
-            self._node.dropped(address, "outbox full")
+        if self._outbox.qsize() >= MAX_OUTBOX_MESSAGES:
+            self._node.report_dropped(address, "outbox full")
         else:
             self._outbox.put((address, message))
 
@@ -214,18 +214,18 @@
         """Send messages until :meth:`finish` is called."""
         finished = False
         while not finished:
-            messages_by_address, finished = self._next()
+            messages_by_address, finished = self._next_messages()
             for address, messages in messages_by_address.items():
                 self._try_to_send(address, messages)
             self._close_idle(time.monotonic())
         for socket in self._sockets_by_address.values():
-            socket.close(linger=LAST_LINGER_MS)
+            socket.close(linger=CLOSE_LINGER_MS)
 
-    def _next(self) -> tuple[dict[str, list[Message]], bool]:
+    def _next_messages(self) -> tuple[dict[str, list[Message]], bool]:
         """Return the queued messages by address, and whether the thread is to stop after them."""
         messages_by_address: dict[str, list[Message]] = {}
-        wait_s = IDLE_PEER_S
-        for _ in range(BATCH_MESSAGES):
+        wait_s = IDLE_TIMEOUT_S
+        for _ in range(MAX_BATCH_MESSAGES):
             try:
                 entry = self._outbox.get(block=wait_s > 0, timeout=wait_s)
             except queue.Empty:
@@ -241,7 +241,7 @@
         try:
             self._send(address, messages)
         except Exception as error:  # one malformed address must not stop sending to other peers
-            self._node.dropped(address, repr(error))
+            self._node.report_dropped(address, repr(error))
 
     def _send(self, address: str, messages: list[Message]) -> None:
         batch = self._node.batch(tuple(messages))
@@ -255,19 +255,19 @@
             socket.send(data, zmq.NOBLOCK)
             self._node.bytes_sent += len(data)
         except zmq.Again:
-            self._node.dropped(address, "peer's send queue is full")
+            self._node.report_dropped(address, "peer's send queue is full")
 
     def _socket(self, address: str) -> zmq.Socket:
         socket = self._sockets_by_address.get(address)
         if socket is None:
-            socket = self._sockets_by_address[address] = self._node.connected(address)
+            socket = self._sockets_by_address[address] = self._node.sender_socket(address)
         return socket
 
     def _close_idle(self, now: float) -> None:
-        if now - self._swept_at < SWEEP_EVERY_S:
+        if now - self._idle_checked_at < IDLE_CHECK_INTERVAL_S:
             return
-        self._swept_at = now
+        self._idle_checked_at = now
         for address, used_at in list(self._used_at.items()):
-            if now - used_at > IDLE_PEER_S:
+            if now - used_at > IDLE_TIMEOUT_S:
                 del self._used_at[address]
-                self._sockets_by_address.pop(address).close(linger=LAST_LINGER_MS)
+                self._sockets_by_address.pop(address).close(linger=CLOSE_LINGER_MS)
--- a/tests/inner/test_codec.py
+++ b/tests/inner/test_codec.py
@@ -20,7 +20,7 @@
 
 
 class CodecTest(TestCase):
-    def test_what_is_encoded_is_decoded(self) -> None:
+    def test_decoding_restores_the_encoded_batch(self) -> None:
         for size_bytes in (0, 100_000):
             batch = a_batch(size_bytes)
             self.assertEqual(Success(batch), decode(encode(batch)))
@@ -28,7 +28,7 @@
     def test_long_batches_are_compressed(self) -> None:
         self.assertLess(len(encode(a_batch(100_000))), 5_000)
 
-    def test_a_batch_that_grows_beyond_all_bounds_is_refused(self) -> None:
+    def test_a_decompression_bomb_is_rejected(self) -> None:
         # A faulty peer sends a few kilobytes that decompress to gigabytes. Without a bound on the
         # output, the process would run out of memory and lose all its requests.
         bomb = b"\x01" + zlib.compress(bytes(4 * MAX_BATCH_BYTES), 9)
@@ -36,5 +36,5 @@
 
     @settings(derandomize=True, max_examples=500, database=None)
     @given(st.binary(max_size=200), st.sampled_from([b"", b"\x00", b"\x01", b"\x02"]))
-    def test_any_bytes_are_a_batch_or_a_fault(self, data: bytes, form: bytes) -> None:
-        self.assertIsInstance(decode(form + data), (Success, Failure))
+    def test_any_bytes_decode_to_a_batch_or_a_fault(self, data: bytes, prefix: bytes) -> None:
+        self.assertIsInstance(decode(prefix + data), (Success, Failure))
--- a/tests/inner/test_node.py
+++ b/tests/inner/test_node.py
@@ -22,89 +22,89 @@
         self.addCleanup(node.close, 0.1)
         return node
 
-    def heard_by(self, node: Node) -> "queue.Queue[Heartbeat]":
-        heard: queue.Queue[Heartbeat] = queue.Queue()
-        node.on(Heartbeat, lambda batch, message: heard.put(message))
-        return heard
+    def received_by(self, node: Node) -> "queue.Queue[Heartbeat]":
+        received: queue.Queue[Heartbeat] = queue.Queue()
+        node.on(Heartbeat, lambda batch, message: received.put(message))
+        return received
 
     def test_messages_arrive_in_order(self) -> None:
         keys = builders.inner_keys()
         one, two = self.a_node("one", keys), self.a_node("two", keys)
-        heard = self.heard_by(two)
+        received = self.received_by(two)
         for n in range(100):
             one.send(two.address, Heartbeat(builders.a_member(), Revision(n)))
         self.assertEqual(
-            list(range(100)), [heard.get(timeout=WAIT_S).complete_to for _ in range(100)]
+            list(range(100)), [received.get(timeout=WAIT_S).complete_to for _ in range(100)]
         )
 
-    def test_a_node_hears_itself(self) -> None:
+    def test_a_node_receives_its_own_messages(self) -> None:
         node = self.a_node("one", builders.inner_keys())
-        heard = self.heard_by(node)
+        received = self.received_by(node)
         node.send(node.address, Heartbeat(builders.a_member(), Revision(7)))
-        self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
+        self.assertEqual(7, received.get(timeout=WAIT_S).complete_to)
 
-    def test_a_stray_process_is_not_heard(self) -> None:
+    def test_a_process_with_other_keys_is_rejected(self) -> None:
         # A process of another system, or an attacker, sends a heartbeat to the inner address. If
         # it were accepted, that process could join, get grants or acknowledge a withdrawal. Its
         # key pair is not the system's, so its handshake must fail.
         keys = builders.inner_keys()
-        stray, friend = self.a_node("stray", builders.inner_keys()), self.a_node("two", keys)
+        outsider, peer = self.a_node("stray", builders.inner_keys()), self.a_node("two", keys)
         listener = self.a_node("one", keys)
-        heard = self.heard_by(listener)
-        stray_socket = stray.socket(zmq.DEALER)
-        stray_socket.curve_serverkey = keys.public.encode()
-        stray_socket.connect(f"tcp://{listener.address}")
+        received = self.received_by(listener)
+        outsider_socket = outsider.socket(zmq.DEALER)
+        outsider_socket.curve_serverkey = keys.public.encode()
+        outsider_socket.connect(f"tcp://{listener.address}")
         member = builders.a_member("stray")
-        stray_socket.send(encode(stray.batch((Heartbeat(member, Revision(1)),))))
-        friend.send(listener.address, Heartbeat(builders.a_member("friend"), Revision(2)))
-        self.assertEqual("friend", heard.get(timeout=WAIT_S).member.process)
-        self.assertRaises(queue.Empty, heard.get, timeout=0.5)
-        stray_socket.close(linger=0)
+        outsider_socket.send(encode(outsider.batch((Heartbeat(member, Revision(1)),))))
+        peer.send(listener.address, Heartbeat(builders.a_member("friend"), Revision(2)))
+        self.assertEqual("friend", received.get(timeout=WAIT_S).member.process)
+        self.assertRaises(queue.Empty, received.get, timeout=0.5)
+        outsider_socket.close(linger=0)
 
-    def test_peers_cost_no_task_each(self) -> None:
+    def test_peers_need_no_thread_each(self) -> None:
         """A thread per peer gave an entry host of a site of 97 hosts a hundred sender threads."""
         keys = builders.inner_keys()
         node = self.a_node("one", keys)
         peers = [self.a_node(f"peer-{n}", keys) for n in range(8)]
-        heard = [self.heard_by(peer) for peer in peers]
+        received = [self.received_by(peer) for peer in peers]
         before = threading.active_count()
         for peer in peers:
             node.send(peer.address, Heartbeat(builders.a_member(), Revision(1)))
-        for messages in heard:
+        for messages in received:
             messages.get(timeout=WAIT_S)
         self.assertLessEqual(threading.active_count(), before)
 
-    def test_a_peer_that_is_gone_holds_up_no_other(self) -> None:
+    def test_an_unreachable_peer_does_not_delay_others(self) -> None:
         """Messages to all hosts stopped while one of the hosts had no power."""
         keys = builders.inner_keys()
         node, peer = self.a_node("one", keys), self.a_node("two", keys)
-        heard = self.heard_by(peer)
-        gone = builders.an_address()
+        received = self.received_by(peer)
+        unreachable = builders.an_address()
         for n in range(3000):
-            node.send(gone, Heartbeat(builders.a_member(), Revision(n)))
+            node.send(unreachable, Heartbeat(builders.a_member(), Revision(n)))
         node.send(peer.address, Heartbeat(builders.a_member(), Revision(7)))
-        self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
+        self.assertEqual(7, received.get(timeout=WAIT_S).complete_to)
 
-    def test_an_odd_address_stops_no_other_message(self) -> None:
+    def test_a_malformed_address_does_not_stop_other_messages(self) -> None:
         """A record with a malformed address stopped all messages of a process, to all hosts."""
         keys = builders.inner_keys()
         node, peer = self.a_node("one", keys), self.a_node("two", keys)
-        heard = self.heard_by(peer)
-        for n, odd in enumerate(("no address", "10.0.0.1:port", "")):
-            node.send(odd, Heartbeat(builders.a_member(), Revision(n)))
+        received = self.received_by(peer)
+        for n, malformed in enumerate(("no address", "10.0.0.1:port", "")):
+            node.send(malformed, Heartbeat(builders.a_member(), Revision(n)))
         node.send(peer.address, Heartbeat(builders.a_member(), Revision(7)))
-        self.assertEqual(7, heard.get(timeout=WAIT_S).complete_to)
+        self.assertEqual(7, received.get(timeout=WAIT_S).complete_to)
 
     def test_an_idle_connection_is_closed_and_opened_again(self) -> None:
         """A process kept a connection open to every host that had ever been at its site."""
-        self.patch(_node, "IDLE_PEER_S", 0.01)
-        self.patch(_node, "SWEEP_EVERY_S", 0.0)
+        self.patch(_node, "IDLE_TIMEOUT_S", 0.01)
+        self.patch(_node, "IDLE_CHECK_INTERVAL_S", 0.0)
         keys = builders.inner_keys()
         node, peer = self.a_node("one", keys), self.a_node("two", keys)
-        heard = self.heard_by(peer)
+        received = self.received_by(peer)
         for n in range(3):
             node.send(peer.address, Heartbeat(builders.a_member(), Revision(n)))
-            self.assertEqual(n, heard.get(timeout=WAIT_S).complete_to)
+            self.assertEqual(n, received.get(timeout=WAIT_S).complete_to)
         self.assertTrue(eventually(lambda: not node._sender._sockets_by_address))
 
     def test_malformed_messages_are_dropped(self) -> None:
@@ -112,11 +112,11 @@
         # and continue; otherwise one faulty peer would stop the process from receiving anything.
         keys = builders.inner_keys()
         listener = self.a_node("one", keys)
-        heard = self.heard_by(listener)
-        broken = listener.connected(listener.address)
-        broken.send(b"\xc1 not a batch")
-        broken.send_multipart([b"", b"\x90", b"\xff" * 100])
-        friend = self.a_node("two", keys)
-        friend.send(listener.address, Heartbeat(builders.a_member(), Revision(3)))
-        self.assertEqual(3, heard.get(timeout=WAIT_S).complete_to)
-        broken.close(linger=0)
+        received = self.received_by(listener)
+        faulty = listener.sender_socket(listener.address)
+        faulty.send(b"\xc1 not a batch")
+        faulty.send_multipart([b"", b"\x90", b"\xff" * 100])
+        peer = self.a_node("two", keys)
+        peer.send(listener.address, Heartbeat(builders.a_member(), Revision(3)))
+        self.assertEqual(3, received.get(timeout=WAIT_S).complete_to)
+        faulty.close(linger=0)
