--- a/src/lentilrill/gossip/_health.py
+++ b/src/lentilrill/gossip/_health.py
@@ -5,23 +5,23 @@
 from lentilrill.inner import ZoneHealth
 from lentilrill.membership import ZoneNews
 
-__all__ = ["health", "news"]
+__all__ = ["zone_health", "zone_status"]
 
 
-def health(news: ZoneNews) -> ZoneHealth:
-    """Return the message for ``news``, with its age, since monotonic clocks are not comparable."""
+def zone_health(status: ZoneNews) -> ZoneHealth:
+    """Return the message for ``status``, with its age, since monotonic clocks differ."""
     return ZoneHealth(
-        news.zone,
-        round(time.monotonic() - news.at, 2),
-        tuple(sorted(news.suspects)),
-        news.complete_to,
-        tuple(sorted(news.drained)),
-        tuple(sorted(news.ejected)),
-        tuple(sorted(news.leaving)),
+        status.zone,
+        round(time.monotonic() - status.at, 2),
+        tuple(sorted(status.suspects)),
+        status.complete_to,
+        tuple(sorted(status.drained)),
+        tuple(sorted(status.ejected)),
+        tuple(sorted(status.leaving)),
     )
 
 
-def news(health: ZoneHealth) -> ZoneNews:
+def zone_status(health: ZoneHealth) -> ZoneNews:
     """Return the local form of a message received just now, timed by this process's clock."""
     return ZoneNews(
         health.zone,
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from lentilrill.gossip._exchange import StateExchange
-from lentilrill.gossip._health import health, news
-from lentilrill.gossip._ring import OtherZones
+from lentilrill.gossip._health import zone_health, zone_status
+from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Batch, Heartbeat, Leave, Node, ZoneHealth
 from lentilrill.membership import Member, Role, RosterView, ZoneNews
@@ -16,14 +16,14 @@
 
 __all__ = ["Heartbeats"]
 
-CHANGE_PAUSE_S = 0.1
-ANSWER_LASTS_S = 0.25
-PROBE_EVERY = 8
+MIN_INTERVAL_S = 0.1
+ANSWER_TTL_S = 0.25
+PROBE_EVERY_BEATS = 8
 """Every how many heartbeats a head sends to all members, including silent ones."""
-METRICS_EVERY = 4
+METRICS_EVERY_BEATS = 4
 FORGET_AFTER_S = 60.0
 LEAVE_REPEATS = 3
-LEAVE_PAUSE_S = 0.1
+LEAVE_INTERVAL_S = 0.1
 
 Trouble = tuple[frozenset[HostId], frozenset[HostId]]
 
@@ -68,17 +68,17 @@
         self._platform_ok = platform_ok
         self._trouble = trouble
         self._is_drained = is_drained
-        self._other_zones = OtherZones(roster, settings.zone, settings.seeds)
+        self._zone_ring = ZoneRing(roster, settings.zone, settings.seeds)
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="heartbeats", daemon=True)
         self._wake = threading.Event()
         mirror.subscribe(lambda items: self._wake.set())
         self._head_since: float | None = None
-        self._held_answer: tuple[float, Heartbeat] | None = None
+        self._cached_answer: tuple[float, Heartbeat] | None = None
         self._exchange = StateExchange(node, mirror)
         self._bytes_counted = (0, 0)
-        node.on(Heartbeat, self._heard)
-        node.on(Leave, self._left)
+        node.on(Heartbeat, self._on_heartbeat)
+        node.on(Leave, self._on_leave)
 
     def start(self) -> None:
         """Start sending heartbeats."""
@@ -102,24 +102,24 @@
         for _ in range(LEAVE_REPEATS):
             for address in self._zone_peers():
                 self._node.send(address, leave)
-            time.sleep(LEAVE_PAUSE_S)
+            time.sleep(LEAVE_INTERVAL_S)
 
     def _run(self) -> None:
         beat = 0
         while not self._stopping.is_set():
             self._roster.refresh()
             self._roster.forget(FORGET_AFTER_S)
-            self._tell_zone(beat)
-            self._tell(self._other_zones.peers(beat, self._zone_peers()))
-            if beat % METRICS_EVERY == 0:
+            self._send_to_zone(beat)
+            self._send_heartbeat(self._zone_ring.peers(beat, self._zone_peers()))
+            if beat % METRICS_EVERY_BEATS == 0:
                 self._count_bytes()
             beat += 1
             self._pause()
 
     def _pause(self) -> None:
         """Wait for the next heartbeat; a change of state shortens the wait, down to a minimum."""
-        if not self._stopping.wait(CHANGE_PAUSE_S):
-            self._wake.wait(max(0.0, self._settings.heartbeat_s - CHANGE_PAUSE_S))
+        if not self._stopping.wait(MIN_INTERVAL_S):
+            self._wake.wait(max(0.0, self._settings.heartbeat_s - MIN_INTERVAL_S))
         self._wake.clear()
 
     def _count_bytes(self) -> None:
@@ -128,29 +128,29 @@
         self._metrics.incr("inner.bytes_received", received - self._bytes_counted[1])
         self._bytes_counted = (sent, received)
 
-    def _tell_zone(self, beat: int) -> None:
+    def _send_to_zone(self, beat: int) -> None:
         heads = self._roster.heads()
         is_head = self._roster.me in heads
-        self._note_head(is_head)
+        self._update_head_since(is_head)
         others = [member for member in heads if member != self._roster.me]
         for member in others:
             self._roster.try_out(member)
         addresses = [member.inner for member in others]
-        settled = self._knows_zone if is_head else self._roster.word() is not None
+        settled = self._has_zone_view if is_head else self._roster.word() is not None
         # During a network partition two heads may each consider the other silent and remain
         # heads. They find each other afterwards only by sending to all members again.
-        if not settled or (is_head and beat % PROBE_EVERY == 0):
+        if not settled or (is_head and beat % PROBE_EVERY_BEATS == 0):
             addresses = self._zone_peers()
-        self._tell(addresses)
+        self._send_heartbeat(addresses)
 
-    def _tell(self, addresses: list[str]) -> None:
+    def _send_heartbeat(self, addresses: list[str]) -> None:
         if not addresses:
             return
         heartbeat = self._heartbeat()
         for address in addresses:
             self._node.send(address, heartbeat)
 
-    def _note_head(self, is_head: bool) -> None:
+    def _update_head_since(self, is_head: bool) -> None:
         now = time.monotonic()
         if not is_head:
             self._head_since = None
@@ -158,60 +158,64 @@
             self._head_since = now
 
     @property
-    def _knows_zone(self) -> bool:
+    def _has_zone_view(self) -> bool:
         """Whether this process is a head that has heard all members, or waited long enough."""
         since = self._head_since
         if since is None:
             return False
-        had_time = time.monotonic() - since > self._settings.suspect_after_s
-        return had_time or not self._roster.silent()
+        has_waited = time.monotonic() - since > self._settings.suspect_after_s
+        return has_waited or not self._roster.silent()
 
     def _heartbeat(self, answers: bool = False) -> Heartbeat:
-        told = self._health() if self._roster.me.role is Role.CONTROLLER else ()
+        reports = self._health() if self._roster.me.role is Role.CONTROLLER else ()
         return Heartbeat(
             self._roster.me,
             self._mirror.complete_to,
             answers,
             self._platform_ok(),
             self._is_drained(),
-            told,
+            reports,
         )
 
     def _answer(self) -> Heartbeat:
         """Return an answer, which is cached for a short time to serve several members."""
         now = time.monotonic()
-        held = self._held_answer
-        fresh = held is not None and now - held[0] < ANSWER_LASTS_S
-        if held is not None and fresh and held[1].complete_to == self._mirror.complete_to:
-            return held[1]
+        cached = self._cached_answer
+        fresh = cached is not None and now - cached[0] < ANSWER_TTL_S
+        if cached is not None and fresh and cached[1].complete_to == self._mirror.complete_to:
+            return cached[1]
         answer = self._heartbeat(answers=True)
-        self._held_answer = (now, answer)
+        self._cached_answer = (now, answer)
         return answer
 
     def _health(self) -> tuple[ZoneHealth, ...]:
-        others = [health(one) for one in self._roster.news()]
-        if self._knows_zone:
+        others = [zone_health(status) for status in self._roster.news()]
+        if self._has_zone_view:
             return (self._own_health(), *others)
-        word = self._roster.word()
-        return tuple(others) if word is None else (health(word), *others)
+        report = self._roster.word()
+        return tuple(others) if report is None else (zone_health(report), *others)
 
     def _own_health(self) -> ZoneHealth:
         zone = self._settings.zone
         suspects = frozenset(member.process for member in self._roster.silent())
-        heard = [
-            one
-            for one in self._roster.heard()
-            if one.member.zone == zone and one.member.process not in suspects and not one.left
+        alive = [
+            heartbeat
+            for heartbeat in self._roster.heard()
+            if heartbeat.member.zone == zone
+            and heartbeat.member.process not in suspects
+            and not heartbeat.left
         ]
-        least = min((one.complete_to for one in heard), default=self._mirror.complete_to)
+        lowest = min(
+            (heartbeat.complete_to for heartbeat in alive), default=self._mirror.complete_to
+        )
         ejected, leaving = self._trouble()
-        return health(
+        return zone_health(
             ZoneNews(
                 zone,
                 time.monotonic(),
                 suspects,
-                min(least, self._mirror.complete_to),
-                frozenset(one.member.process for one in heard if one.drained),
+                min(lowest, self._mirror.complete_to),
+                frozenset(heartbeat.member.process for heartbeat in alive if heartbeat.drained),
                 ejected,
                 leaving,
             )
@@ -224,15 +228,15 @@
         me = self._roster.me
         addresses = {member.inner for member in self._registered(me.zone)}
         addresses |= {
-            one.member.inner
-            for one in self._roster.heard()
-            if one.member.zone == me.zone and not one.left
+            heartbeat.member.inner
+            for heartbeat in self._roster.heard()
+            if heartbeat.member.zone == me.zone and not heartbeat.left
         }
         if len(addresses - {me.inner}) == 0:
             addresses |= set(self._settings.seeds)
         return sorted(addresses - {me.inner})
 
-    def _heard(self, batch: Batch, message: Heartbeat) -> None:
+    def _on_heartbeat(self, batch: Batch, message: Heartbeat) -> None:
         member = message.member
         last = self._roster.last_heard(member)
         if not self._roster.hear(member, message.complete_to, message.platform, message.drained):
@@ -240,28 +244,28 @@
             return
         if last is None:
             log(Event.MEMBER_ALIVE, peer=member.process, incarnation=member.incarnation)
-        if not message.answers and (last is None or self._is_to_answer(member)):
+        if not message.answers and (last is None or self._should_answer(member)):
             self._node.send(member.inner, self._answer())
-        self._hear_zones(member, message.health)
+        self._record_zone_health(member, message.health)
         if message.complete_to > self._mirror.complete_to:
-            self._exchange.pull(batch.reply_to)
+            self._exchange.request_missing(batch.reply_to)
         elif last is not None and message.complete_to > last.complete_to:
             self._wake.set()  # operators of other zones wait until the change is reported here
 
-    def _is_to_answer(self, member: Member) -> bool:
+    def _should_answer(self, member: Member) -> bool:
         """Return whether to answer the member; two heads send to each other anyway."""
         heads = self._roster.heads()
         both_heads = member in heads and self._roster.me in heads
         return member.zone == self._settings.zone and not both_heads
 
-    def _hear_zones(self, teller: Member, told: tuple[ZoneHealth, ...]) -> None:
-        heard = [news(one) for one in told]
-        self._roster.hear_zones(heard)
-        for one in heard:
-            if one.zone == self._settings.zone == teller.zone:
-                self._roster.hear_word(teller.process, one)
+    def _record_zone_health(self, sender: Member, reports: tuple[ZoneHealth, ...]) -> None:
+        statuses = [zone_status(report) for report in reports]
+        self._roster.hear_zones(statuses)
+        for status in statuses:
+            if status.zone == self._settings.zone == sender.zone:
+                self._roster.hear_word(sender.process, status)
 
-    def _left(self, batch: Batch, message: Leave) -> None:
+    def _on_leave(self, batch: Batch, message: Leave) -> None:
         del batch
         self._roster.hear_leave(message.member)
         log(Event.MEMBER_GONE, peer=message.member.process, proof="left")
--- a/src/lentilrill/gossip/_recorder.py
+++ b/src/lentilrill/gossip/_recorder.py
@@ -21,28 +21,28 @@
 
 __all__ = ["ZoneRecorder", "next_record"]
 
-ROUND_S = 1.0
+INTERVAL_S = 1.0
 HOST_LIST_EVERY_S = 2.0
-AMBIGUOUS_PAUSE_S = 1.0
+CONFLICT_PAUSE_S = 1.0
 
 ZonesById = Callable[[], dict[ZoneId, tuple[ZoneRecord, Revision]]]
 
 
 def next_record(
-    record: ZoneRecord, heard: tuple[Member, ...], is_gone: Callable[[Member], bool]
+    record: ZoneRecord, alive: tuple[Member, ...], is_gone: Callable[[Member], bool]
 ) -> ZoneRecord:
     """Return the record with new members added and members removed that have provably ended.
 
     A registered member that is merely silent stays: it may be paused between a check and a send.
 
-    :param heard: living members of the zone.
+    :param alive: living members of the zone.
     :param is_gone: returns whether an incarnation has provably ended.
     """
     members = [member for member in record.members if not is_gone(member)]
-    held_by_process = {member.process: member for member in members}
-    for member in heard:
-        held = held_by_process.get(member.process)
-        if held is None and not is_gone(member):
+    recorded_by_process = {member.process: member for member in members}
+    for member in alive:
+        recorded = recorded_by_process.get(member.process)
+        if recorded is None and not is_gone(member):
             members.append(member)
     members.sort(key=lambda member: member.process)
     return ZoneRecord(record.zone, tuple(members))
@@ -91,33 +91,34 @@
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._stopping.wait(ROUND_S):
+        while not self._stopping.wait(INTERVAL_S):
             try:
-                self.round()
+                self.run_once()
             except Exception as error:  # a failed round must not stop the task
                 log(Event.TASK_FAILED, task="zone-recorder", error=repr(error))
 
-    def round(self) -> None:
+    def run_once(self) -> None:
         """Check the zone's members once, and write the record if it has to change."""
         me = self._roster.me
         if self._roster.heads()[:1] != (me,):
             return
         record, revision = self._zones_by_id().get(me.zone, (ZoneRecord(me.zone), Revision(0)))
-        self._note_silence(record)
-        fresh = next_record(record, self._heard(), self._is_gone)
-        if fresh != record:
-            self._write(fresh, revision)
+        self._update_silence(record)
+        updated = next_record(record, self._alive_members(), self._is_gone)
+        if updated != record:
+            self._write(updated, revision)
 
-    def _heard(self) -> tuple[Member, ...]:
+    def _alive_members(self) -> tuple[Member, ...]:
         me = self._roster.me
-        heard = [
-            one.member
-            for one in self._roster.heard()
-            if one.member.zone == me.zone and self._roster.liveness(one.member) is Liveness.ALIVE
+        alive = [
+            heartbeat.member
+            for heartbeat in self._roster.heard()
+            if heartbeat.member.zone == me.zone
+            and self._roster.liveness(heartbeat.member) is Liveness.ALIVE
         ]
-        return (*heard, me)
+        return (*alive, me)
 
-    def _note_silence(self, record: ZoneRecord) -> None:
+    def _update_silence(self, record: ZoneRecord) -> None:
         now = time.time()
         silent = {
             member for member in record.members if self._roster.liveness(member) is Liveness.SUSPECT
@@ -151,7 +152,7 @@
         if isinstance(result, Failure):
             if result.failure().kind is FaultKind.AMBIGUOUS:
                 # The write may have taken effect; the watch delivers it before the next attempt.
-                self._stopping.wait(AMBIGUOUS_PAUSE_S)
+                self._stopping.wait(CONFLICT_PAUSE_S)
             return
         answer = result.unwrap()
         if answer.succeeded:
@@ -164,4 +165,4 @@
             )
         else:
             self._metrics.incr("membership.record_conflicts")
-            self._stopping.wait(AMBIGUOUS_PAUSE_S)
+            self._stopping.wait(CONFLICT_PAUSE_S)
--- a/src/lentilrill/gossip/_ring.py
+++ b/src/lentilrill/gossip/_ring.py
@@ -7,17 +7,17 @@
 from lentilrill.ids import ZoneId
 from lentilrill.membership import Role, RosterView
 
-__all__ = ["OtherZones"]
+__all__ = ["ZoneRing"]
 
-FEW_PEERS = 2
+MIN_PEERS = 2
 """With fewer peers, a random controller is added at every heartbeat."""
-STRANGER_EVERY = 5
+RANDOM_PEER_EVERY_BEATS = 5
 """Every how many heartbeats a head also sends to a random controller of another zone."""
-SECOND_HEAD_EVERY = 4
+SECOND_HEAD_EVERY_BEATS = 4
 """Every how many heartbeats the second head sends to other zones."""
 
 
-class OtherZones:
+class ZoneRing:
     """Ring of the first heads of all zones, in the order of the zones' names.
 
     A status reaches all zones within about twice the square root of the number of zones
@@ -43,17 +43,17 @@
         :param zone_peers: addresses of members of this process's own zone.
         """
         heads = self._roster.heads()
-        is_second = self._roster.me in heads[1:] and beat % SECOND_HEAD_EVERY == 0
+        is_second = self._roster.me in heads[1:] and beat % SECOND_HEAD_EVERY_BEATS == 0
         if self._roster.me not in heads[:1] and not is_second:
             return []
-        chosen = self._ring()
+        chosen = self._ring_peers()
         # All members of a silent zone are suspect. Sending to its seeds and registered members
         # nevertheless lets two zones reconnect after a network partition.
-        if len(chosen) < FEW_PEERS or beat % STRANGER_EVERY == 0:
-            chosen |= self._stranger(zone_peers)
+        if len(chosen) < MIN_PEERS or beat % RANDOM_PEER_EVERY_BEATS == 0:
+            chosen |= self._random_controller(zone_peers)
         return sorted(chosen)
 
-    def _ring(self) -> set[str]:
+    def _ring_peers(self) -> set[str]:
         heads_by_zone = self._roster.other_heads()
         zones = sorted({self._zone, *heads_by_zone})
         steps = {1, max(2, round(math.sqrt(len(zones))))}
@@ -61,13 +61,13 @@
         chosen = {zones[(own + step) % len(zones)] for step in steps}
         return {heads_by_zone[zone].inner for zone in chosen if zone != self._zone}
 
-    def _stranger(self, zone_peers: Collection[str]) -> set[str]:
+    def _random_controller(self, zone_peers: Collection[str]) -> set[str]:
         """Return a random controller of another zone, whether it is alive or not."""
-        known = set(self._seeds) | {
+        candidates = set(self._seeds) | {
             member.inner
             for zone in self._roster.zones()
             for member in self._roster.registered_in(zone)
             if member.role is Role.CONTROLLER
         }
-        known -= {self._roster.me.inner, *zone_peers}
-        return {self._random.choice(sorted(known))} if known else set()
+        candidates -= {self._roster.me.inner, *zone_peers}
+        return {self._random.choice(sorted(candidates))} if candidates else set()
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -14,8 +14,8 @@
 __all__ = ["STATE", "Watcher"]
 
 STATE = "state/"
-RETRY_S = 0.5
-CHECK_S = 2.0
+RETRY_INTERVAL_S = 0.5
+CHECK_INTERVAL_S = 2.0
 """Interval at which the watch is compared with the store's newest change, and at which a
 controller without a watch checks whether the platform is reachable."""
 
@@ -40,7 +40,7 @@
         self._lock = threading.Lock()
         self._stream: WatchStream | None = None
         self._thread = threading.Thread(target=self._run, name="watcher", daemon=True)
-        self._checker = threading.Thread(target=self._check, name="watch-check", daemon=True)
+        self._checker = threading.Thread(target=self._check_watch, name="watch-check", daemon=True)
 
     @property
     def platform_ok(self) -> bool:
@@ -62,35 +62,37 @@
     def publish(self, items: tuple[Item, ...]) -> None:
         """Apply this process's own committed writes, and send them to the zone at once."""
         if self._mirror.offer(items):
-            self._tell(items, self._mirror.complete_to, self._mirror.complete_to)
+            self._send_to_zone(items, self._mirror.complete_to, self._mirror.complete_to)
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            if not self._is_chosen():
-                self._stopping.wait(RETRY_S)
+            if not self._should_watch():
+                self._stopping.wait(RETRY_INTERVAL_S)
                 continue
             fault = self._read_all() or self._watch()
             if fault is not None and not self._stopping.is_set():
                 self._metrics.incr("platform.watch_ended")
-                self._stopping.wait(RETRY_S)
+                self._stopping.wait(RETRY_INTERVAL_S)
 
-    def _is_chosen(self) -> bool:
+    def _should_watch(self) -> bool:
         me = self._roster.me
-        reaching = {heard.member for heard in self._roster.heard() if heard.platform}
-        able = [head for head in self._roster.heads() if head == me or head in reaching]
-        return not able or able[0] == me
+        with_platform = {
+            heartbeat.member for heartbeat in self._roster.heard() if heartbeat.platform
+        }
+        candidates = [head for head in self._roster.heads() if head == me or head in with_platform]
+        return not candidates or candidates[0] == me
 
     def _read_all(self) -> Fault | None:
         result = self._kv.read(STATE)
         if isinstance(result, Failure):
-            self._reached(result.failure())
+            self._record_result(result.failure())
             return result.failure()
-        self._reached(None)
+        self._record_result(None)
         answer = result.unwrap()
         before = self._mirror.complete_to
         if self._mirror.replace(answer.items, answer.revision):
             items, complete_to = self._mirror.after(before)
-            self._tell(items, before, complete_to)
+            self._send_to_zone(items, before, complete_to)
         return None
 
     def _watch(self) -> Fault | None:
@@ -103,11 +105,11 @@
                 return None
             for result in stream:
                 if isinstance(result, Failure):
-                    self._reached(result.failure())
+                    self._record_result(result.failure())
                     return result.failure()
-                self._reached(None)
-                self._take(result.unwrap())
-                if self._stopping.is_set() or not self._is_chosen():
+                self._record_result(None)
+                self._apply(result.unwrap())
+                if self._stopping.is_set() or not self._should_watch():
                     return None
         finally:
             self._end_stream()
@@ -119,7 +121,7 @@
         if stream is not None:
             stream.close()
 
-    def _take(self, batch: WatchBatch) -> None:
+    def _apply(self, batch: WatchBatch) -> None:
         before = self._mirror.complete_to
         # The batch's revision may be ahead of events still to come, so the items' is used.
         newest = max((item.revision for item in batch.items), default=before)
@@ -127,31 +129,33 @@
         # nothing is missing up to it. Without this message, peers would learn that only from the
         # next heartbeat.
         if self._mirror.offer(batch.items, newest) or newest > before:
-            self._tell(batch.items, before, newest)
+            self._send_to_zone(batch.items, before, newest)
 
-    def _tell(self, items: tuple[Item, ...], after: Revision, complete_to: Revision) -> None:
+    def _send_to_zone(
+        self, items: tuple[Item, ...], after: Revision, complete_to: Revision
+    ) -> None:
         me = self._roster.me
         message = StateItems(items, after, complete_to)
         for member in self._roster.registered_in(me.zone):
             if member != me:
                 self._node.send(member.inner, message)
 
-    def _check(self) -> None:
+    def _check_watch(self) -> None:
         """Detect a watch that stays silent although its connection is open, and restart it.
 
         If the store's newest change is later than the mirror's in two successive checks, the
         watch has missed it. The check costs one cheap read every few seconds.
         """
         behind = Revision(0)
-        while not self._stopping.wait(CHECK_S):
-            if not self._is_chosen() and self._reachable:
+        while not self._stopping.wait(CHECK_INTERVAL_S):
+            if not self._should_watch() and self._reachable:
                 continue
             result = self._kv.newest(STATE, Priority.LATER)
             if isinstance(result, Failure):
                 if result.failure().kind is not FaultKind.EXHAUSTED:
-                    self._reached(result.failure())
+                    self._record_result(result.failure())
                 continue
-            self._reached(None)
+            self._record_result(None)
             newest = result.unwrap()
             if newest > self._mirror.complete_to and behind > 0:
                 log(Event.WATCH_SILENT, newest=newest, complete_to=self._mirror.complete_to)
@@ -160,5 +164,5 @@
             else:
                 behind = newest if newest > self._mirror.complete_to else Revision(0)
 
-    def _reached(self, fault: Fault | None) -> None:
+    def _record_result(self, fault: Fault | None) -> None:
         self._reachable = fault is None
--- a/tests/gossip/test_heartbeats.py
+++ b/tests/gossip/test_heartbeats.py
@@ -63,9 +63,9 @@
         self.node.start()
         self.heartbeats.start()
 
-    def until(self, holds) -> bool:
+    def until(self, condition) -> bool:
         for _ in range(int(WAIT_S / 0.05)):
-            if holds():
+            if condition():
                 return True
             self.changed.wait(0.05)
             self.changed.clear()
@@ -85,7 +85,7 @@
         self.addCleanup(peer.close)
         return peer
 
-    def test_a_restarted_process_learns_from_its_peers_in_an_outage(self) -> None:
+    def test_a_restarted_process_gets_state_from_its_peers_in_an_outage(self) -> None:
         # The platform is down and an entry host is replaced. Its new process has no state and
         # can't read the platform. Without its peers it could serve nothing, or only by an
         # old document.
@@ -103,18 +103,18 @@
         here.mirror.replace((Item(DOCUMENT_KEY, b"{}", Revision(5)),), Revision(7))
         self.assertTrue(there.until(lambda: there.view.document_revision == 5))
 
-    def test_state_with_a_hole_before_it_is_not_taken_as_whole(self) -> None:
+    def test_state_after_a_gap_does_not_advance_complete_to(self) -> None:
         # A peer sends two changes and the first message is lost. If the second message advanced
         # complete_to, this process would never request the first change.
         keys = builders.inner_keys()
         peer = self.a_peer("ct-1", keys)
-        teller = self.a_peer("ct-2", keys)
-        late = Item("state/pools/b", b"{}", Revision(9))
-        teller.node.send(peer.address, StateItems((late,), Revision(8), Revision(9)))
+        sender = self.a_peer("ct-2", keys)
+        item = Item("state/pools/b", b"{}", Revision(9))
+        sender.node.send(peer.address, StateItems((item,), Revision(8), Revision(9)))
         self.assertTrue(peer.until(lambda: peer.mirror.get("state/pools/b") is not None))
         self.assertEqual(0, peer.mirror.complete_to)
 
-    def test_a_clean_leave_is_heard_at_once(self) -> None:
+    def test_a_clean_leave_is_recorded_at_once(self) -> None:
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         leaves = Peer("ct-2", keys, seeds=(stays.address,))
@@ -122,7 +122,7 @@
         leaves.close()
         self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.GONE))
 
-    def test_a_process_that_gave_up_on_its_jobs_does_not_leave(self) -> None:
+    def test_a_process_that_abandons_jobs_does_not_send_leave(self) -> None:
         # A gateway is stopped, and a long job still runs when its drain time ends. If it sent
         # Leave, a planned stop of the job's host would be granted at once and abort the job.
         keys = builders.inner_keys()
@@ -133,7 +133,7 @@
         ends.node.close(0.1)
         self.assertTrue(stays.until(lambda: stays.roster.liveness(ends.member) is Liveness.SUSPECT))
 
-    def test_gateways_hear_of_each_other_through_heads(self) -> None:
+    def test_gateways_detect_each_other_through_heads(self) -> None:
         keys = builders.inner_keys()
         heads = [self.a_peer("ct-1", keys)]
         heads.append(self.a_peer("ct-2", keys, seeds=(heads[0].address,)))
@@ -144,7 +144,7 @@
         self.assertTrue(one.until(lambda: two.member in one.roster.alive(Role.GATEWAY)))
         self.assertTrue(one.until(lambda: one.roster.word() is not None))
 
-    def test_gateways_find_each_other_without_any_head(self) -> None:
+    def test_gateways_detect_each_other_without_any_head(self) -> None:
         # A faulty release crashes every controller of a zone. The gateways must still detect each
         # other; otherwise each would schedule every pool and all slots would be granted several
         # times.
--- a/tests/gossip/test_recorder.py
+++ b/tests/gossip/test_recorder.py
@@ -91,39 +91,39 @@
     def members(self) -> tuple[str, ...]:
         return tuple(member.process for member in self.zones[ZONE][0].members)
 
-    def round(self) -> Callable[[], tuple[str, ...]]:
+    def run_once(self) -> Callable[[], tuple[str, ...]]:
         self.roster.refresh()
-        self.recorder.round()
+        self.recorder.run_once()
         return self.members
 
     def test_newcomers_are_recorded(self) -> None:
         self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
 
     def test_nothing_is_written_without_a_change(self) -> None:
-        self.round()
-        self.round()
+        self.run_once()
+        self.run_once()
         self.assertEqual(1, self.store.revision)
 
     def test_an_outage_changes_nothing(self) -> None:
-        self.round()
+        self.run_once()
         self.store.fault = Fault("platform.txn", "p", FaultKind.UNAVAILABLE, "down")
         self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
-        self.assertEqual(("ct-me",), self.round()())
+        self.assertEqual(("ct-me",), self.run_once()())
 
-    def test_a_silent_member_leaves_by_a_fresh_host_list_only(self) -> None:
+    def test_a_silent_member_is_removed_only_by_a_recent_host_list(self) -> None:
         # An entry host's processes fall silent. The last host list is older than that, and lacks
         # the host only because the list lagged when the host started. Only a list that is newer
         # than the start of the silence by more than its lag proves that the host has ended.
         peer = builders.a_member("gw-1", entry_host=EntryHostId("entry-1"))
         self.zones[ZONE] = (ZoneRecord(ZONE, (self.me, peer)), Revision(1))
         self.hosts.listing = HostListing((), 1.0)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         since = self.recorder._silent_since[peer]
         self.recorder._listing = HostListing((), since + LAG_S - 1)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         listed = HostInfo(HostId("entry-1"), "", ZONE, RackId("r"), HostKind.ENTRY)
         self.recorder._listing = HostListing((listed,), since + LAG_S + 1)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         self.recorder._listing = HostListing((), since + LAG_S + 1)
-        self.assertEqual(("ct-me",), self.round()())
+        self.assertEqual(("ct-me",), self.run_once()())
--- a/tests/gossip/test_ring.py
+++ b/tests/gossip/test_ring.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from lentilrill.gossip._ring import OtherZones
+from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import Revision, ZoneId
 from lentilrill.membership import Member, Role, RosterView, ZoneNews, ZoneRecord
 from tests import builders
@@ -23,29 +23,29 @@
         self.members = [controller(zone) for zone in range(ZONES)]
         self.records = {m.zone: (ZoneRecord(m.zone, (m,)), Revision(1)) for m in self.members}
 
-    def zones_of(self, me: Member, hears: bool = True) -> OtherZones:
+    def ring_of(self, me: Member, has_statuses: bool = True) -> ZoneRing:
         roster = RosterView(me, lambda: self.records, 2.0, 5.0, lambda: 0.0)
-        if hears:
+        if has_statuses:
             roster.hear_zones(ZoneNews(m.zone, 0.0, frozenset(), Revision(1)) for m in self.members)
         roster.refresh()
-        return OtherZones(roster, me.zone, ())
+        return ZoneRing(roster, me.zone, ())
 
-    def test_news_of_every_zone_is_everywhere_in_a_few_beats(self) -> None:
-        peers = {m.inner: self.zones_of(m).peers(1, ()) for m in self.members}
-        self.assertEqual({2}, {len(told) for told in peers.values()})
+    def test_every_status_reaches_all_zones_in_a_few_heartbeats(self) -> None:
+        peers = {m.inner: self.ring_of(m).peers(1, ()) for m in self.members}
+        self.assertEqual({2}, {len(sent_to) for sent_to in peers.values()})
         for member in self.members:
-            knowing = {member.inner}
+            informed = {member.inner}
             for _ in range(4):
-                knowing |= {told for teller in knowing for told in peers[teller]}
-            self.assertEqual(ZONES, len(knowing))
+                informed |= {sent_to for sender in informed for sent_to in peers[sender]}
+            self.assertEqual(ZONES, len(informed))
 
-    def test_a_zone_that_hears_nobody_still_tries(self) -> None:
+    def test_an_isolated_zone_keeps_sending_to_other_zones(self) -> None:
         # A network partition separates a zone from all others, and each side considers the other
         # silent. Afterwards one side has to send first, or they stay separated for good.
-        alone = self.zones_of(self.members[0], hears=False)
-        tried = {address for beat in range(100) for address in alone.peers(beat, ())}
+        isolated = self.ring_of(self.members[0], has_statuses=False)
+        tried = {address for beat in range(100) for address in isolated.peers(beat, ())}
         self.assertEqual({m.inner for m in self.members[1:]}, tried)
 
-    def test_a_member_that_is_no_head_tells_nobody(self) -> None:
+    def test_a_member_that_is_not_a_head_sends_to_no_other_zone(self) -> None:
         gateway = builders.a_member("gw", zone=self.members[0].zone)
-        self.assertEqual([], self.zones_of(gateway).peers(0, ()))
+        self.assertEqual([], self.ring_of(gateway).peers(0, ()))
--- a/tests/gossip/test_watcher.py
+++ b/tests/gossip/test_watcher.py
@@ -27,7 +27,7 @@
         self.closed = True
 
 
-class StoppedMeanwhile:
+class ClosingKeyValue:
     """A key-value service that opens a watch while the watcher is being closed."""
 
     def __init__(self) -> None:
@@ -41,13 +41,13 @@
 
 
 class WatcherTest(TestCase):
-    def test_a_watch_opened_at_the_end_is_not_waited_for(self) -> None:
+    def test_a_watch_opened_during_close_is_closed(self) -> None:
         # A controller hangs on shutdown. close() runs while the watch is being opened, finds no
         # stream to close, and the watcher's thread then waits on the new stream forever.
         me = builders.a_member("ct-1", role=Role.CONTROLLER)
         roster = RosterView(me, dict, 2.0, 5.0)
-        service = StoppedMeanwhile()
-        service.watcher = Watcher(service, Mirror(), roster, FakeNode(), NoMetrics())
-        service.watcher._watch()
-        self.assertFalse(service.stream.read)
-        self.assertTrue(service.stream.closed)
+        kv = ClosingKeyValue()
+        kv.watcher = Watcher(kv, Mirror(), roster, FakeNode(), NoMetrics())
+        kv.watcher._watch()
+        self.assertFalse(kv.stream.read)
+        self.assertTrue(kv.stream.closed)
