--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -9,7 +9,7 @@
 from lentilrill.ids import Incarnation, Revision
 from lentilrill.inner import Node
 from lentilrill.jobs import ClaimClient, ClaimOwner
-from lentilrill.membership import Member, Role, RosterView, drains
+from lentilrill.membership import Member, MembershipTracker, Role, should_drain
 from lentilrill.operators import OperatorServer
 from lentilrill.routing import Routing
 from lentilrill.settings import ControllerSettings, GatewaySettings, ProcessSettings
@@ -50,7 +50,7 @@
         self.view = FleetView(self.mirror)
         self.view.subscribe(self._note_document)
         self._noted = Revision(0)
-        self.roster = RosterView(
+        self.membership = MembershipTracker(
             self.member,
             lambda: self.view.zones_by_id,
             settings.suspect_after_s,
@@ -74,17 +74,17 @@
             settings,
             common.node,
             common.mirror,
-            common.roster,
+            common.membership,
             common.metrics,
             is_drained=lambda: self._server.drained,
         )
-        self._routing = Routing(common.node, common.view, common.roster, metrics=common.metrics)
+        self._routing = Routing(common.node, common.view, common.membership, metrics=common.metrics)
         self._claims = ClaimClient(
-            common.node, common.roster, settings.claim_shards, settings.claim_retention_s
+            common.node, common.membership, settings.claim_shards, settings.claim_retention_s
         )
         self._claim_owner = ClaimOwner(
             common.node,
-            common.roster,
+            common.membership,
             EtcdKeyValue(settings.platform, common.metrics),
             common.metrics,
             settings.claim_shards,
@@ -98,9 +98,9 @@
             self._claims,
             common.metrics,
             lambda: self._routing.ledger.may_send,
-            is_to_stop=lambda: drains(
+            is_to_stop=lambda: should_drain(
                 common.member,
-                common.roster.alive(Role.GATEWAY, settings.zone),
+                common.membership.alive(Role.GATEWAY, settings.zone),
                 {host for stop in common.view.document.stops for host in stop.hosts},
             ),
         )
@@ -134,12 +134,12 @@
         kv = EtcdKeyValue(settings.platform, common.metrics, budget=budget)
         hosts = HttpHostList(settings.platform, common.metrics, budget=budget)
         self._node = common.node
-        self._watcher = Watcher(kv, common.mirror, common.roster, common.node, common.metrics)
+        self._watcher = Watcher(kv, common.mirror, common.membership, common.node, common.metrics)
         self._heartbeats = Heartbeats(
             settings,
             common.node,
             common.mirror,
-            common.roster,
+            common.membership,
             common.metrics,
             lambda: self._watcher.platform_ok,
             lambda: self._fleet.zone_trouble(time.time()),
@@ -147,7 +147,7 @@
         self._recorder = ZoneRecorder(
             kv,
             hosts,
-            common.roster,
+            common.membership,
             lambda: common.view.zones_by_id,
             self._watcher.publish,
             settings.host_list_lag_s,
@@ -157,7 +157,7 @@
             kv,
             hosts,
             common.view,
-            common.roster,
+            common.membership,
             settings,
             common.node,
             common.metrics,
@@ -167,7 +167,7 @@
             kv,
             common.view,
             lambda: status(
-                common.roster, common.view, self._fleet_report(), self._watcher.platform_ok
+                common.membership, common.view, self._fleet_report(), self._watcher.platform_ok
             ),
             common.metrics,
             hosts,
--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -5,7 +5,7 @@
 from lentilrill._stop_status import stop_status
 from lentilrill.fleet import FleetReport, FleetView, HostPhase, PoolReport, StopReport
 from lentilrill.ids import HostId, ProcessId, Revision
-from lentilrill.membership import Member, Role, RosterView, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews
 from lentilrill.operators import (
     MemberStatus,
     PoolStatus,
@@ -18,20 +18,20 @@
 
 
 def status(
-    roster: RosterView, view: FleetView, report: FleetReport, platform_reachable: bool
+    membership: MembershipTracker, view: FleetView, report: FleetReport, platform_reachable: bool
 ) -> Status:
     """Return the status of the whole system in this controller's view."""
-    entry_hosts = _entry_hosts(roster)
+    entry_hosts = _entry_hosts(membership)
     document = view.document
     declared = {stop.id for stop in document.stops}
     # The report may be older than the document; stops that were removed since are not shown.
     reports_by_stop = {stop.stop: stop for stop in report.stops if stop.stop in declared}
     return Status(
-        process=roster.me.process,
-        zone=roster.me.zone,
+        process=membership.me.process,
+        zone=membership.me.zone,
         document_revision=view.document_revision,
         platform_reachable=platform_reachable,
-        members=_members(roster, view),
+        members=_members(membership, view),
         pools=_pools(report, view),
         stops=tuple(
             stop_status(
@@ -43,13 +43,13 @@
     )
 
 
-def _members(roster: RosterView, view: FleetView) -> tuple[MemberStatus, ...]:
+def _members(membership: MembershipTracker, view: FleetView) -> tuple[MemberStatus, ...]:
     by_process: dict[ProcessId, Member] = {}
-    for zone in roster.zones():
-        by_process |= {member.process: member for member in roster.registered_in(zone)}
-    by_process |= {heard.member.process: heard.member for heard in roster.heard()}
-    by_process[roster.me.process] = roster.me
-    complete_to = _complete_to_by_process(roster, view)
+    for zone in membership.zones():
+        by_process |= {member.process: member for member in membership.registered_in(zone)}
+    by_process |= {heard.member.process: heard.member for heard in membership.heard()}
+    by_process[membership.me.process] = membership.me
+    complete_to = _complete_to_by_process(membership, view)
     return tuple(
         MemberStatus(
             process,
@@ -57,14 +57,16 @@
             member.role,
             member.zone,
             member.entry_host,
-            roster.liveness(member),
+            membership.liveness(member),
             complete_to.get(process, Revision(0)),
         )
         for process, member in sorted(by_process.items())
     )
 
 
-def _complete_to_by_process(roster: RosterView, view: FleetView) -> dict[ProcessId, Revision]:
+def _complete_to_by_process(
+    membership: MembershipTracker, view: FleetView
+) -> dict[ProcessId, Revision]:
     """Return the revision to which each process's mirror is known to be complete.
 
     For members of another zone it is the lowest revision that the zone's controllers report. That
@@ -74,20 +76,20 @@
     """
     found = {
         member.process: news.complete_to
-        for news in (*roster.news(), *_own_word(roster))
-        for member in roster.registered_in(news.zone)
+        for news in (*membership.news(), *_own_word(membership))
+        for member in membership.registered_in(news.zone)
         if member.process not in news.suspects
     }
     found |= {
         heard.member.process: heard.complete_to
-        for heard in roster.heard()
-        if heard.member.zone == roster.me.zone
+        for heard in membership.heard()
+        if heard.member.zone == membership.me.zone
     }
-    return found | {roster.me.process: view.mirror.complete_to}
+    return found | {membership.me.process: view.mirror.complete_to}
 
 
-def _own_word(roster: RosterView) -> tuple[ZoneNews, ...]:
-    word = roster.word()
+def _own_word(membership: MembershipTracker) -> tuple[ZoneNews, ...]:
+    word = membership.word()
     return () if word is None else (word,)
 
 
@@ -128,17 +130,17 @@
     )
 
 
-def _entry_hosts(roster: RosterView) -> dict[HostId, bool]:
+def _entry_hosts(membership: MembershipTracker) -> dict[HostId, bool]:
     """Return the entry hosts that run gateways, and whether all gateways of each are drained.
 
     Gateways that are gone are not registered any more, and need not be drained.
     """
-    drained = {one.member.process for one in roster.heard() if one.drained}
-    news = (*roster.news(), *_own_word(roster))
+    drained = {one.member.process for one in membership.heard() if one.drained}
+    news = (*membership.news(), *_own_word(membership))
     drained |= {process for one in news for process in one.drained}
     found: dict[HostId, bool] = {}
-    for zone in roster.zones():
-        for member in roster.registered_in(zone):
+    for zone in membership.zones():
+        for member in membership.registered_in(zone):
             if member.role is Role.GATEWAY:
                 host = HostId(member.entry_host)
                 found[host] = found.get(host, True) and member.process in drained
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -9,7 +9,7 @@
 from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Batch, Heartbeat, Leave, Node, ZoneHealth
-from lentilrill.membership import Member, Role, RosterView, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews
 from lentilrill.settings import ProcessSettings
 from lentilrill.store import Mirror
 from lentilrill.telemetry import Event, Metrics, log
@@ -54,7 +54,7 @@
         settings: ProcessSettings,
         node: Node,
         mirror: Mirror,
-        roster: RosterView,
+        membership: MembershipTracker,
         metrics: Metrics,
         platform_ok: Callable[[], bool] = lambda: False,
         trouble: Callable[[], Trouble] = _no_trouble,
@@ -63,12 +63,12 @@
         self._settings = settings
         self._node = node
         self._mirror = mirror
-        self._roster = roster
+        self._membership = membership
         self._metrics = metrics
         self._platform_ok = platform_ok
         self._trouble = trouble
         self._is_drained = is_drained
-        self._zone_ring = ZoneRing(roster, settings.zone, settings.seeds)
+        self._zone_ring = ZoneRing(membership, settings.zone, settings.seeds)
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="heartbeats", daemon=True)
         self._wake = threading.Event()
@@ -98,7 +98,7 @@
         self._thread.join()
         if not is_clean:
             return
-        leave = Leave(self._roster.me)
+        leave = Leave(self._membership.me)
         for _ in range(LEAVE_REPEATS):
             for address in self._zone_peers():
                 self._node.send(address, leave)
@@ -107,8 +107,8 @@
     def _run(self) -> None:
         beat = 0
         while not self._stopping.is_set():
-            self._roster.refresh()
-            self._roster.forget(FORGET_AFTER_S)
+            self._membership.refresh()
+            self._membership.forget(FORGET_AFTER_S)
             self._send_to_zone(beat)
             self._send_heartbeat(self._zone_ring.peers(beat, self._zone_peers()))
             if beat % METRICS_EVERY_BEATS == 0:
@@ -129,14 +129,14 @@
         self._bytes_counted = (sent, received)
 
     def _send_to_zone(self, beat: int) -> None:
-        heads = self._roster.heads()
-        is_head = self._roster.me in heads
+        heads = self._membership.heads()
+        is_head = self._membership.me in heads
         self._update_head_since(is_head)
-        others = [member for member in heads if member != self._roster.me]
+        others = [member for member in heads if member != self._membership.me]
         for member in others:
-            self._roster.try_out(member)
+            self._membership.record_probe(member)
         addresses = [member.inner for member in others]
-        settled = self._has_zone_view if is_head else self._roster.word() is not None
+        settled = self._has_zone_view if is_head else self._membership.word() is not None
         # During a network partition two heads may each consider the other silent and remain
         # heads. They find each other afterwards only by sending to all members again.
         if not settled or (is_head and beat % PROBE_EVERY_BEATS == 0):
@@ -164,12 +164,12 @@
         if since is None:
             return False
         has_waited = time.monotonic() - since > self._settings.suspect_after_s
-        return has_waited or not self._roster.silent()
+        return has_waited or not self._membership.silent()
 
     def _heartbeat(self, answers: bool = False) -> Heartbeat:
-        reports = self._health() if self._roster.me.role is Role.CONTROLLER else ()
+        reports = self._health() if self._membership.me.role is Role.CONTROLLER else ()
         return Heartbeat(
-            self._roster.me,
+            self._membership.me,
             self._mirror.complete_to,
             answers,
             self._platform_ok(),
@@ -189,18 +189,18 @@
         return answer
 
     def _health(self) -> tuple[ZoneHealth, ...]:
-        others = [zone_health(status) for status in self._roster.news()]
+        others = [zone_health(status) for status in self._membership.news()]
         if self._has_zone_view:
             return (self._own_health(), *others)
-        report = self._roster.word()
+        report = self._membership.word()
         return tuple(others) if report is None else (zone_health(report), *others)
 
     def _own_health(self) -> ZoneHealth:
         zone = self._settings.zone
-        suspects = frozenset(member.process for member in self._roster.silent())
+        suspects = frozenset(member.process for member in self._membership.silent())
         alive = [
             heartbeat
-            for heartbeat in self._roster.heard()
+            for heartbeat in self._membership.heard()
             if heartbeat.member.zone == zone
             and heartbeat.member.process not in suspects
             and not heartbeat.left
@@ -222,14 +222,14 @@
         )
 
     def _registered(self, zone: ZoneId) -> tuple[Member, ...]:
-        return self._roster.registered_in(zone)
+        return self._membership.registered_in(zone)
 
     def _zone_peers(self) -> list[str]:
-        me = self._roster.me
+        me = self._membership.me
         addresses = {member.inner for member in self._registered(me.zone)}
         addresses |= {
             heartbeat.member.inner
-            for heartbeat in self._roster.heard()
+            for heartbeat in self._membership.heard()
             if heartbeat.member.zone == me.zone and not heartbeat.left
         }
         if len(addresses - {me.inner}) == 0:
@@ -238,8 +238,10 @@
 
     def _on_heartbeat(self, batch: Batch, message: Heartbeat) -> None:
         member = message.member
-        last = self._roster.last_heard(member)
-        if not self._roster.hear(member, message.complete_to, message.platform, message.drained):
+        last = self._membership.last_heartbeat(member)
+        if not self._membership.record_heartbeat(
+            member, message.complete_to, message.platform, message.drained
+        ):
             self._metrics.incr("membership.stale_heartbeats")
             return
         if last is None:
@@ -254,18 +256,18 @@
 
     def _should_answer(self, member: Member) -> bool:
         """Return whether to answer the member; two heads send to each other anyway."""
-        heads = self._roster.heads()
-        both_heads = member in heads and self._roster.me in heads
+        heads = self._membership.heads()
+        both_heads = member in heads and self._membership.me in heads
         return member.zone == self._settings.zone and not both_heads
 
     def _record_zone_health(self, sender: Member, reports: tuple[ZoneHealth, ...]) -> None:
         statuses = [zone_status(report) for report in reports]
-        self._roster.hear_zones(statuses)
+        self._membership.record_zone_statuses(statuses)
         for status in statuses:
             if status.zone == self._settings.zone == sender.zone:
-                self._roster.hear_word(sender.process, status)
+                self._membership.record_head_report(sender.process, status)
 
     def _on_leave(self, batch: Batch, message: Leave) -> None:
         del batch
-        self._roster.hear_leave(message.member)
+        self._membership.record_leave(message.member)
         log(Event.MEMBER_GONE, peer=message.member.process, proof="left")
--- a/src/lentilrill/gossip/_recorder.py
+++ b/src/lentilrill/gossip/_recorder.py
@@ -12,7 +12,7 @@
 from lentilrill.membership import (
     Liveness,
     Member,
-    RosterView,
+    MembershipTracker,
     ZoneRecord,
     zone_key,
 )
@@ -62,7 +62,7 @@
         self,
         kv: KeyValue,
         hosts: HostList,
-        roster: RosterView,
+        membership: MembershipTracker,
         zones_by_id: ZonesById,
         publish: Callable[[tuple[Item, ...]], None],
         host_list_lag_s: float,
@@ -70,7 +70,7 @@
     ) -> None:
         self._kv = kv
         self._hosts = hosts
-        self._roster = roster
+        self._membership = membership
         self._zones_by_id = zones_by_id
         self._publish = publish
         self._lag_s = host_list_lag_s
@@ -99,8 +99,8 @@
 
     def run_once(self) -> None:
         """Check the zone's members once, and write the record if it has to change."""
-        me = self._roster.me
-        if self._roster.heads()[:1] != (me,):
+        me = self._membership.me
+        if self._membership.heads()[:1] != (me,):
             return
         record, revision = self._zones_by_id().get(me.zone, (ZoneRecord(me.zone), Revision(0)))
         self._update_silence(record)
@@ -109,19 +109,21 @@
             self._write(updated, revision)
 
     def _alive_members(self) -> tuple[Member, ...]:
-        me = self._roster.me
+        me = self._membership.me
         alive = [
             heartbeat.member
-            for heartbeat in self._roster.heard()
+            for heartbeat in self._membership.heard()
             if heartbeat.member.zone == me.zone
-            and self._roster.liveness(heartbeat.member) is Liveness.ALIVE
+            and self._membership.liveness(heartbeat.member) is Liveness.ALIVE
         ]
         return (*alive, me)
 
     def _update_silence(self, record: ZoneRecord) -> None:
         now = time.time()
         silent = {
-            member for member in record.members if self._roster.liveness(member) is Liveness.SUSPECT
+            member
+            for member in record.members
+            if self._membership.liveness(member) is Liveness.SUSPECT
         }
         self._silent_since = {member: self._silent_since.get(member, now) for member in silent}
         if silent and now - self._listed_at > HOST_LIST_EVERY_S:
@@ -130,7 +132,7 @@
             self._listing = None if isinstance(result, Failure) else result.unwrap()
 
     def _is_gone(self, member: Member) -> bool:
-        return self._roster.liveness(member) is Liveness.GONE or self._is_delisted(member)
+        return self._membership.liveness(member) is Liveness.GONE or self._is_delisted(member)
 
     def _is_delisted(self, member: Member) -> bool:
         """Return whether the host list proves that the member's entry host has ended.
--- a/src/lentilrill/gossip/_ring.py
+++ b/src/lentilrill/gossip/_ring.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection
 
 from lentilrill.ids import ZoneId
-from lentilrill.membership import Role, RosterView
+from lentilrill.membership import MembershipTracker, Role
 
 __all__ = ["ZoneRing"]
 
@@ -26,11 +26,11 @@
     stayed open all the time.
     """
 
-    def __init__(self, roster: RosterView, zone: ZoneId, seeds: Collection[str]) -> None:
-        self._roster = roster
+    def __init__(self, membership: MembershipTracker, zone: ZoneId, seeds: Collection[str]) -> None:
+        self._membership = membership
         self._zone = zone
         self._seeds = seeds
-        me = roster.me
+        me = membership.me
         self._random = random.Random(f"{me.process}/{me.incarnation}")
 
     def peers(self, beat: int, zone_peers: Collection[str]) -> list[str]:
@@ -42,9 +42,9 @@
         :param beat: number of the heartbeat.
         :param zone_peers: addresses of members of this process's own zone.
         """
-        heads = self._roster.heads()
-        is_second = self._roster.me in heads[1:] and beat % SECOND_HEAD_EVERY_BEATS == 0
-        if self._roster.me not in heads[:1] and not is_second:
+        heads = self._membership.heads()
+        is_second = self._membership.me in heads[1:] and beat % SECOND_HEAD_EVERY_BEATS == 0
+        if self._membership.me not in heads[:1] and not is_second:
             return []
         chosen = self._ring_peers()
         # All members of a silent zone are suspect. Sending to its seeds and registered members
@@ -54,7 +54,7 @@
         return sorted(chosen)
 
     def _ring_peers(self) -> set[str]:
-        heads_by_zone = self._roster.other_heads()
+        heads_by_zone = self._membership.other_heads()
         zones = sorted({self._zone, *heads_by_zone})
         steps = {1, max(2, round(math.sqrt(len(zones))))}
         own = zones.index(self._zone)
@@ -65,9 +65,9 @@
         """Return a random controller of another zone, whether it is alive or not."""
         candidates = set(self._seeds) | {
             member.inner
-            for zone in self._roster.zones()
-            for member in self._roster.registered_in(zone)
+            for zone in self._membership.zones()
+            for member in self._membership.registered_in(zone)
             if member.role is Role.CONTROLLER
         }
-        candidates -= {self._roster.me.inner, *zone_peers}
+        candidates -= {self._membership.me.inner, *zone_peers}
         return {self._random.choice(sorted(candidates))} if candidates else set()
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -7,7 +7,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision
 from lentilrill.inner import Node, StateItems
-from lentilrill.membership import RosterView
+from lentilrill.membership import MembershipTracker
 from lentilrill.store import Item, KeyValue, Mirror, Priority, WatchBatch, WatchStream
 from lentilrill.telemetry import Event, Metrics, log
 
@@ -28,11 +28,16 @@
     """
 
     def __init__(
-        self, kv: KeyValue, mirror: Mirror, roster: RosterView, node: Node, metrics: Metrics
+        self,
+        kv: KeyValue,
+        mirror: Mirror,
+        membership: MembershipTracker,
+        node: Node,
+        metrics: Metrics,
     ) -> None:
         self._kv = kv
         self._mirror = mirror
-        self._roster = roster
+        self._membership = membership
         self._node = node
         self._metrics = metrics
         self._reachable = False
@@ -75,11 +80,13 @@
                 self._stopping.wait(RETRY_INTERVAL_S)
 
     def _should_watch(self) -> bool:
-        me = self._roster.me
+        me = self._membership.me
         with_platform = {
-            heartbeat.member for heartbeat in self._roster.heard() if heartbeat.platform
+            heartbeat.member for heartbeat in self._membership.heard() if heartbeat.platform
         }
-        candidates = [head for head in self._roster.heads() if head == me or head in with_platform]
+        candidates = [
+            head for head in self._membership.heads() if head == me or head in with_platform
+        ]
         return not candidates or candidates[0] == me
 
     def _read_all(self) -> Fault | None:
@@ -134,9 +141,9 @@
     def _send_to_zone(
         self, items: tuple[Item, ...], after: Revision, complete_to: Revision
     ) -> None:
-        me = self._roster.me
+        me = self._membership.me
         message = StateItems(items, after, complete_to)
-        for member in self._roster.registered_in(me.zone):
+        for member in self._membership.registered_in(me.zone):
             if member != me:
                 self._node.send(member.inner, message)
 
--- a/src/lentilrill/membership/_drain.py
+++ b/src/lentilrill/membership/_drain.py
@@ -5,10 +5,10 @@
 from lentilrill.ids import HostId
 from lentilrill.membership._records import Member
 
-__all__ = ["drains"]
+__all__ = ["should_drain"]
 
 
-def drains(me: Member, gateways: Sequence[Member], to_stop: Collection[HostId]) -> bool:
+def should_drain(me: Member, gateways: Sequence[Member], to_stop: Collection[HostId]) -> bool:
     """Return whether this gateway's entry host should drain its callers.
 
     If a planned stop names all entry hosts of a zone, or all that are still alive, the last one
@@ -20,5 +20,5 @@
     if me.entry_host not in to_stop:
         return False
     entry_hosts = sorted({member.entry_host for member in gateways})
-    others_stay = any(host not in to_stop for host in entry_hosts)
-    return others_stay or me.entry_host != entry_hosts[-1]
+    others_remain = any(host not in to_stop for host in entry_hosts)
+    return others_remain or me.entry_host != entry_hosts[-1]
--- a/src/lentilrill/membership/_roster.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -10,15 +10,15 @@
 from lentilrill.membership._contract import ranked
 from lentilrill.membership._records import Liveness, Member, Role, ZoneNews, ZoneRecord
 
-__all__ = ["Heard", "RosterView"]
+__all__ = ["LastHeartbeat", "MembershipTracker"]
 
-KEPT_ENDED = 2000
+MAX_ENDED_MEMBERS = 2000
 """Limit of ended members that are remembered; some days' worth of replaced entry hosts."""
-HEADS = 2
+HEAD_COUNT = 2
 """Number of heads of a zone; members already know the second when the first one fails."""
 
 
-class Heard(msgspec.Struct):
+class LastHeartbeat(msgspec.Struct):
     """The last heartbeat of one process.
 
     :param at: time of receipt in monotonic seconds.
@@ -34,7 +34,7 @@
     drained: bool = False
 
 
-class RosterView:
+class MembershipTracker:
     """Liveness of all members, from heartbeats and from the reports of controllers.
 
     Each zone has a few *heads*: controllers with which every member of the zone exchanges
@@ -64,10 +64,10 @@
         self._zone_silent_after_s = zone_silent_after_s
         self._clock = clock
         self._lock = threading.Lock()
-        self._heard_by_process: dict[ProcessId, Heard] = {}
-        self._news_by_zone: dict[ZoneId, ZoneNews] = {}
-        self._word_by_head: dict[ProcessId, ZoneNews] = {}
-        self._tried_by_process: dict[ProcessId, float] = {}
+        self._last_heartbeat_by_process: dict[ProcessId, LastHeartbeat] = {}
+        self._status_by_zone: dict[ZoneId, ZoneNews] = {}
+        self._report_by_head: dict[ProcessId, ZoneNews] = {}
+        self._probed_at_by_process: dict[ProcessId, float] = {}
         self._heads: tuple[Member, ...] = ()
         self._registered_by_process: dict[ProcessId, Member] = {}
         self._alive: dict[tuple[Role, ZoneId | None], tuple[Member, ...]] = {}
@@ -89,30 +89,32 @@
             return Liveness.ALIVE if member == self._me else Liveness.GONE
         if self._is_gone(member):
             return Liveness.GONE
-        return Liveness.ALIVE if self._is_heard(member) else Liveness.SUSPECT
+        return Liveness.ALIVE if self._is_responsive(member) else Liveness.SUSPECT
 
     def registered_in(self, zone: ZoneId) -> tuple[Member, ...]:
         """Return the members in the zone's record."""
-        held = self._zones_by_id().get(zone)
-        return held[0].members if held is not None else ()
+        recorded = self._zones_by_id().get(zone)
+        return recorded[0].members if recorded is not None else ()
 
     def zones(self) -> tuple[ZoneId, ...]:
         """Return the zones that have a record, sorted."""
         return tuple(sorted(self._zones_by_id()))
 
-    def heard(self) -> tuple[Heard, ...]:
+    def heard(self) -> tuple[LastHeartbeat, ...]:
         """Return the last heartbeats, sorted by process id."""
         with self._lock:
-            return tuple(heard for _, heard in sorted(self._heard_by_process.items()))
+            return tuple(
+                heartbeat for _, heartbeat in sorted(self._last_heartbeat_by_process.items())
+            )
 
     def news(self) -> tuple[ZoneNews, ...]:
         """Return the last status received of each other zone, sorted by zone."""
         with self._lock:
-            return tuple(news for _, news in sorted(self._news_by_zone.items()))
+            return tuple(status for _, status in sorted(self._status_by_zone.items()))
 
     def word(self) -> ZoneNews | None:
         """Return the newest report of a head of this process's own zone, if one is recent."""
-        return max(self._fresh_words(), key=lambda news: news.at, default=None)
+        return max(self._recent_head_reports(), key=lambda report: report.at, default=None)
 
     def heads(self) -> tuple[Member, ...]:
         """Return the heads of this process's zone, as of the last refresh."""
@@ -126,13 +128,13 @@
         """
         zone = self._me.zone
         known = {m.process: m for m in self.registered_in(zone) if m.role is Role.CONTROLLER}
-        for one in self.heard():
-            if one.member.zone == zone and one.member.role is Role.CONTROLLER:
-                known[one.member.process] = one.member
+        for heartbeat in self.heard():
+            if heartbeat.member.zone == zone and heartbeat.member.role is Role.CONTROLLER:
+                known[heartbeat.member.process] = heartbeat.member
         if self._me.role is Role.CONTROLLER:
             known[self._me.process] = self._me
-        able = [member for member in known.values() if self._may_head(member)]
-        return tuple(ranked(f"head/{zone}", able)[:HEADS])
+        eligible = [member for member in known.values() if self._may_be_head(member)]
+        return tuple(ranked(f"head/{zone}", eligible)[:HEAD_COUNT])
 
     def other_heads(self) -> dict[ZoneId, Member]:
         """Return the first living head of each other zone, by zone."""
@@ -145,24 +147,24 @@
             for zone, controllers in controllers_by_zone.items()
         }
 
-    def last_heard(self, member: Member) -> Heard | None:
+    def last_heartbeat(self, member: Member) -> LastHeartbeat | None:
         """Return the last heartbeat of one incarnation, or ``None``."""
-        heard = self._heard_by_process.get(member.process)
-        return heard if heard is not None and heard.member == member else None
+        heartbeat = self._last_heartbeat_by_process.get(member.process)
+        return heartbeat if heartbeat is not None and heartbeat.member == member else None
 
     def silent(self) -> tuple[Member, ...]:
         """Return the registered members of this zone that sent no recent heartbeat here."""
         return tuple(
             member
             for member in self.registered_in(self._me.zone)
-            if member != self._me and not self._is_direct(member)
+            if member != self._me and not self._is_heard_directly(member)
         )
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each change of the usable members."""
         self._listeners.append(listener)
 
-    def hear(
+    def record_heartbeat(
         self, member: Member, complete_to: Revision, platform: bool, drained: bool = False
     ) -> bool:
         """Record a heartbeat.
@@ -171,47 +173,47 @@
             incarnation has left.
         """
         with self._lock:
-            held = self._heard_by_process.get(member.process)
-            if held is not None and held.member.incarnation > member.incarnation:
+            recorded = self._last_heartbeat_by_process.get(member.process)
+            if recorded is not None and recorded.member.incarnation > member.incarnation:
                 return False
-            if held is not None and held.member == member and held.left:
+            if recorded is not None and recorded.member == member and recorded.left:
                 return False
-            known = held is not None and held.member == member
-            self._heard_by_process[member.process] = Heard(
+            is_known = recorded is not None and recorded.member == member
+            self._last_heartbeat_by_process[member.process] = LastHeartbeat(
                 member, self._clock(), complete_to, platform, drained=drained
             )
-            self._tried_by_process.pop(member.process, None)
-        if not known:
+            self._probed_at_by_process.pop(member.process, None)
+        if not is_known:
             self.refresh()
         return True
 
-    def try_out(self, member: Member) -> None:
+    def record_probe(self, member: Member) -> None:
         """Record that a heartbeat was sent to a head, which must answer it."""
         with self._lock:
-            self._tried_by_process.setdefault(member.process, self._clock())
+            self._probed_at_by_process.setdefault(member.process, self._clock())
 
-    def hear_word(self, head: ProcessId, news: ZoneNews) -> None:
+    def record_head_report(self, head: ProcessId, report: ZoneNews) -> None:
         """Record the report of a head on this process's own zone."""
         with self._lock:
-            self._word_by_head[head] = news
+            self._report_by_head[head] = report
 
-    def hear_leave(self, member: Member) -> None:
+    def record_leave(self, member: Member) -> None:
         """Record that an incarnation has left."""
         with self._lock:
-            held = self._heard_by_process.get(member.process)
-            if held is None or held.member.incarnation <= member.incarnation:
-                self._heard_by_process[member.process] = Heard(
+            recorded = self._last_heartbeat_by_process.get(member.process)
+            if recorded is None or recorded.member.incarnation <= member.incarnation:
+                self._last_heartbeat_by_process[member.process] = LastHeartbeat(
                     member, self._clock(), Revision(0), False, left=True
                 )
         self.refresh()
 
-    def hear_zones(self, news: Iterable[ZoneNews]) -> None:
+    def record_zone_statuses(self, statuses: Iterable[ZoneNews]) -> None:
         """Record those statuses of other zones that are newer than the recorded ones."""
         with self._lock:
-            for one in news:
-                held = self._news_by_zone.get(one.zone)
-                if one.zone != self._me.zone and (held is None or one.at > held.at):
-                    self._news_by_zone[one.zone] = one
+            for status in statuses:
+                recorded = self._status_by_zone.get(status.zone)
+                if status.zone != self._me.zone and (recorded is None or status.at > recorded.at):
+                    self._status_by_zone[status.zone] = status
 
     def refresh(self) -> None:
         """Recompute the usable members, and call the listeners if they changed."""
@@ -222,35 +224,35 @@
         for member in members:
             alive.setdefault((member.role, member.zone), []).append(member)
             alive.setdefault((member.role, None), []).append(member)
-        fresh = {key: tuple(value) for key, value in alive.items()}
-        if fresh != self._alive:
-            self._alive = fresh
+        updated = {key: tuple(value) for key, value in alive.items()}
+        if updated != self._alive:
+            self._alive = updated
             for listener in list(self._listeners):
                 listener()
 
     def forget(self, silent_s: float) -> None:
         """Remove unregistered members that have been silent for more than ``silent_s`` seconds."""
         with self._lock:
-            for process, heard in list(self._heard_by_process.items()):
-                old = self._clock() - heard.at > silent_s
-                if old and not self._is_registered(heard.member):
-                    del self._heard_by_process[process]
-            self._forget_ended()
+            for process, heartbeat in list(self._last_heartbeat_by_process.items()):
+                is_old = self._clock() - heartbeat.at > silent_s
+                if is_old and not self._is_registered(heartbeat.member):
+                    del self._last_heartbeat_by_process[process]
+            self._remove_ended()
 
-    def _forget_ended(self) -> None:
+    def _remove_ended(self) -> None:
         """Limit the data kept on ended members, since entry hosts are replaced every day."""
         registered = {
             member.process
             for record, _ in self._zones_by_id().values()
             for member in record.members
         }
-        known = registered | self._heard_by_process.keys()
-        for process in self._tried_by_process.keys() - known:
-            del self._tried_by_process[process]
-        for process in self._word_by_head.keys() - known:
-            del self._word_by_head[process]
+        known = registered | self._last_heartbeat_by_process.keys()
+        for process in self._probed_at_by_process.keys() - known:
+            del self._probed_at_by_process[process]
+        for process in self._report_by_head.keys() - known:
+            del self._report_by_head[process]
         ended = [p for p in self._registered_by_process if p not in registered]
-        for process in ended[:-KEPT_ENDED]:
+        for process in ended[:-MAX_ENDED_MEMBERS]:
             del self._registered_by_process[process]
 
     def _candidates(self) -> list[Member]:
@@ -261,62 +263,62 @@
         }
         self._registered_by_process |= by_process
         with self._lock:
-            for process, heard in self._heard_by_process.items():
-                if heard.member.zone == self._me.zone:
-                    by_process[process] = heard.member
+            for process, heartbeat in self._last_heartbeat_by_process.items():
+                if heartbeat.member.zone == self._me.zone:
+                    by_process[process] = heartbeat.member
         by_process[self._me.process] = self._me
         return list(by_process.values())
 
     def _is_usable(self, member: Member) -> bool:
         if member.role is Role.GATEWAY and not self._is_registered(member):
             return False
-        return member == self._me or (not self._is_gone(member) and self._is_heard(member))
+        return member == self._me or (not self._is_gone(member) and self._is_responsive(member))
 
     def _is_registered(self, member: Member) -> bool:
-        held = self._zones_by_id().get(member.zone)
-        return held is not None and member in held[0].members
+        recorded = self._zones_by_id().get(member.zone)
+        return recorded is not None and member in recorded[0].members
 
-    def _is_heard(self, member: Member) -> bool:
+    def _is_responsive(self, member: Member) -> bool:
         now = self._clock()
         if member.zone != self._me.zone:
-            news = self._news_by_zone.get(member.zone)
-            if news is None or now - news.at > self._zone_silent_after_s:
+            status = self._status_by_zone.get(member.zone)
+            if status is None or now - status.at > self._zone_silent_after_s:
                 return False
-            return member.process not in news.suspects
-        return self._is_direct(member) or self._is_vouched_for(member)
+            return member.process not in status.suspects
+        return self._is_heard_directly(member) or self._is_reported_alive(member)
 
-    def _is_direct(self, member: Member) -> bool:
-        heard = self._heard_by_process.get(member.process)
-        if heard is None or heard.member != member:
+    def _is_heard_directly(self, member: Member) -> bool:
+        heartbeat = self._last_heartbeat_by_process.get(member.process)
+        if heartbeat is None or heartbeat.member != member:
             return False
-        return self._clock() - heard.at <= self._suspect_after_s
+        return self._clock() - heartbeat.at <= self._suspect_after_s
 
-    def _is_vouched_for(self, member: Member) -> bool:
+    def _is_reported_alive(self, member: Member) -> bool:
         if not self._is_registered(member):
             return False
-        return any(member.process not in word.suspects for word in self._fresh_words())
+        return any(member.process not in report.suspects for report in self._recent_head_reports())
 
-    def _fresh_words(self) -> list[ZoneNews]:
+    def _recent_head_reports(self) -> list[ZoneNews]:
         oldest = self._clock() - self._suspect_after_s
         with self._lock:
-            return [word for word in self._word_by_head.values() if word.at >= oldest]
+            return [report for report in self._report_by_head.values() if report.at >= oldest]
 
-    def _may_head(self, member: Member) -> bool:
+    def _may_be_head(self, member: Member) -> bool:
         if member == self._me:
             return True
         if self._is_gone(member):
             return False
-        tried_at = self._tried_by_process.get(member.process)
-        if tried_at is None or self._clock() - tried_at <= self._suspect_after_s:
+        probed_at = self._probed_at_by_process.get(member.process)
+        if probed_at is None or self._clock() - probed_at <= self._suspect_after_s:
             return True
-        return self._is_direct(member) or self._is_vouched_for(member)
+        return self._is_heard_directly(member) or self._is_reported_alive(member)
 
     def _is_gone(self, member: Member) -> bool:
-        heard = self._heard_by_process.get(member.process)
-        if heard is not None:
-            if heard.member.incarnation > member.incarnation:
+        heartbeat = self._last_heartbeat_by_process.get(member.process)
+        if heartbeat is not None:
+            if heartbeat.member.incarnation > member.incarnation:
                 return True
-            if heard.member == member and heard.left:
+            if heartbeat.member == member and heartbeat.left:
                 return True
         registered = self._registered_by_process.get(member.process)
         if registered is None:
--- a/tests/gossip/test_heartbeats.py
+++ b/tests/gossip/test_heartbeats.py
@@ -9,7 +9,7 @@
 from lentilrill.gossip import Heartbeats
 from lentilrill.ids import EntryHostId, Incarnation, ProcessId, Revision, ZoneId
 from lentilrill.inner import Node, StateItems
-from lentilrill.membership import Liveness, Member, Role, RosterView, ZoneRecord, zone_key
+from lentilrill.membership import Liveness, Member, MembershipTracker, Role, ZoneRecord, zone_key
 from lentilrill.settings import InnerKeys, ProcessSettings
 from lentilrill.store import Item, Mirror
 from lentilrill.telemetry import NoMetrics
@@ -53,13 +53,13 @@
         self.node = Node(ProcessId(name), incarnation, self.address, keys)
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.roster = RosterView(self.member, lambda: self.view.zones_by_id, 1.0, 2.0)
+        self.membership = MembershipTracker(self.member, lambda: self.view.zones_by_id, 1.0, 2.0)
         self.heartbeats = Heartbeats(
-            self.settings, self.node, self.mirror, self.roster, NoMetrics()
+            self.settings, self.node, self.mirror, self.membership, NoMetrics()
         )
         self.changed = threading.Event()
         self.mirror.subscribe(lambda items: self.changed.set())
-        self.roster.subscribe(self.changed.set)
+        self.membership.subscribe(self.changed.set)
         self.node.start()
         self.heartbeats.start()
 
@@ -118,9 +118,13 @@
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         leaves = Peer("ct-2", keys, seeds=(stays.address,))
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.ALIVE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(leaves.member) is Liveness.ALIVE)
+        )
         leaves.close()
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.GONE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(leaves.member) is Liveness.GONE)
+        )
 
     def test_a_process_that_abandons_jobs_does_not_send_leave(self) -> None:
         # A gateway is stopped, and a long job still runs when its drain time ends. If it sent
@@ -128,10 +132,14 @@
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         ends = Peer("ct-2", keys, seeds=(stays.address,))
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(ends.member) is Liveness.ALIVE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(ends.member) is Liveness.ALIVE)
+        )
         ends.heartbeats.close(is_clean=False)
         ends.node.close(0.1)
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(ends.member) is Liveness.SUSPECT))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(ends.member) is Liveness.SUSPECT)
+        )
 
     def test_gateways_detect_each_other_through_heads(self) -> None:
         keys = builders.inner_keys()
@@ -141,8 +149,8 @@
         gateways = [self.a_peer(f"gw-{n}", keys, seeds, role=Role.GATEWAY) for n in (1, 2)]
         self.register(heads + gateways)
         one, two = gateways
-        self.assertTrue(one.until(lambda: two.member in one.roster.alive(Role.GATEWAY)))
-        self.assertTrue(one.until(lambda: one.roster.word() is not None))
+        self.assertTrue(one.until(lambda: two.member in one.membership.alive(Role.GATEWAY)))
+        self.assertTrue(one.until(lambda: one.membership.word() is not None))
 
     def test_gateways_detect_each_other_without_any_head(self) -> None:
         # A faulty release crashes every controller of a zone. The gateways must still detect each
@@ -155,16 +163,16 @@
         ]
         self.register([head, *gateways])
         one, two = gateways
-        self.assertTrue(one.until(lambda: one.roster.word() is not None))
+        self.assertTrue(one.until(lambda: one.membership.word() is not None))
         head.node.close(0.0)
         self.addCleanup(head.heartbeats.close)
-        self.assertTrue(one.until(lambda: one.roster.word() is None))
+        self.assertTrue(one.until(lambda: one.membership.word() is None))
         alive = [two.member, one.member]
         for peer in gateways:
             self.assertTrue(
-                peer.until(lambda p=peer: p.roster.last_heard(p.other(alive)) is not None)
+                peer.until(lambda p=peer: p.membership.last_heartbeat(p.other(alive)) is not None)
             )
-        self.assertTrue(one.until(lambda: two.member in one.roster.alive(Role.GATEWAY)))
+        self.assertTrue(one.until(lambda: two.member in one.membership.alive(Role.GATEWAY)))
 
     def register(self, peers: list[Peer]) -> None:
         record = ZoneRecord(ZoneId("z1"), tuple(peer.member for peer in peers))
--- a/tests/gossip/test_recorder.py
+++ b/tests/gossip/test_recorder.py
@@ -9,7 +9,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.gossip import ZoneRecorder, next_record
 from lentilrill.ids import EntryHostId, HostId, RackId, Revision, ZoneId
-from lentilrill.membership import Member, Role, RosterView, ZoneRecord
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneRecord
 from lentilrill.store import (
     HostInfo,
     HostKind,
@@ -71,12 +71,12 @@
         super().setUp()
         self.zones: dict[ZoneId, tuple[ZoneRecord, Revision]] = {}
         self.me = builders.a_member("ct-me", role=Role.CONTROLLER)
-        self.roster = RosterView(self.me, lambda: self.zones, 2.0, 5.0, lambda: 0.0)
+        self.membership = MembershipTracker(self.me, lambda: self.zones, 2.0, 5.0, lambda: 0.0)
         self.store, self.hosts = FakeStore(), FakeHostList()
         self.recorder = ZoneRecorder(
             self.store,  # type: ignore[arg-type]
             self.hosts,
-            self.roster,
+            self.membership,
             lambda: self.zones,
             self.publish,
             LAG_S,
@@ -92,12 +92,12 @@
         return tuple(member.process for member in self.zones[ZONE][0].members)
 
     def run_once(self) -> Callable[[], tuple[str, ...]]:
-        self.roster.refresh()
+        self.membership.refresh()
         self.recorder.run_once()
         return self.members
 
     def test_newcomers_are_recorded(self) -> None:
-        self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
+        self.membership.record_heartbeat(builders.a_member("gw-1"), Revision(0), True)
         self.assertEqual(("ct-me", "gw-1"), self.run_once()())
 
     def test_nothing_is_written_without_a_change(self) -> None:
@@ -108,7 +108,7 @@
     def test_an_outage_changes_nothing(self) -> None:
         self.run_once()
         self.store.fault = Fault("platform.txn", "p", FaultKind.UNAVAILABLE, "down")
-        self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
+        self.membership.record_heartbeat(builders.a_member("gw-1"), Revision(0), True)
         self.assertEqual(("ct-me",), self.run_once()())
 
     def test_a_silent_member_is_removed_only_by_a_recent_host_list(self) -> None:
--- a/tests/gossip/test_ring.py
+++ b/tests/gossip/test_ring.py
@@ -4,7 +4,7 @@
 
 from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import Revision, ZoneId
-from lentilrill.membership import Member, Role, RosterView, ZoneNews, ZoneRecord
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews, ZoneRecord
 from tests import builders
 
 ZONES = 11
@@ -24,11 +24,13 @@
         self.records = {m.zone: (ZoneRecord(m.zone, (m,)), Revision(1)) for m in self.members}
 
     def ring_of(self, me: Member, has_statuses: bool = True) -> ZoneRing:
-        roster = RosterView(me, lambda: self.records, 2.0, 5.0, lambda: 0.0)
+        membership = MembershipTracker(me, lambda: self.records, 2.0, 5.0, lambda: 0.0)
         if has_statuses:
-            roster.hear_zones(ZoneNews(m.zone, 0.0, frozenset(), Revision(1)) for m in self.members)
-        roster.refresh()
-        return ZoneRing(roster, me.zone, ())
+            membership.record_zone_statuses(
+                ZoneNews(m.zone, 0.0, frozenset(), Revision(1)) for m in self.members
+            )
+        membership.refresh()
+        return ZoneRing(membership, me.zone, ())
 
     def test_every_status_reaches_all_zones_in_a_few_heartbeats(self) -> None:
         peers = {m.inner: self.ring_of(m).peers(1, ()) for m in self.members}
--- a/tests/gossip/test_watcher.py
+++ b/tests/gossip/test_watcher.py
@@ -6,7 +6,7 @@
 
 from lentilrill.gossip import Watcher
 from lentilrill.ids import Revision
-from lentilrill.membership import Role, RosterView
+from lentilrill.membership import MembershipTracker, Role
 from lentilrill.store import Mirror
 from lentilrill.telemetry import NoMetrics
 from tests import builders
@@ -45,9 +45,9 @@
         # A controller hangs on shutdown. close() runs while the watch is being opened, finds no
         # stream to close, and the watcher's thread then waits on the new stream forever.
         me = builders.a_member("ct-1", role=Role.CONTROLLER)
-        roster = RosterView(me, dict, 2.0, 5.0)
+        membership = MembershipTracker(me, dict, 2.0, 5.0)
         kv = ClosingKeyValue()
-        kv.watcher = Watcher(kv, Mirror(), roster, FakeNode(), NoMetrics())
+        kv.watcher = Watcher(kv, Mirror(), membership, FakeNode(), NoMetrics())
         kv.watcher._watch()
         self.assertFalse(kv.stream.read)
         self.assertTrue(kv.stream.closed)
--- a/tests/membership/test_drain.py
+++ b/tests/membership/test_drain.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from lentilrill.ids import EntryHostId, HostId
-from lentilrill.membership import Member, drains
+from lentilrill.membership import Member, should_drain
 from tests import builders
 
 
@@ -19,7 +19,7 @@
 
     def draining(self, alive: tuple[Member, ...], *to_stop: str) -> list[str]:
         named = {HostId(host) for host in to_stop}
-        return [member.process for member in alive if drains(member, alive, named)]
+        return [member.process for member in alive if should_drain(member, alive, named)]
 
     def test_only_named_entry_hosts_drain(self) -> None:
         self.assertEqual(["gw-2"], self.draining(self.all, "entry-2", "w1"))
@@ -27,7 +27,7 @@
     def test_all_named_drain_while_another_stays(self) -> None:
         self.assertEqual(["gw-1", "gw-2"], self.draining(self.all, "entry-1", "entry-2"))
 
-    def test_the_last_of_a_zone_goes_on(self) -> None:
+    def test_the_last_of_a_zone_keeps_serving(self) -> None:
         # Operators declare one stop for every entry host of a zone, to replace its switches. If
         # all of them drained, the zone's callers would fail while its endpoints are idle.
         names = [member.entry_host for member in self.all]
@@ -35,5 +35,5 @@
         self.assertEqual([], self.draining((self.two,), *names))
 
     def test_the_next_drains_when_one_is_back(self) -> None:
-        back = gateway(1)
-        self.assertEqual(["gw-3"], self.draining((back, self.three), "entry-3"))
+        returned = gateway(1)
+        self.assertEqual(["gw-3"], self.draining((returned, self.three), "entry-3"))
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_tracker.py
@@ -7,13 +7,13 @@
 from lentilrill.membership import (
     Liveness,
     Member,
+    MembershipTracker,
     Role,
-    RosterView,
     ZoneNews,
     ZoneRecord,
     rendezvous,
 )
-from lentilrill.membership._roster import KEPT_ENDED
+from lentilrill.membership._tracker import MAX_ENDED_MEMBERS
 from tests import builders
 
 SUSPECT_AFTER_S = 2.0
@@ -21,14 +21,14 @@
 HERE, THERE = ZoneId("z1"), ZoneId("z2")
 
 
-class RosterCase(TestCase):
+class TrackerCase(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.now = 100.0
         self.zones: dict[ZoneId, tuple[ZoneRecord, Revision]] = {}
         self.me = builders.a_member("gw-me")
         self.register(HERE, self.me)
-        self.roster = RosterView(
+        self.tracker = MembershipTracker(
             self.me, lambda: self.zones, SUSPECT_AFTER_S, ZONE_SILENT_AFTER_S, lambda: self.now
         )
 
@@ -36,71 +36,71 @@
         revision = self.zones[zone][1] + 1 if zone in self.zones else 1
         self.zones[zone] = (ZoneRecord(zone, members), Revision(revision))
 
-    def hear(self, member: Member) -> bool:
-        return self.roster.hear(member, Revision(1), True)
+    def heartbeat(self, member: Member) -> bool:
+        return self.tracker.record_heartbeat(member, Revision(1), True)
 
     def alive(self, zone: ZoneId | None = None) -> tuple[Member, ...]:
-        self.roster.refresh()
-        return self.roster.alive(Role.GATEWAY, zone)
+        self.tracker.refresh()
+        return self.tracker.alive(Role.GATEWAY, zone)
 
 
-class RosterTest(RosterCase):
+class TrackerTest(TrackerCase):
     def test_a_silent_member_is_suspect_and_never_gone(self) -> None:
         # A gateway is paused for minutes between its check and its send. It must get no new work.
         # If it counted as gone, a host could be released before the gateway resumes and sends.
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
-        self.hear(peer)
+        self.heartbeat(peer)
         self.assertEqual((self.me, peer), self.alive(HERE))
         self.now += 3600
         self.assertEqual((self.me,), self.alive(HERE))
-        self.assertIs(Liveness.SUSPECT, self.roster.liveness(peer))
+        self.assertIs(Liveness.SUSPECT, self.tracker.liveness(peer))
 
-    def test_gone_by_its_own_word(self) -> None:
+    def test_gone_after_its_leave(self) -> None:
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
-        self.hear(peer)
-        self.roster.hear_leave(peer)
-        self.assertIs(Liveness.GONE, self.roster.liveness(peer))
+        self.heartbeat(peer)
+        self.tracker.record_leave(peer)
+        self.assertIs(Liveness.GONE, self.tracker.liveness(peer))
         self.assertEqual((self.me,), self.alive(HERE))
 
-    def test_a_late_heartbeat_does_not_bring_back_what_left(self) -> None:
+    def test_a_delayed_heartbeat_does_not_revive_a_member_that_left(self) -> None:
         # A gateway's Leave is received before a heartbeat that it sent earlier. If the heartbeat
         # counted, work sent to the ended process would fail until it is suspect.
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
-        self.roster.hear_leave(peer)
-        self.assertFalse(self.hear(peer))
-        self.assertIs(Liveness.GONE, self.roster.liveness(peer))
+        self.tracker.record_leave(peer)
+        self.assertFalse(self.heartbeat(peer))
+        self.assertIs(Liveness.GONE, self.tracker.liveness(peer))
 
     def test_gone_by_a_newer_incarnation(self) -> None:
         # An entry host is replaced by one with the same process name. A delayed heartbeat of the
         # old incarnation must not be attributed to the new one.
         old, new = builders.a_member("gw-peer"), builders.a_member("gw-peer")
         self.register(HERE, self.me, old)
-        self.hear(new)
-        self.assertFalse(self.hear(old))
-        self.assertIs(Liveness.GONE, self.roster.liveness(old))
-        self.assertIs(Liveness.ALIVE, self.roster.liveness(new))
+        self.heartbeat(new)
+        self.assertFalse(self.heartbeat(old))
+        self.assertIs(Liveness.GONE, self.tracker.liveness(old))
+        self.assertIs(Liveness.ALIVE, self.tracker.liveness(new))
 
-    def test_gone_when_taken_from_the_record(self) -> None:
+    def test_gone_when_removed_from_the_record(self) -> None:
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
-        self.hear(peer)
+        self.heartbeat(peer)
         self.alive()
         self.register(HERE, self.me)
-        self.assertIs(Liveness.GONE, self.roster.liveness(peer))
+        self.assertIs(Liveness.GONE, self.tracker.liveness(peer))
 
     def test_an_unregistered_gateway_gets_no_work(self) -> None:
         # A new gateway sends heartbeats before it is in the zone's record. If it got work, it
         # could send to a host whose withdrawal does not require its acknowledgement.
-        newcomer = builders.a_member("gw-new")
-        self.hear(newcomer)
+        new_gateway = builders.a_member("gw-new")
+        self.heartbeat(new_gateway)
         self.assertEqual((self.me,), self.alive(HERE))
-        self.register(HERE, self.me, newcomer)
-        self.assertEqual((self.me, newcomer), self.alive(HERE))
+        self.register(HERE, self.me, new_gateway)
+        self.assertEqual((self.me, new_gateway), self.alive(HERE))
 
-    def test_another_zone_is_alive_by_its_controllers_word(self) -> None:
+    def test_another_zone_is_alive_by_its_controllers_status(self) -> None:
         # A network partition separates two zones. After a few seconds without a status of the
         # other zone no job may be spilled to it, but its members are only suspect, not gone.
         one = builders.a_member("gw-a", zone=THERE)
@@ -108,45 +108,45 @@
         self.register(THERE, one, two)
         self.assertEqual((), self.alive(THERE))
         news = ZoneNews(THERE, self.now, frozenset({two.process}), Revision(1))
-        self.roster.hear_zones([news])
+        self.tracker.record_zone_statuses([news])
         self.assertEqual((one,), self.alive(THERE))
         self.assertEqual((one, self.me), self.alive())
         self.now += ZONE_SILENT_AFTER_S + 1
         self.assertEqual((), self.alive(THERE))
-        self.assertIs(Liveness.SUSPECT, self.roster.liveness(one))
+        self.assertIs(Liveness.SUSPECT, self.tracker.liveness(one))
 
-    def test_older_news_of_a_zone_is_dropped(self) -> None:
+    def test_an_older_status_of_a_zone_is_dropped(self) -> None:
         one = builders.a_member("gw-a", zone=THERE)
         self.register(THERE, one)
-        self.roster.hear_zones([ZoneNews(THERE, self.now, frozenset(), Revision(1))])
+        self.tracker.record_zone_statuses([ZoneNews(THERE, self.now, frozenset(), Revision(1))])
         stale = ZoneNews(THERE, self.now - 1, frozenset({one.process}), Revision(1))
-        self.roster.hear_zones([stale])
+        self.tracker.record_zone_statuses([stale])
         self.assertEqual((one,), self.alive(THERE))
 
-    def test_what_is_kept_of_ended_members_is_bounded(self) -> None:
+    def test_the_number_of_ended_members_is_limited(self) -> None:
         # Entry hosts are replaced under new names for months. Without a limit on the ended ones,
         # the process would eventually run out of memory.
-        for n in range(KEPT_ENDED + 100):
+        for n in range(MAX_ENDED_MEMBERS + 100):
             self.register(HERE, self.me, builders.a_member(f"gw-{n}"))
-            self.roster.refresh()
+            self.tracker.refresh()
         self.register(HERE, self.me)
-        self.roster.refresh()
-        self.roster.forget(0.0)
-        kept = self.roster._registered_by_process
-        self.assertEqual(KEPT_ENDED + 1, len(kept))
-
-    def test_listeners_hear_only_of_changes(self) -> None:
-        heard: list[int] = []
-        self.roster.subscribe(lambda: heard.append(1))
+        self.tracker.refresh()
+        self.tracker.forget(0.0)
+        kept = self.tracker._registered_by_process
+        self.assertEqual(MAX_ENDED_MEMBERS + 1, len(kept))
+
+    def test_listeners_are_called_only_after_changes(self) -> None:
+        calls: list[int] = []
+        self.tracker.subscribe(lambda: calls.append(1))
         peer = builders.a_member("gw-peer")
         self.register(HERE, self.me, peer)
-        self.hear(peer)
-        self.roster.refresh()
-        self.assertEqual([1], heard)
+        self.heartbeat(peer)
+        self.tracker.refresh()
+        self.assertEqual([1], calls)
 
     def test_my_own_former_incarnation_is_gone(self) -> None:
         former = msgspec.structs.replace(self.me, incarnation=self.me.incarnation - 1)
-        self.assertIs(Liveness.GONE, self.roster.liveness(former))
+        self.assertIs(Liveness.GONE, self.tracker.liveness(former))
 
 
 class RendezvousTest(TestCase):
@@ -158,11 +158,11 @@
         moved = {key for key in keys if before[key] != after[key]}
         self.assertEqual({key for key in keys if before[key] == members[-1]}, moved)
 
-    def test_nobody_is_chosen_of_none(self) -> None:
+    def test_no_members_give_none(self) -> None:
         self.assertIsNone(rendezvous("pool", []))
 
 
-class HeadsTest(RosterCase):
+class HeadsTest(TrackerCase):
     """A member relies on its zone's heads for members whose heartbeats it does not receive."""
 
     def setUp(self) -> None:
@@ -172,44 +172,44 @@
         self.register(HERE, self.me, self.peer, *self.controllers)
 
     def heads(self) -> tuple[Member, ...]:
-        self.roster.refresh()
-        return self.roster.heads()
+        self.tracker.refresh()
+        return self.tracker.heads()
 
-    def word(self, *suspects: Member) -> ZoneNews:
+    def report(self, *suspects: Member) -> ZoneNews:
         processes = frozenset(member.process for member in suspects)
         return ZoneNews(HERE, self.now, processes, Revision(1))
 
     def test_a_head_that_does_not_answer_is_replaced(self) -> None:
         first, second = self.heads()
-        self.roster.try_out(first)
-        self.hear(second)
+        self.tracker.record_probe(first)
+        self.heartbeat(second)
         self.now += SUSPECT_AFTER_S + 0.1
-        self.hear(second)
+        self.heartbeat(second)
         self.assertEqual(second, self.heads()[0])
         self.assertNotIn(first, self.heads())
 
-    def test_a_silent_head_is_back_by_another_heads_word(self) -> None:
+    def test_a_silent_head_is_restored_by_another_heads_report(self) -> None:
         first, second = self.heads()
-        self.roster.try_out(first)
+        self.tracker.record_probe(first)
         self.now += SUSPECT_AFTER_S + 0.1
-        self.roster.hear_word(second.process, self.word())
+        self.tracker.record_head_report(second.process, self.report())
         self.assertEqual((first, second), self.heads())
 
-    def test_a_peer_lives_by_a_heads_word_and_dies_with_it(self) -> None:
+    def test_a_peer_is_alive_only_by_a_recent_report_of_a_head(self) -> None:
         # Gateways receive heartbeats only from the heads. When a gateway fails, the heads' next
         # report lists it as suspect; when the heads fall silent, an old report must expire.
         head = self.heads()[0]
-        self.roster.hear_word(head.process, self.word())
+        self.tracker.record_head_report(head.process, self.report())
         self.assertEqual((self.me, self.peer), self.alive(HERE))
-        self.roster.hear_word(head.process, self.word(self.peer))
+        self.tracker.record_head_report(head.process, self.report(self.peer))
         self.assertEqual((self.me,), self.alive(HERE))
-        self.assertIs(Liveness.SUSPECT, self.roster.liveness(self.peer))
-        self.roster.hear_word(head.process, self.word())
+        self.assertIs(Liveness.SUSPECT, self.tracker.liveness(self.peer))
+        self.tracker.record_head_report(head.process, self.report())
         self.now += SUSPECT_AFTER_S + 0.1
         self.assertEqual((self.me,), self.alive(HERE))
 
-    def test_one_heads_ear_is_enough(self) -> None:
+    def test_one_heads_report_is_enough(self) -> None:
         one, two = self.heads()
-        self.roster.hear_word(one.process, self.word(self.peer))
-        self.roster.hear_word(two.process, self.word())
+        self.tracker.record_head_report(one.process, self.report(self.peer))
+        self.tracker.record_head_report(two.process, self.report())
         self.assertEqual((self.me, self.peer), self.alive(HERE))
