--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -21,10 +21,10 @@
 ZONE_SILENT_FACTOR = 2.5
 """Other zones' statuses arrive by gossip, a few heartbeats later than heartbeats of peers."""
 
-REPORT_AGE_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 
 
-class _Common:
+class _SharedParts:
     """Parts that both kinds of process have: node, mirror, members and metrics."""
 
     def __init__(self, settings: ProcessSettings, role: Role, http: str) -> None:
@@ -48,8 +48,8 @@
         )
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.view.subscribe(self._note_document)
-        self._noted = Revision(0)
+        self.view.subscribe(self._log_document)
+        self._logged_revision = Revision(0)
         self.membership = MembershipTracker(
             self.member,
             lambda: self.view.zones_by_id,
@@ -57,10 +57,10 @@
             settings.suspect_after_s * ZONE_SILENT_FACTOR,
         )
 
-    def _note_document(self) -> None:
+    def _log_document(self) -> None:
         revision = self.view.document_revision
-        if revision != self._noted:
-            self._noted = revision
+        if revision != self._logged_revision:
+            self._logged_revision = revision
             log(Event.DOCUMENT_IN_FORCE, revision=revision)
 
 
@@ -68,7 +68,7 @@
     """The request path of one entry host."""
 
     def __init__(self, settings: GatewaySettings) -> None:
-        common = _Common(settings, Role.GATEWAY, settings.forwards or settings.listen)
+        common = _SharedParts(settings, Role.GATEWAY, settings.forwards or settings.listen)
         self._node = common.node
         self._heartbeats = Heartbeats(
             settings,
@@ -129,7 +129,7 @@
     """The fleet path of one entry host."""
 
     def __init__(self, settings: ControllerSettings) -> None:
-        common = _Common(settings, Role.CONTROLLER, settings.listen)
+        common = _SharedParts(settings, Role.CONTROLLER, settings.listen)
         budget = CallBudget(settings.platform.calls_per_s)
         kv = EtcdKeyValue(settings.platform, common.metrics, budget=budget)
         hosts = HttpHostList(settings.platform, common.metrics, budget=budget)
@@ -175,12 +175,12 @@
         )
 
     def _fleet_report(self) -> FleetReport:
-        """Return a report that is at most ``REPORT_AGE_S`` old.
+        """Return a report that is at most ``MAX_REPORT_AGE_S`` old.
 
         It is cached, since waiting clients request it several times a second.
         """
         report = self._fleet.report
-        if time.time() - report.now > REPORT_AGE_S:
+        if time.time() - report.now > MAX_REPORT_AGE_S:
             report = self._fleet.current_report()
         return report
 
--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -47,7 +47,7 @@
     by_process: dict[ProcessId, Member] = {}
     for zone in membership.zones():
         by_process |= {member.process: member for member in membership.registered_in(zone)}
-    by_process |= {heard.member.process: heard.member for heard in membership.heard()}
+    by_process |= {heartbeat.member.process: heartbeat.member for heartbeat in membership.heard()}
     by_process[membership.me.process] = membership.me
     complete_to = _complete_to_by_process(membership, view)
     return tuple(
@@ -75,22 +75,22 @@
     while such a gateway still works by the previous document.
     """
     found = {
-        member.process: news.complete_to
-        for news in (*membership.news(), *_own_word(membership))
-        for member in membership.registered_in(news.zone)
-        if member.process not in news.suspects
+        member.process: zone_status.complete_to
+        for zone_status in (*membership.news(), *_own_zone_status(membership))
+        for member in membership.registered_in(zone_status.zone)
+        if member.process not in zone_status.suspects
     }
     found |= {
-        heard.member.process: heard.complete_to
-        for heard in membership.heard()
-        if heard.member.zone == membership.me.zone
+        heartbeat.member.process: heartbeat.complete_to
+        for heartbeat in membership.heard()
+        if heartbeat.member.zone == membership.me.zone
     }
     return found | {membership.me.process: view.mirror.complete_to}
 
 
-def _own_word(membership: MembershipTracker) -> tuple[ZoneNews, ...]:
-    word = membership.word()
-    return () if word is None else (word,)
+def _own_zone_status(membership: MembershipTracker) -> tuple[ZoneNews, ...]:
+    report = membership.word()
+    return () if report is None else (report,)
 
 
 def _pools(report: FleetReport, view: FleetView) -> tuple[PoolStatus, ...]:
@@ -108,8 +108,10 @@
         owed, missing = report.owed, report.missing
         counts = (report.serving, report.withdrawing, report.stopped)
     else:
-        held = view.pools_by_id.get(pool.id)
-        phases = Counter(host.phase for host in held[0].hosts) if held is not None else Counter()
+        recorded = view.pools_by_id.get(pool.id)
+        phases = (
+            Counter(host.phase for host in recorded[0].hosts) if recorded is not None else Counter()
+        )
         counts = (
             phases[HostPhase.SERVING],
             phases[HostPhase.WITHDRAWING],
@@ -135,9 +137,9 @@
 
     Gateways that are gone are not registered any more, and need not be drained.
     """
-    drained = {one.member.process for one in membership.heard() if one.drained}
-    news = (*membership.news(), *_own_word(membership))
-    drained |= {process for one in news for process in one.drained}
+    drained = {heartbeat.member.process for heartbeat in membership.heard() if heartbeat.drained}
+    zone_statuses = (*membership.news(), *_own_zone_status(membership))
+    drained |= {process for status in zone_statuses for process in status.drained}
     found: dict[HostId, bool] = {}
     for zone in membership.zones():
         for member in membership.registered_in(zone):
--- a/src/lentilrill/_stop_status.py
+++ b/src/lentilrill/_stop_status.py
@@ -9,7 +9,7 @@
 
 __all__ = ["stop_status"]
 
-MAX_HELD_UP_SHOWN = 5
+MAX_DELAYED_SHOWN = 5
 
 
 class Progress(msgspec.Struct):
@@ -26,10 +26,10 @@
 
         The record of a retired host is deleted after its release, so an unknown one is done.
         """
-        begun = bool(self.withdrawing or self.stopped or self.done)
-        if self.withdrawing or (self.waiting and begun):
+        has_begun = bool(self.withdrawing or self.stopped or self.done)
+        if self.withdrawing or (self.waiting and has_begun):
             return StopState.WITHDRAWING
-        if self.waiting or (self.unknown and not begun and not retire):
+        if self.waiting or (self.unknown and not has_begun and not retire):
             return StopState.WAITING
         return StopState.STOPPED if self.stopped else StopState.DONE
 
@@ -50,8 +50,8 @@
     progress = _progress(stop, view, drained_by_entry_host)
     waits = () if report is None else report.waits
     reasons = [f"{wait.hosts} of {wait.pool}: {wait.reason}" for wait in waits]
-    held_up = [host for host in progress.withdrawing if host in unacknowledged]
-    reasons += [f"{host}: {unacknowledged[host]}" for host in held_up[:MAX_HELD_UP_SHOWN]]
+    delayed = [host for host in progress.withdrawing if host in unacknowledged]
+    reasons += [f"{host}: {unacknowledged[host]}" for host in delayed[:MAX_DELAYED_SHOWN]]
     if progress.unknown and not stop.retire:
         reasons.append(f"in no pool: {', '.join(progress.unknown)}")
     return StopStatus(
--- a/src/lentilrill/clocks.py
+++ b/src/lentilrill/clocks.py
@@ -4,7 +4,7 @@
 
 __all__ = ["RemoteClock"]
 
-LAG_HOLDS_S = 5.0
+DRIFT_FREE_S = 5.0
 """Time for which the smallest difference of two clocks is used without a correction for drift.
 It is longer than most delays of a busy reader; a slow clock drifts by a tenth of a second in it."""
 
@@ -19,18 +19,18 @@
     """
 
     def __init__(self, error: float) -> None:
-        self._error = error
-        self._lag_s = math.inf
-        self._lag_read = 0.0
+        self._rate_error = error
+        self._offset_s = math.inf
+        self._offset_read_at = 0.0
 
     def moment_of(self, shown_s: float, read_at: float) -> float:
         """Return the local time at which the other clock showed ``shown_s`` seconds.
 
         :param read_at: local time at which this process read it, after an unknown delay.
         """
-        lag_s = read_at - shown_s
-        age_s = max(0.0, read_at - self._lag_read - LAG_HOLDS_S)
-        least_s = self._lag_s + self._error * age_s
-        if lag_s <= least_s:
-            self._lag_s, self._lag_read = lag_s, read_at
-        return shown_s + min(lag_s, least_s)
+        offset_s = read_at - shown_s
+        age_s = max(0.0, read_at - self._offset_read_at - DRIFT_FREE_S)
+        min_offset_s = self._offset_s + self._rate_error * age_s
+        if offset_s <= min_offset_s:
+            self._offset_s, self._offset_read_at = offset_s, read_at
+        return shown_s + min(offset_s, min_offset_s)
--- a/src/lentilrill/daemon.py
+++ b/src/lentilrill/daemon.py
@@ -28,7 +28,7 @@
 EXIT_START = 1
 EXIT_SETTINGS = 2
 SETTINGS_VARIABLE = "LENTILRILL_CONFIG"
-SETTINGS_LOOK_S = 1.0
+SETTINGS_CHECK_INTERVAL_S = 1.0
 """Interval at which the settings file is checked for changes, which may come without a signal."""
 EPILOG = """\
 Exit codes: 0 ended after a clean drain, 1 it could not start, 2 the settings are wrong.
@@ -64,20 +64,20 @@
     def __init__(self, path: Path, kind: type[ProcessSettings] | type[EntrySettings]) -> None:
         self._path = path
         self._kind = kind
-        self._asked = threading.Event()
-        self._changed = self._stamp()
+        self._reload_requested = threading.Event()
+        self._last_stamp = self._stamp()
 
-    def ask(self) -> None:
+    def request_reload(self) -> None:
         """Request that the next check reads the file, whether it has changed or not."""
-        self._asked.set()
+        self._reload_requested.set()
 
-    def look(self) -> None:
+    def reload_if_needed(self) -> None:
         """Read the file if it has changed or a reload was requested."""
         stamp = self._stamp()
-        if stamp == self._changed and not self._asked.is_set():
+        if stamp == self._last_stamp and not self._reload_requested.is_set():
             return
-        self._asked.clear()
-        self._changed = stamp
+        self._reload_requested.clear()
+        self._last_stamp = stamp
         result = load_settings(self._path, self._kind)
         if isinstance(result, Failure):
             log(Event.SETTINGS_ODD, path=self._path, reason=result.failure().reason)
@@ -169,7 +169,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
     # Without a handler SIGHUP would terminate the process and abort the requests in flight.
-    signal.signal(signal.SIGHUP, lambda *_: watch.ask())
+    signal.signal(signal.SIGHUP, lambda *_: watch.request_reload())
     started = time.monotonic()
     try:
         process.start()
@@ -180,8 +180,8 @@
         traceback.print_exc()
         os._exit(EXIT_START)
     log(Event.PROCESS_STARTED, process=settings.process, zone=settings.zone)
-    while not stop.wait(SETTINGS_LOOK_S):
-        watch.look()
+    while not stop.wait(SETTINGS_CHECK_INTERVAL_S):
+        watch.reload_if_needed()
     log(Event.PROCESS_DRAINING, process=settings.process)
     process.drain()
     log(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 import pytest
 
 KNOWN_RED = "KNOWN-RED.txt"
-MOST_ENTRIES = 3
+MAX_ENTRIES = 3
 
 
 def entries(folder: Path) -> list[str]:
@@ -35,16 +35,16 @@
 ) -> None:
     """Print the entries of the list, and the results of their tests in this run."""
     known = entries(config.rootpath)
-    if len(known) > MOST_ENTRIES:
-        raise pytest.UsageError(f"{KNOWN_RED} holds more than {MOST_ENTRIES} entries")
+    if len(known) > MAX_ENTRIES:
+        raise pytest.UsageError(f"{KNOWN_RED} holds more than {MAX_ENTRIES} entries")
     for entry in known:
         terminalreporter.write_line(f"known red: {entry}")
-    for how, report in _ended(terminalreporter, listed_ids(known)):
+    for how, report in _reports(terminalreporter, listed_ids(known)):
         terminalreporter.write_line(f"known red, {how}: {report.nodeid}")
         terminalreporter.write_line(report.longreprtext)
 
 
-def _ended(
+def _reports(
     reporter: pytest.TerminalReporter, known: set[str]
 ) -> Iterator[tuple[str, pytest.TestReport]]:
     for how, outcome in (("failed", "xfailed"), ("passed", "xpassed")):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -36,9 +36,9 @@
     "refuse",
 ]
 
-SILENT_WATCH_S = 0.2
+WATCH_TIMEOUT_S = 0.2
 
-Fate = Callable[[Callable[[], Result]], Result]
+CallWrapper = Callable[[Callable[[], Result]], Result]
 """Wrapper of one call that decides whether it takes effect and which result its caller gets."""
 
 
@@ -79,8 +79,8 @@
         self.lose_requests = 0
         self.before_commit: Callable[[], None] | None = None
         self.observer: Callable[[dict[str, Item]], None] | None = None
-        self.commits: deque[Fate] = deque()
-        self.reads: deque[Fate] = deque()
+        self.commits: deque[CallWrapper] = deque()
+        self.reads: deque[CallWrapper] = deque()
         self.calls: Counter[str] = Counter()
         self.priorities: list[Priority] = []
         self.revision = Revision(0)
@@ -94,8 +94,8 @@
         self.calls["read"] += 1
         if self.down:
             return _unavailable("read")
-        fate = self.reads.popleft() if self.reads else _as_usual
-        return fate(lambda: self._read(prefix))
+        wrapper = self.reads.popleft() if self.reads else _call_through
+        return wrapper(lambda: self._read(prefix))
 
     def _read(self, prefix: str) -> Result[RangeAnswer, Fault]:
         with self._changed:
@@ -123,8 +123,8 @@
         self.calls["commit"] += 1
         if self.down:
             return _unavailable("commit")
-        fate = self.commits.popleft() if self.commits else _as_usual
-        return fate(lambda: self._commit(compares, writes))
+        wrapper = self.commits.popleft() if self.commits else _call_through
+        return wrapper(lambda: self._commit(compares, writes))
 
     def _commit(
         self, compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
@@ -135,7 +135,7 @@
         if self.lose_requests:
             self.lose_requests -= 1
             return _lost()
-        if any(isinstance(write, Put) and self._is_over(write.lease) for write in writes):
+        if any(isinstance(write, Put) and self._has_ended(write.lease) for write in writes):
             return Failure(Fault("platform.commit", "fake", FaultKind.INVALID, "no such lease"))
         with self._changed:
             held = all(self._revision_of(c.key) == c.revision for c in compares)
@@ -148,7 +148,7 @@
             return _lost()
         return Success(answer)
 
-    def _is_over(self, lease: int) -> bool:
+    def _has_ended(self, lease: int) -> bool:
         return bool(lease) and lease not in self._leases
 
     def put(self, key: str, value: bytes) -> Revision:
@@ -161,12 +161,12 @@
         self.calls["watch"] += 1
         return FakeWatch(self, prefix, after)
 
-    def news(self, prefix: str, after: Revision) -> Result[WatchBatch, Fault]:
+    def changes(self, prefix: str, after: Revision) -> Result[WatchBatch, Fault]:
         """Wait for changes below ``prefix``; return a fault if there are none for a while."""
         with self._changed:
-            if not self._news(prefix, after):
-                self._changed.wait(SILENT_WATCH_S)
-            items, revision = self._news(prefix, after), self.revision
+            if not self._changes_after(prefix, after):
+                self._changed.wait(WATCH_TIMEOUT_S)
+            items, revision = self._changes_after(prefix, after), self.revision
         if self.down or not items:
             return _unavailable("watch")
         return Success(WatchBatch(tuple(items), revision))
@@ -202,7 +202,7 @@
             items = [i for k, i in self.items_by_key.items() if k.startswith("state/")]
             mirror.replace(items, self.revision)
 
-    def _news(self, prefix: str, after: Revision) -> list[Item]:
+    def _changes_after(self, prefix: str, after: Revision) -> list[Item]:
         return [i for i in self._history if i.revision > after and i.key.startswith(prefix)]
 
     def _items_of(self, compares: tuple[Compare, ...]) -> tuple[Item, ...]:
@@ -244,7 +244,7 @@
 
     def __iter__(self) -> Iterator[Result[WatchBatch, Fault]]:
         while not self._ended:
-            result = self._kv.news(self._prefix, self._after)
+            result = self._kv.changes(self._prefix, self._after)
             self._ended = isinstance(result, Failure)
             if not self._ended:
                 self._after = result.unwrap().revision
@@ -333,7 +333,7 @@
             self.handlers[type(message)](batch, message)
 
 
-def _as_usual(call: Callable[[], Result]) -> Result:
+def _call_through(call: Callable[[], Result]) -> Result:
     return call()
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -23,7 +23,7 @@
 
 
 class KnownRedTest(TestCase):
-    def play(self, *listed: str) -> tuple[int, str]:
+    def run_suite(self, *listed: str) -> tuple[int, str]:
         """Run a suite of one failing and one passing test; return exit code and output."""
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
@@ -36,9 +36,9 @@
             run = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
         return run.returncode, run.stdout + run.stderr
 
-    def test_a_listed_test_that_fails_is_passed_over_and_told(self) -> None:
+    def test_a_listed_test_that_fails_is_accepted_and_reported(self) -> None:
         """The test command of the README failed on a fresh clone because of a known failure."""
-        code, output = self.play(RED)
+        code, output = self.run_suite(RED)
         self.assertEqual(0, code)
         self.assertThat(output, Contains(f"known red: {RED} | command | seen | issue 1"))
         self.assertThat(output, Contains(f"known red, failed: {RED}"))
@@ -46,12 +46,12 @@
 
     def test_a_failure_that_is_not_listed_fails_the_run(self) -> None:
         """A new failure was accepted along with a known one."""
-        code, output = self.play(GREEN, "make matrix: a cell")
+        code, output = self.run_suite(GREEN, "make matrix: a cell")
         self.assertEqual(1, code)
         self.assertThat(output, Contains(f"known red, passed: {GREEN}"))
         self.assertThat(output, Not(Contains(f"known red, failed: {RED}")))
 
     def test_the_list_stays_short(self) -> None:
         """Failures accumulated in the list and were not fixed."""
-        code, _ = self.play(*(f"make matrix: {number}" for number in range(4)), RED)
+        code, _ = self.run_suite(*(f"make matrix: {number}" for number in range(4)), RED)
         self.assertNotEqual(0, code)
