--- a/src/lentilrill/fleet/_coordination.py
+++ b/src/lentilrill/fleet/_coordination.py
@@ -8,7 +8,7 @@
 
 from lentilrill.fleet._actions import Action, Close
 from lentilrill.ids import HostId, PoolId, ZoneId
-from lentilrill.membership import Member, Role, Roster, rendezvous
+from lentilrill.membership import Member, MembershipList, Role, rendezvous
 
 __all__ = ["ActionCoordinator", "ControllerRank"]
 
@@ -40,7 +40,7 @@
     over what the primary one leaves undone.
     """
 
-    def __init__(self, roster: Roster) -> None:
+    def __init__(self, roster: MembershipList) -> None:
         self._roster = roster
         self._undone_since: dict[ActionKey, float] = {}
 
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -21,7 +21,7 @@
 from lentilrill.fleet._writer import ActionWriter
 from lentilrill.ids import HostId, PoolId, StopId
 from lentilrill.inner import Batch, HostTrouble, WithdrawalAck
-from lentilrill.membership import Member, Roster
+from lentilrill.membership import Member, MembershipList
 from lentilrill.settings import ControllerSettings
 from lentilrill.store import HostList, HostListing, KeyValue
 from lentilrill.telemetry import Event, Metrics, log
@@ -65,7 +65,7 @@
         kv: KeyValue,
         hosts: HostList,
         view: FleetView,
-        roster: Roster,
+        roster: MembershipList,
         settings: ControllerSettings,
         node: _Inner,
         metrics: Metrics,
--- a/src/lentilrill/fleet/_trouble_reports.py
+++ b/src/lentilrill/fleet/_trouble_reports.py
@@ -7,7 +7,7 @@
 
 from lentilrill.ids import HostId
 from lentilrill.inner import HostTrouble
-from lentilrill.membership import Roster
+from lentilrill.membership import MembershipList
 
 __all__ = ["TroubleReports"]
 
@@ -27,7 +27,7 @@
 class TroubleReports:
     """Last report of each gateway of the zone, with the status that other zones send."""
 
-    def __init__(self, roster: Roster) -> None:
+    def __init__(self, roster: MembershipList) -> None:
         self._roster = roster
         self._lock = threading.Lock()
         self._report_by_sender: dict[tuple[str, int], _Report] = {}
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -18,7 +18,7 @@
 )
 from lentilrill.jobs._contract import Claim, ClaimResult, Recorded
 from lentilrill.jobs._shards import owner_of, shard_of
-from lentilrill.membership import Roster
+from lentilrill.membership import MembershipList
 from lentilrill.telemetry import Event, log
 
 __all__ = ["ClaimClient"]
@@ -44,7 +44,7 @@
     :param retention_s: seconds for which telling an outcome is tried.
     """
 
-    def __init__(self, node: Node, roster: Roster, shards: int, retention_s: float) -> None:
+    def __init__(self, node: Node, roster: MembershipList, shards: int, retention_s: float) -> None:
         self._node = node
         self._roster = roster
         self._shards = shards
--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -12,7 +12,7 @@
 from lentilrill.inner import ClaimAnswer, ClaimAsk, ClaimState, Message, Node, OutcomeNote
 from lentilrill.jobs._shard import Arrival, Shard, Turn
 from lentilrill.jobs._shards import owner_of
-from lentilrill.membership import Role, Roster
+from lentilrill.membership import MembershipList, Role
 from lentilrill.store import KeyValue
 from lentilrill.telemetry import Event, Metrics, log
 
@@ -50,7 +50,7 @@
     def __init__(
         self,
         node: Node,
-        roster: Roster,
+        roster: MembershipList,
         platform: KeyValue,
         metrics: Metrics,
         shards: int,
--- a/src/lentilrill/jobs/_shards.py
+++ b/src/lentilrill/jobs/_shards.py
@@ -3,7 +3,7 @@
 import hashlib
 
 from lentilrill.ids import PlanId
-from lentilrill.membership import Member, Role, Roster, rendezvous
+from lentilrill.membership import Member, MembershipList, Role, rendezvous
 
 __all__ = ["owner_of", "shard_of"]
 
@@ -14,6 +14,6 @@
     return int.from_bytes(digest, "big") % shards
 
 
-def owner_of(shard: int, roster: Roster) -> Member | None:
+def owner_of(shard: int, roster: MembershipList) -> Member | None:
     """Return the gateway that this process believes to own ``shard``."""
     return rendezvous(f"claims/{shard}", roster.alive(Role.GATEWAY))
--- a/src/lentilrill/membership/__init__.py
+++ b/src/lentilrill/membership/__init__.py
@@ -1,6 +1,6 @@
 """Members of the system, their liveness, and their responsibilities."""
 
-from lentilrill.membership._contract import Roster, ranked, rendezvous
+from lentilrill.membership._contract import MembershipList, ranked, rendezvous
 from lentilrill.membership._drain import should_drain
 from lentilrill.membership._records import Liveness, Member, Role, ZoneNews, ZoneRecord, zone_key
 from lentilrill.membership._tracker import LastHeartbeat, MembershipTracker
@@ -9,9 +9,9 @@
     "LastHeartbeat",
     "Liveness",
     "Member",
+    "MembershipList",
     "MembershipTracker",
     "Role",
-    "Roster",
     "ZoneNews",
     "ZoneRecord",
     "ranked",
--- a/src/lentilrill/membership/_contract.py
+++ b/src/lentilrill/membership/_contract.py
@@ -7,10 +7,10 @@
 from lentilrill.ids import ZoneId
 from lentilrill.membership._records import Liveness, Member, Role, ZoneNews
 
-__all__ = ["Roster", "ranked", "rendezvous"]
+__all__ = ["MembershipList", "ranked", "rendezvous"]
 
 
-class Roster(Protocol):
+class MembershipList(Protocol):
     """Members of the system, with their liveness in this process's view."""
 
     @property
--- a/src/lentilrill/routing/_placement.py
+++ b/src/lentilrill/routing/_placement.py
@@ -4,7 +4,7 @@
 
 from lentilrill.ids import PoolId, ZoneId
 from lentilrill.inner import Batch
-from lentilrill.membership import Liveness, Member, Role, Roster, ranked
+from lentilrill.membership import Liveness, Member, MembershipList, Role, ranked
 from lentilrill.routing._queue import GatewayInstance
 
 __all__ = ["Placement", "instance_of", "sender_of"]
@@ -23,7 +23,7 @@
 class Placement:
     """The gateways and schedulers of each zone, computed once for each membership change."""
 
-    def __init__(self, membership: Roster) -> None:
+    def __init__(self, membership: MembershipList) -> None:
         self._membership = membership
         self._lock = threading.Lock()
         self._gateways_by_zone: dict[ZoneId, tuple[Member, ...]] = {}
--- a/src/lentilrill/routing/_routing.py
+++ b/src/lentilrill/routing/_routing.py
@@ -6,7 +6,7 @@
 
 from lentilrill.fleet import FleetView
 from lentilrill.inner import Node
-from lentilrill.membership import Roster
+from lentilrill.membership import MembershipList
 from lentilrill.routing._client import SlotClient
 from lentilrill.routing._ledger import SendLedger
 from lentilrill.routing._placement import Placement
@@ -37,7 +37,7 @@
         self,
         node: Node,
         view: FleetView,
-        membership: Roster,
+        membership: MembershipList,
         clock: Callable[[], float] = time.monotonic,
         metrics: Metrics | None = None,
         may_acknowledge: Callable[[], bool] = _always,
