--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -5,7 +5,7 @@
 from lentilrill._stop_status import stop_status
 from lentilrill.fleet import FleetReport, FleetView, HostPhase, PoolReport, StopReport
 from lentilrill.ids import HostId, ProcessId, Revision
-from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneStatus
 from lentilrill.operators import (
     MemberStatus,
     PoolStatus,
@@ -88,7 +88,7 @@
     return found | {membership.me.process: view.mirror.complete_to}
 
 
-def _own_zone_status(membership: MembershipTracker) -> tuple[ZoneNews, ...]:
+def _own_zone_status(membership: MembershipTracker) -> tuple[ZoneStatus, ...]:
     report = membership.word()
     return () if report is None else (report,)
 
--- a/src/lentilrill/gossip/_health.py
+++ b/src/lentilrill/gossip/_health.py
@@ -3,12 +3,12 @@
 import time
 
 from lentilrill.inner import ZoneHealth
-from lentilrill.membership import ZoneNews
+from lentilrill.membership import ZoneStatus
 
 __all__ = ["zone_health", "zone_status"]
 
 
-def zone_health(status: ZoneNews) -> ZoneHealth:
+def zone_health(status: ZoneStatus) -> ZoneHealth:
     """Return the message for ``status``, with its age, since monotonic clocks differ."""
     return ZoneHealth(
         status.zone,
@@ -21,9 +21,9 @@
     )
 
 
-def zone_status(health: ZoneHealth) -> ZoneNews:
+def zone_status(health: ZoneHealth) -> ZoneStatus:
     """Return the local form of a message received just now, timed by this process's clock."""
-    return ZoneNews(
+    return ZoneStatus(
         health.zone,
         time.monotonic() - health.age_s,
         frozenset(health.suspects),
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -9,7 +9,7 @@
 from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Batch, Heartbeat, Leave, Node, ZoneHealth
-from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneStatus
 from lentilrill.settings import ProcessSettings
 from lentilrill.store import Mirror
 from lentilrill.telemetry import Event, Metrics, log
@@ -210,7 +210,7 @@
         )
         ejected, leaving = self._trouble()
         return zone_health(
-            ZoneNews(
+            ZoneStatus(
                 zone,
                 time.monotonic(),
                 suspects,
--- a/src/lentilrill/membership/__init__.py
+++ b/src/lentilrill/membership/__init__.py
@@ -2,7 +2,7 @@
 
 from lentilrill.membership._contract import MembershipList, ranked, rendezvous
 from lentilrill.membership._drain import should_drain
-from lentilrill.membership._records import Liveness, Member, Role, ZoneNews, ZoneRecord, zone_key
+from lentilrill.membership._records import Liveness, Member, Role, ZoneRecord, ZoneStatus, zone_key
 from lentilrill.membership._tracker import LastHeartbeat, MembershipTracker
 
 __all__ = [
@@ -12,8 +12,8 @@
     "MembershipList",
     "MembershipTracker",
     "Role",
-    "ZoneNews",
     "ZoneRecord",
+    "ZoneStatus",
     "ranked",
     "rendezvous",
     "should_drain",
--- a/src/lentilrill/membership/_contract.py
+++ b/src/lentilrill/membership/_contract.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from lentilrill.ids import ZoneId
-from lentilrill.membership._records import Liveness, Member, Role, ZoneNews
+from lentilrill.membership._records import Liveness, Member, Role, ZoneStatus
 
 __all__ = ["MembershipList", "ranked", "rendezvous"]
 
@@ -23,7 +23,7 @@
     def liveness(self, member: Member) -> Liveness:
         """Return the liveness of one incarnation of a process."""
 
-    def news(self) -> tuple[ZoneNews, ...]:
+    def news(self) -> tuple[ZoneStatus, ...]:
         """Return the last status received from each other zone's controllers, sorted by zone."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/src/lentilrill/membership/_records.py
+++ b/src/lentilrill/membership/_records.py
@@ -6,7 +6,7 @@
 
 from lentilrill.ids import EntryHostId, HostId, Incarnation, ProcessId, Revision, ZoneId
 
-__all__ = ["Liveness", "Member", "Role", "ZoneNews", "ZoneRecord", "zone_key"]
+__all__ = ["Liveness", "Member", "Role", "ZoneRecord", "ZoneStatus", "zone_key"]
 
 
 class Role(Enum):
@@ -53,7 +53,7 @@
     members: tuple[Member, ...] = ()
 
 
-class ZoneNews(msgspec.Struct, frozen=True):
+class ZoneStatus(msgspec.Struct, frozen=True):
     """Last status of a zone that its controllers reported.
 
     :param at: time of the report in monotonic seconds.
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -8,7 +8,7 @@
 
 from lentilrill.ids import ProcessId, Revision, ZoneId
 from lentilrill.membership._contract import ranked
-from lentilrill.membership._records import Liveness, Member, Role, ZoneNews, ZoneRecord
+from lentilrill.membership._records import Liveness, Member, Role, ZoneRecord, ZoneStatus
 
 __all__ = ["LastHeartbeat", "MembershipTracker"]
 
@@ -65,8 +65,8 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._last_heartbeat_by_process: dict[ProcessId, LastHeartbeat] = {}
-        self._status_by_zone: dict[ZoneId, ZoneNews] = {}
-        self._report_by_head: dict[ProcessId, ZoneNews] = {}
+        self._status_by_zone: dict[ZoneId, ZoneStatus] = {}
+        self._report_by_head: dict[ProcessId, ZoneStatus] = {}
         self._probed_at_by_process: dict[ProcessId, float] = {}
         self._heads: tuple[Member, ...] = ()
         self._registered_by_process: dict[ProcessId, Member] = {}
@@ -107,12 +107,12 @@
                 heartbeat for _, heartbeat in sorted(self._last_heartbeat_by_process.items())
             )
 
-    def news(self) -> tuple[ZoneNews, ...]:
+    def news(self) -> tuple[ZoneStatus, ...]:
         """Return the last status received of each other zone, sorted by zone."""
         with self._lock:
             return tuple(status for _, status in sorted(self._status_by_zone.items()))
 
-    def word(self) -> ZoneNews | None:
+    def word(self) -> ZoneStatus | None:
         """Return the newest report of a head of this process's own zone, if one is recent."""
         return max(self._recent_head_reports(), key=lambda report: report.at, default=None)
 
@@ -192,7 +192,7 @@
         with self._lock:
             self._probed_at_by_process.setdefault(member.process, self._clock())
 
-    def record_head_report(self, head: ProcessId, report: ZoneNews) -> None:
+    def record_head_report(self, head: ProcessId, report: ZoneStatus) -> None:
         """Record the report of a head on this process's own zone."""
         with self._lock:
             self._report_by_head[head] = report
@@ -207,7 +207,7 @@
                 )
         self.refresh()
 
-    def record_zone_statuses(self, statuses: Iterable[ZoneNews]) -> None:
+    def record_zone_statuses(self, statuses: Iterable[ZoneStatus]) -> None:
         """Record those statuses of other zones that are newer than the recorded ones."""
         with self._lock:
             for status in statuses:
@@ -298,7 +298,7 @@
             return False
         return any(member.process not in report.suspects for report in self._recent_head_reports())
 
-    def _recent_head_reports(self) -> list[ZoneNews]:
+    def _recent_head_reports(self) -> list[ZoneStatus]:
         oldest = self._clock() - self._suspect_after_s
         with self._lock:
             return [report for report in self._report_by_head.values() if report.at >= oldest]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -9,7 +9,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision, ZoneId
-from lentilrill.membership import Liveness, Member, Role, ZoneNews
+from lentilrill.membership import Liveness, Member, Role, ZoneStatus
 from lentilrill.store import (
     Compare,
     DeleteRange,
@@ -288,7 +288,7 @@
     def __init__(self, me: Member, members: list[Member]) -> None:
         self.me = me
         self.members = members
-        self.zone_news: tuple[ZoneNews, ...] = ()
+        self.zone_news: tuple[ZoneStatus, ...] = ()
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
         return tuple(
@@ -301,7 +301,7 @@
     def liveness(self, member: Member) -> Liveness:
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
-    def news(self) -> tuple[ZoneNews, ...]:
+    def news(self) -> tuple[ZoneStatus, ...]:
         return self.zone_news
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -10,7 +10,7 @@
 from lentilrill.fleet._actions import Withdraw
 from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.ids import HostId, PoolId, Revision, StopId, ZoneId
-from lentilrill.membership import ZoneNews
+from lentilrill.membership import ZoneStatus
 from lentilrill.settings import Document, Objective, PlannedStop
 from lentilrill.store import Mirror
 from tests.builders import a_plan, a_pool, an_entitlement
@@ -118,7 +118,7 @@
         # about the hosts that schedulers of this zone have ejected.
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
-        news = ZoneNews(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
+        news = ZoneStatus(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
         far.roster.zone_news = (msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),)
         world.change(stops=(a_stop(["h1"]),))
         world.sync()
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -6,7 +6,7 @@
 
 from lentilrill.fleet import HostPhase
 from lentilrill.ids import HostId, Revision, StopId, ZoneId
-from lentilrill.membership import ZoneNews
+from lentilrill.membership import ZoneStatus
 from lentilrill.settings import Document, PlannedStop
 from tests.builders import a_plan, a_pool
 from tests.fleet.world import World
@@ -67,7 +67,7 @@
         # other host of the pool, and the plan is left with no host at all.
         self.world.run(2)
         ejected, other = sorted(self.world.entries("ballots"))
-        news = ZoneNews(
+        news = ZoneStatus(
             ZoneId("z2"),
             time.monotonic(),
             frozenset(),
--- a/tests/gossip/test_ring.py
+++ b/tests/gossip/test_ring.py
@@ -4,7 +4,7 @@
 
 from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import Revision, ZoneId
-from lentilrill.membership import Member, MembershipTracker, Role, ZoneNews, ZoneRecord
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneRecord, ZoneStatus
 from tests import builders
 
 ZONES = 11
@@ -27,7 +27,7 @@
         membership = MembershipTracker(me, lambda: self.records, 2.0, 5.0, lambda: 0.0)
         if has_statuses:
             membership.record_zone_statuses(
-                ZoneNews(m.zone, 0.0, frozenset(), Revision(1)) for m in self.members
+                ZoneStatus(m.zone, 0.0, frozenset(), Revision(1)) for m in self.members
             )
         membership.refresh()
         return ZoneRing(membership, me.zone, ())
--- a/tests/membership/test_tracker.py
+++ b/tests/membership/test_tracker.py
@@ -9,8 +9,8 @@
     Member,
     MembershipTracker,
     Role,
-    ZoneNews,
     ZoneRecord,
+    ZoneStatus,
     rendezvous,
 )
 from lentilrill.membership._tracker import MAX_ENDED_MEMBERS
@@ -107,7 +107,7 @@
         two = builders.a_member("gw-b", zone=THERE)
         self.register(THERE, one, two)
         self.assertEqual((), self.alive(THERE))
-        news = ZoneNews(THERE, self.now, frozenset({two.process}), Revision(1))
+        news = ZoneStatus(THERE, self.now, frozenset({two.process}), Revision(1))
         self.tracker.record_zone_statuses([news])
         self.assertEqual((one,), self.alive(THERE))
         self.assertEqual((one, self.me), self.alive())
@@ -118,8 +118,8 @@
     def test_an_older_status_of_a_zone_is_dropped(self) -> None:
         one = builders.a_member("gw-a", zone=THERE)
         self.register(THERE, one)
-        self.tracker.record_zone_statuses([ZoneNews(THERE, self.now, frozenset(), Revision(1))])
-        stale = ZoneNews(THERE, self.now - 1, frozenset({one.process}), Revision(1))
+        self.tracker.record_zone_statuses([ZoneStatus(THERE, self.now, frozenset(), Revision(1))])
+        stale = ZoneStatus(THERE, self.now - 1, frozenset({one.process}), Revision(1))
         self.tracker.record_zone_statuses([stale])
         self.assertEqual((one,), self.alive(THERE))
 
@@ -175,9 +175,9 @@
         self.tracker.refresh()
         return self.tracker.heads()
 
-    def report(self, *suspects: Member) -> ZoneNews:
+    def report(self, *suspects: Member) -> ZoneStatus:
         processes = frozenset(member.process for member in suspects)
-        return ZoneNews(HERE, self.now, processes, Revision(1))
+        return ZoneStatus(HERE, self.now, processes, Revision(1))
 
     def test_a_head_that_does_not_answer_is_replaced(self) -> None:
         first, second = self.heads()
