--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -76,7 +76,7 @@
     """
     found = {
         member.process: zone_status.complete_to
-        for zone_status in (*membership.news(), *_own_zone_status(membership))
+        for zone_status in (*membership.zone_statuses(), *_own_zone_status(membership))
         for member in membership.registered_in(zone_status.zone)
         if member.process not in zone_status.suspects
     }
@@ -138,7 +138,7 @@
     Gateways that are gone are not registered any more, and need not be drained.
     """
     drained = {heartbeat.member.process for heartbeat in membership.heard() if heartbeat.drained}
-    zone_statuses = (*membership.news(), *_own_zone_status(membership))
+    zone_statuses = (*membership.zone_statuses(), *_own_zone_status(membership))
     drained |= {process for status in zone_statuses for process in status.drained}
     found: dict[HostId, bool] = {}
     for zone in membership.zones():
--- a/src/lentilrill/fleet/_trouble_reports.py
+++ b/src/lentilrill/fleet/_trouble_reports.py
@@ -56,7 +56,7 @@
         pool may be in another zone and would spend the budget a second time.
         """
         ejected, leaving = self.in_zone(now)
-        for news in self._roster.news():
+        for news in self._roster.zone_statuses():
             if time.monotonic() - news.at <= REPORT_TTL_S:
                 ejected, leaving = ejected | news.ejected, leaving | news.leaving
         return ejected, leaving
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -189,7 +189,7 @@
         return answer
 
     def _health(self) -> tuple[ZoneHealth, ...]:
-        others = [zone_health(status) for status in self._membership.news()]
+        others = [zone_health(status) for status in self._membership.zone_statuses()]
         if self._has_zone_view:
             return (self._own_health(), *others)
         report = self._membership.word()
--- a/src/lentilrill/membership/_contract.py
+++ b/src/lentilrill/membership/_contract.py
@@ -23,7 +23,7 @@
     def liveness(self, member: Member) -> Liveness:
         """Return the liveness of one incarnation of a process."""
 
-    def news(self) -> tuple[ZoneStatus, ...]:
+    def zone_statuses(self) -> tuple[ZoneStatus, ...]:
         """Return the last status received from each other zone's controllers, sorted by zone."""
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -107,7 +107,7 @@
                 heartbeat for _, heartbeat in sorted(self._last_heartbeat_by_process.items())
             )
 
-    def news(self) -> tuple[ZoneStatus, ...]:
+    def zone_statuses(self) -> tuple[ZoneStatus, ...]:
         """Return the last status received of each other zone, sorted by zone."""
         with self._lock:
             return tuple(status for _, status in sorted(self._status_by_zone.items()))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -301,7 +301,7 @@
     def liveness(self, member: Member) -> Liveness:
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
-    def news(self) -> tuple[ZoneStatus, ...]:
+    def zone_statuses(self) -> tuple[ZoneStatus, ...]:
         return self.zone_news
 
     def subscribe(self, listener: Callable[[], None]) -> None:
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -42,7 +42,7 @@
     def heard(self) -> tuple:
         return tuple(self.heard_list)
 
-    def news(self) -> tuple:
+    def zone_statuses(self) -> tuple:
         return tuple(self.news_list)
 
     def word(self) -> None:
