--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -47,7 +47,9 @@
     by_process: dict[ProcessId, Member] = {}
     for zone in membership.zones():
         by_process |= {member.process: member for member in membership.registered_in(zone)}
-    by_process |= {heartbeat.member.process: heartbeat.member for heartbeat in membership.heard()}
+    by_process |= {
+        heartbeat.member.process: heartbeat.member for heartbeat in membership.last_heartbeats()
+    }
     by_process[membership.me.process] = membership.me
     complete_to = _complete_to_by_process(membership, view)
     return tuple(
@@ -82,7 +84,7 @@
     }
     found |= {
         heartbeat.member.process: heartbeat.complete_to
-        for heartbeat in membership.heard()
+        for heartbeat in membership.last_heartbeats()
         if heartbeat.member.zone == membership.me.zone
     }
     return found | {membership.me.process: view.mirror.complete_to}
@@ -137,7 +139,9 @@
 
     Gateways that are gone are not registered any more, and need not be drained.
     """
-    drained = {heartbeat.member.process for heartbeat in membership.heard() if heartbeat.drained}
+    drained = {
+        heartbeat.member.process for heartbeat in membership.last_heartbeats() if heartbeat.drained
+    }
     zone_statuses = (*membership.zone_statuses(), *_own_zone_status(membership))
     drained |= {process for status in zone_statuses for process in status.drained}
     found: dict[HostId, bool] = {}
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -200,7 +200,7 @@
         suspects = frozenset(member.process for member in self._membership.silent())
         alive = [
             heartbeat
-            for heartbeat in self._membership.heard()
+            for heartbeat in self._membership.last_heartbeats()
             if heartbeat.member.zone == zone
             and heartbeat.member.process not in suspects
             and not heartbeat.left
@@ -229,7 +229,7 @@
         addresses = {member.inner for member in self._registered(me.zone)}
         addresses |= {
             heartbeat.member.inner
-            for heartbeat in self._membership.heard()
+            for heartbeat in self._membership.last_heartbeats()
             if heartbeat.member.zone == me.zone and not heartbeat.left
         }
         if len(addresses - {me.inner}) == 0:
--- a/src/lentilrill/gossip/_recorder.py
+++ b/src/lentilrill/gossip/_recorder.py
@@ -112,7 +112,7 @@
         me = self._membership.me
         alive = [
             heartbeat.member
-            for heartbeat in self._membership.heard()
+            for heartbeat in self._membership.last_heartbeats()
             if heartbeat.member.zone == me.zone
             and self._membership.liveness(heartbeat.member) is Liveness.ALIVE
         ]
--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -82,7 +82,9 @@
     def _should_watch(self) -> bool:
         me = self._membership.me
         with_platform = {
-            heartbeat.member for heartbeat in self._membership.heard() if heartbeat.platform
+            heartbeat.member
+            for heartbeat in self._membership.last_heartbeats()
+            if heartbeat.platform
         }
         candidates = [
             head for head in self._membership.heads() if head == me or head in with_platform
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -100,7 +100,7 @@
         """Return the zones that have a record, sorted."""
         return tuple(sorted(self._zones_by_id()))
 
-    def heard(self) -> tuple[LastHeartbeat, ...]:
+    def last_heartbeats(self) -> tuple[LastHeartbeat, ...]:
         """Return the last heartbeats, sorted by process id."""
         with self._lock:
             return tuple(
@@ -128,7 +128,7 @@
         """
         zone = self._me.zone
         known = {m.process: m for m in self.registered_in(zone) if m.role is Role.CONTROLLER}
-        for heartbeat in self.heard():
+        for heartbeat in self.last_heartbeats():
             if heartbeat.member.zone == zone and heartbeat.member.role is Role.CONTROLLER:
                 known[heartbeat.member.process] = heartbeat.member
         if self._me.role is Role.CONTROLLER:
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -39,7 +39,7 @@
     def registered_in(self, zone: ZoneId) -> tuple[Member, ...]:
         return self.view.zones_by_id[zone][0].members
 
-    def heard(self) -> tuple:
+    def last_heartbeats(self) -> tuple:
         return tuple(self.heard_list)
 
     def zone_statuses(self) -> tuple:
