--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -91,7 +91,7 @@
 
 
 def _own_zone_status(membership: MembershipTracker) -> tuple[ZoneStatus, ...]:
-    report = membership.word()
+    report = membership.latest_head_report()
     return () if report is None else (report,)
 
 
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -136,7 +136,9 @@
         for member in others:
             self._membership.record_probe(member)
         addresses = [member.inner for member in others]
-        settled = self._has_zone_view if is_head else self._membership.word() is not None
+        settled = (
+            self._has_zone_view if is_head else self._membership.latest_head_report() is not None
+        )
         # During a network partition two heads may each consider the other silent and remain
         # heads. They find each other afterwards only by sending to all members again.
         if not settled or (is_head and beat % PROBE_EVERY_BEATS == 0):
@@ -192,7 +194,7 @@
         others = [zone_health(status) for status in self._membership.zone_statuses()]
         if self._has_zone_view:
             return (self._own_health(), *others)
-        report = self._membership.word()
+        report = self._membership.latest_head_report()
         return tuple(others) if report is None else (zone_health(report), *others)
 
     def _own_health(self) -> ZoneHealth:
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -112,7 +112,7 @@
         with self._lock:
             return tuple(status for _, status in sorted(self._status_by_zone.items()))
 
-    def word(self) -> ZoneStatus | None:
+    def latest_head_report(self) -> ZoneStatus | None:
         """Return the newest report of a head of this process's own zone, if one is recent."""
         return max(self._recent_head_reports(), key=lambda report: report.at, default=None)
 
--- a/tests/gossip/test_heartbeats.py
+++ b/tests/gossip/test_heartbeats.py
@@ -150,7 +150,7 @@
         self.register(heads + gateways)
         one, two = gateways
         self.assertTrue(one.until(lambda: two.member in one.membership.alive(Role.GATEWAY)))
-        self.assertTrue(one.until(lambda: one.membership.word() is not None))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is not None))
 
     def test_gateways_detect_each_other_without_any_head(self) -> None:
         # A faulty release crashes every controller of a zone. The gateways must still detect each
@@ -163,10 +163,10 @@
         ]
         self.register([head, *gateways])
         one, two = gateways
-        self.assertTrue(one.until(lambda: one.membership.word() is not None))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is not None))
         head.node.close(0.0)
         self.addCleanup(head.heartbeats.close)
-        self.assertTrue(one.until(lambda: one.membership.word() is None))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is None))
         alive = [two.member, one.member]
         for peer in gateways:
             self.assertTrue(
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -45,7 +45,7 @@
     def zone_statuses(self) -> tuple:
         return tuple(self.news_list)
 
-    def word(self) -> None:
+    def latest_head_report(self) -> None:
         return None
 
     def liveness(self, member: Member) -> Liveness:
