--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -29,8 +29,8 @@
     "CountingMetrics",
     "FakeHostList",
     "FakeKeyValue",
+    "FakeMembershipList",
     "FakeNode",
-    "FakeRoster",
     "lose_answer",
     "lose_request",
     "refuse",
@@ -282,7 +282,7 @@
         return Success(self.last)
 
 
-class FakeRoster:
+class FakeMembershipList:
     """List of members that the test sets."""
 
     def __init__(self, me: Member, members: list[Member]) -> None:
--- a/tests/fleet/test_coordination.py
+++ b/tests/fleet/test_coordination.py
@@ -7,7 +7,7 @@
 from lentilrill.ids import HostId, PoolId, ZoneId
 from lentilrill.membership import Member, Role, rendezvous
 from tests.builders import a_member
-from tests.fakes import FakeRoster
+from tests.fakes import FakeMembershipList
 
 POOL = PoolId("library")
 
@@ -26,7 +26,7 @@
         # gateways send acknowledgements only to the controllers of their own zone, but the first
         # candidate of the pool is in another zone and never sees the action, while the other
         # controllers wait for it.
-        coordinator = ActionCoordinator(FakeRoster(self.second, self.members))
+        coordinator = ActionCoordinator(FakeMembershipList(self.second, self.members))
         close = Close(HostId("w1"), POOL, "all gateways acknowledged the withdrawal")
         self.assertEqual(
             [close], coordinator.own_actions([close], {close.host: self.second.zone}, 0.0)
@@ -38,6 +38,6 @@
         self.assertEqual([propose], self.actions_of(self.first, propose))
 
     def actions_of(self, me: Member, action: Action) -> list[Action]:
-        return ActionCoordinator(FakeRoster(me, self.members)).own_actions(
+        return ActionCoordinator(FakeMembershipList(me, self.members)).own_actions(
             [action], {action.host: me.zone}, 0.0
         )
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -9,7 +9,7 @@
 from lentilrill.settings import ControllerSettings, Document, InnerKeys, PlatformSettings
 from lentilrill.store import HostInfo, HostState, Mirror
 from tests.builders import a_member
-from tests.fakes import CountingMetrics, FakeHostList, FakeKeyValue, FakeNode, FakeRoster
+from tests.fakes import CountingMetrics, FakeHostList, FakeKeyValue, FakeMembershipList, FakeNode
 
 __all__ = ["Controller", "World"]
 
@@ -24,7 +24,7 @@
         self.node = FakeNode()
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.roster = FakeRoster(self.member, world.members)
+        self.roster = FakeMembershipList(self.member, world.members)
         self.hosts = FakeHostList(world.clock)
         self.hosts.infos_by_id = world.hosts.infos_by_id
         settings = ControllerSettings(
