--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -288,7 +288,7 @@
     def __init__(self, me: Member, members: list[Member]) -> None:
         self.me = me
         self.members = members
-        self.zone_news: tuple[ZoneStatus, ...] = ()
+        self.reported_statuses: tuple[ZoneStatus, ...] = ()
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
         return tuple(
@@ -302,7 +302,7 @@
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
     def zone_statuses(self) -> tuple[ZoneStatus, ...]:
-        return self.zone_news
+        return self.reported_statuses
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         del listener
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -119,7 +119,9 @@
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
         news = ZoneStatus(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
-        far.roster.zone_news = (msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),)
+        far.roster.reported_statuses = (
+            msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),
+        )
         world.change(stops=(a_stop(["h1"]),))
         world.sync()
         world.now += 1
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -74,11 +74,11 @@
             Revision(1),
             ejected=frozenset({ejected}),
         )
-        self.controller.roster.zone_news = (news,)
+        self.controller.roster.reported_statuses = (news,)
         self.world.change(stops=(a_stop(other),))
         self.world.run(3)
         self.assertEqual([], self.world.in_phase("ballots", HostPhase.WITHDRAWING))
-        self.controller.roster.zone_news = ()
+        self.controller.roster.reported_statuses = ()
         self.world.run(3, acks=False)
         self.assertEqual([other], self.world.in_phase("ballots", HostPhase.WITHDRAWING))
 
