--- a/src/lentilrill/clocks.py
+++ b/src/lentilrill/clocks.py
@@ -23,7 +23,7 @@
         self._offset_s = math.inf
         self._offset_read_at = 0.0
 
-    def moment_of(self, shown_s: float, read_at: float) -> float:
+    def local_time_of(self, shown_s: float, read_at: float) -> float:
         """Return the local time at which the other clock showed ``shown_s`` seconds.
 
         :param read_at: local time at which this process read it, after an unknown delay.
--- a/src/lentilrill/entry/_status_exchange.py
+++ b/src/lentilrill/entry/_status_exchange.py
@@ -230,7 +230,7 @@
             if clock is None or incarnation != batch.incarnation:
                 clock = RemoteClock(MAX_CLOCK_ERROR)
                 self._clock_by_process[batch.sender] = (batch.incarnation, clock)
-            return now - max(0.0, received_at - clock.moment_of(status.sent_s, received_at))
+            return now - max(0.0, received_at - clock.local_time_of(status.sent_s, received_at))
 
     def _record_pressure(self, pressure: PoolPressure, sent_at: float) -> bool:
         """Record a pool's pressure; return whether its need has risen."""
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -226,7 +226,7 @@
 
         :param read_at: when this process read it, which is later by an unknown delay.
         """
-        return self._clock.moment_of(clock_ms / 1000, read_at)
+        return self._clock.local_time_of(clock_ms / 1000, read_at)
 
     def reset(self, started_ms: int) -> None:
         """Reset the state that belongs to the endpoint's former process."""
