--- a/src/lentilrill/inner/__init__.py
+++ b/src/lentilrill/inner/__init__.py
@@ -16,7 +16,7 @@
     ReleaseTold,
 )
 from lentilrill.inner._grants import (
-    LONGEST_RUN_S,
+    MAX_JOB_RUN_S,
     Ask,
     Cancel,
     Done,
@@ -35,7 +35,7 @@
 from lentilrill.inner._withdrawals import Barred, HostTrouble, WithdrawalAck
 
 __all__ = [
-    "LONGEST_RUN_S",
+    "MAX_JOB_RUN_S",
     "Ask",
     "Barred",
     "Batch",
--- a/src/lentilrill/inner/_grants.py
+++ b/src/lentilrill/inner/_grants.py
@@ -21,7 +21,7 @@
     "Verdict",
 ]
 
-LONGEST_RUN_S = 900.0
+MAX_JOB_RUN_S = 900.0
 
 
 class Ask(msgspec.Struct, frozen=True, tag="ask"):
@@ -46,7 +46,7 @@
     wait_s: float
     reply_to: str
     avoid: tuple[HostId, ...] = ()
-    answer_s: float = LONGEST_RUN_S
+    answer_s: float = MAX_JOB_RUN_S
     spillable: bool = True
     insist: bool = False
 
@@ -144,7 +144,7 @@
     grant: GrantId
     host: HostId
     plan: PlanId
-    answer_s: float = LONGEST_RUN_S
+    answer_s: float = MAX_JOB_RUN_S
 
 
 class HeldAsk(msgspec.Struct, frozen=True, tag="held_ask"):
--- a/src/lentilrill/routing/_waiters.py
+++ b/src/lentilrill/routing/_waiters.py
@@ -6,7 +6,7 @@
 
 from lentilrill.fleet import FleetView, HostEntry, HostPhase
 from lentilrill.ids import HostId, PoolId, RequestId, ZoneId
-from lentilrill.inner import LONGEST_RUN_S, Refusal
+from lentilrill.inner import MAX_JOB_RUN_S, Refusal
 from lentilrill.routing._contract import Decline, Job, Slot
 
 __all__ = ["PoolZones", "Waiter", "answer_s", "decline"]
@@ -27,7 +27,7 @@
 
 def answer_s(job: Job, now: float) -> float:
     """Return the seconds from now until which a job may run."""
-    return max(0.0, job.answer_by - now) if job.answer_by else LONGEST_RUN_S
+    return max(0.0, job.answer_by - now) if job.answer_by else MAX_JOB_RUN_S
 
 
 class Waiter:
