--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -72,9 +72,9 @@
     """Return the revision to which each process's mirror is known to be complete.
 
     For members of another zone it is the lowest revision that the zone's controllers report. That
-    covers only the members they hear, so it rises once a paused or disconnected gateway becomes
-    suspect. It is not used for suspect members: an edit would be shown as in force everywhere
-    while such a gateway still works by the previous document.
+    excludes suspect members, so it rises once a paused or disconnected gateway becomes suspect.
+    It is not used for suspect members: an edit would be shown as in force everywhere while such a
+    gateway still works by the previous document.
     """
     found = {
         member.process: zone_status.complete_to
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -41,8 +41,8 @@
     status of every zone.
 
     A member that receives no heartbeat of any head sends its own to all members of the zone, and
-    each answers. Otherwise a failure of all heads would hide the gateways from each other, and
-    every gateway, as the only one alive in its own view, would grant all slots of the zone.
+    each answers. Otherwise gateways that lost contact with the heads would not detect each other,
+    and every one of them, as the only gateway in its own view, would grant all slots of the zone.
 
     :param platform_ok: whether the platform answered this process's last call.
     :param trouble: ejected and leaving workers of this zone, for the other zones' controllers.
--- a/tests/membership/test_tracker.py
+++ b/tests/membership/test_tracker.py
@@ -107,8 +107,8 @@
         two = builders.a_member("gw-b", zone=THERE)
         self.register(THERE, one, two)
         self.assertEqual((), self.alive(THERE))
-        news = ZoneStatus(THERE, self.now, frozenset({two.process}), Revision(1))
-        self.tracker.record_zone_statuses([news])
+        status = ZoneStatus(THERE, self.now, frozenset({two.process}), Revision(1))
+        self.tracker.record_zone_statuses([status])
         self.assertEqual((one,), self.alive(THERE))
         self.assertEqual((one, self.me), self.alive())
         self.now += ZONE_SILENT_AFTER_S + 1
