--- a/src/lentilrill/_assembly.py
+++ b/src/lentilrill/_assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gateway process and of a controller process together."""
+"""Assembly of a gateway process and of a controller process from their parts."""
 
 import time
 
@@ -9,7 +9,7 @@
 from lentilrill.ids import Incarnation, Revision
 from lentilrill.inner import Node
 from lentilrill.jobs import ClaimClient, ClaimOwner
-from lentilrill.membership import Member, Role, RosterView, drains
+from lentilrill.membership import Member, MembershipTracker, Role, should_drain
 from lentilrill.operators import OperatorServer
 from lentilrill.routing import Routing
 from lentilrill.settings import ControllerSettings, GatewaySettings, ProcessSettings
@@ -19,13 +19,13 @@
 __all__ = ["ControllerProcess", "GatewayProcess"]
 
 ZONE_SILENT_FACTOR = 2.5
-"""Another zone is heard of by gossip, which takes a few heartbeats more than a peer does."""
+"""Other zones' statuses arrive by gossip, a few heartbeats later than heartbeats of peers."""
 
-REPORT_AGE_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 
 
-class _Common:
-    """What both kinds of process have: node, mirror, roster and metrics."""
+class _SharedParts:
+    """Parts that both kinds of process have: node, mirror, members and metrics."""
 
     def __init__(self, settings: ProcessSettings, role: Role, http: str) -> None:
         self.metrics: Metrics = connect(settings.statsd, settings.process)
@@ -48,19 +48,19 @@
         )
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.view.subscribe(self._note_document)
-        self._noted = Revision(0)
-        self.roster = RosterView(
+        self.view.subscribe(self._log_document)
+        self._logged_revision = Revision(0)
+        self.membership = MembershipTracker(
             self.member,
             lambda: self.view.zones_by_id,
             settings.suspect_after_s,
             settings.suspect_after_s * ZONE_SILENT_FACTOR,
         )
 
-    def _note_document(self) -> None:
+    def _log_document(self) -> None:
         revision = self.view.document_revision
-        if revision != self._noted:
-            self._noted = revision
+        if revision != self._logged_revision:
+            self._logged_revision = revision
             log(Event.DOCUMENT_IN_FORCE, revision=revision)
 
 
@@ -68,23 +68,23 @@
     """The request path of one entry host."""
 
     def __init__(self, settings: GatewaySettings) -> None:
-        common = _Common(settings, Role.GATEWAY, settings.forwards or settings.listen)
+        common = _SharedParts(settings, Role.GATEWAY, settings.forwards or settings.listen)
         self._node = common.node
         self._heartbeats = Heartbeats(
             settings,
             common.node,
             common.mirror,
-            common.roster,
+            common.membership,
             common.metrics,
             is_drained=lambda: self._server.drained,
         )
-        self._routing = Routing(common.node, common.view, common.roster, metrics=common.metrics)
+        self._routing = Routing(common.node, common.view, common.membership, metrics=common.metrics)
         self._claims = ClaimClient(
-            common.node, common.roster, settings.claim_shards, settings.claim_retention_s
+            common.node, common.membership, settings.claim_shards, settings.claim_retention_s
         )
         self._claim_owner = ClaimOwner(
             common.node,
-            common.roster,
+            common.membership,
             EtcdKeyValue(settings.platform, common.metrics),
             common.metrics,
             settings.claim_shards,
@@ -98,15 +98,15 @@
             self._claims,
             common.metrics,
             lambda: self._routing.ledger.may_send,
-            must_drain=lambda: drains(
+            must_drain=lambda: should_drain(
                 common.member,
-                common.roster.alive(Role.GATEWAY, settings.zone),
+                common.membership.alive(Role.GATEWAY, settings.zone),
                 {host for stop in common.view.document.stops for host in stop.hosts},
             ),
         )
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._heartbeats.start()
         self._routing.start()
@@ -115,7 +115,7 @@
         self._server.start()
 
     def drain(self) -> None:
-        """Finish the requests in flight, then leave."""
+        """Finish the requests in flight, then shut down."""
         finished = self._server.drain()
         self._server.close()
         self._claims.close()
@@ -129,17 +129,17 @@
     """The fleet path of one entry host."""
 
     def __init__(self, settings: ControllerSettings) -> None:
-        common = _Common(settings, Role.CONTROLLER, settings.listen)
+        common = _SharedParts(settings, Role.CONTROLLER, settings.listen)
         budget = CallBudget(settings.platform.calls_per_s)
         kv = EtcdKeyValue(settings.platform, common.metrics, budget=budget)
         hosts = HttpHostList(settings.platform, common.metrics, budget=budget)
         self._node = common.node
-        self._watcher = Watcher(kv, common.mirror, common.roster, common.node, common.metrics)
+        self._watcher = Watcher(kv, common.mirror, common.membership, common.node, common.metrics)
         self._heartbeats = Heartbeats(
             settings,
             common.node,
             common.mirror,
-            common.roster,
+            common.membership,
             common.metrics,
             lambda: self._watcher.platform_ok,
             lambda: self._fleet.zone_trouble(time.time()),
@@ -147,7 +147,7 @@
         self._recorder = ZoneRecorder(
             kv,
             hosts,
-            common.roster,
+            common.membership,
             lambda: common.view.zones_by_id,
             self._watcher.publish,
             settings.host_list_lag_s,
@@ -157,7 +157,7 @@
             kv,
             hosts,
             common.view,
-            common.roster,
+            common.membership,
             settings,
             common.node,
             common.metrics,
@@ -167,7 +167,7 @@
             kv,
             common.view,
             lambda: status(
-                common.roster, common.view, self._fleet_report(), self._watcher.platform_ok
+                common.membership, common.view, self._fleet_report(), self._watcher.platform_ok
             ),
             common.metrics,
             hosts,
@@ -175,15 +175,17 @@
         )
 
     def _fleet_report(self) -> FleetReport:
-        """Return a report that is at most a second old; clients ask for it several times a
-        second while they wait."""
+        """Return a report that is at most ``MAX_REPORT_AGE_S`` old.
+
+        It is cached, since waiting clients request it several times a second.
+        """
         report = self._fleet.report
-        if time.time() - report.now > REPORT_AGE_S:
+        if time.time() - report.now > MAX_REPORT_AGE_S:
             report = self._fleet.current_report()
         return report
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._node.start()
         self._heartbeats.start()
         self._watcher.start()
@@ -192,7 +194,7 @@
         self._operators.start()
 
     def drain(self) -> None:
-        """End the tasks, then leave."""
+        """Stop the tasks, then shut down."""
         self._operators.drain()
         self._operators.stop()
         self._fleet.close()
--- a/src/lentilrill/_status.py
+++ b/src/lentilrill/_status.py
@@ -1,11 +1,11 @@
-"""What a controller shows operators, from its roster, its view and its last look at the fleet."""
+"""The status that a controller shows operators, from its members, view and last fleet report."""
 
 from collections import Counter
 
 from lentilrill._stop_status import stop_status
 from lentilrill.fleet import FleetReport, FleetView, HostPhase, PoolReport, StopReport
 from lentilrill.ids import HostId, ProcessId, Revision
-from lentilrill.membership import Member, Role, RosterView, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneStatus
 from lentilrill.operators import (
     MemberStatus,
     PoolStatus,
@@ -18,20 +18,20 @@
 
 
 def status(
-    roster: RosterView, view: FleetView, report: FleetReport, platform_reachable: bool
+    membership: MembershipTracker, view: FleetView, report: FleetReport, platform_reachable: bool
 ) -> Status:
-    """Return the whole picture as of this controller."""
-    entry_hosts = _entry_hosts(roster)
+    """Return the status of the whole system in this controller's view."""
+    entry_hosts = _entry_hosts(membership)
     document = view.document
     declared = {stop.id for stop in document.stops}
-    # The report may be older than the document: what was removed since is no longer shown.
+    # The report may be older than the document; stops that were removed since are not shown.
     reports_by_stop = {stop.stop: stop for stop in report.stops if stop.stop in declared}
     return Status(
-        process=roster.me.process,
-        zone=roster.me.zone,
+        process=membership.me.process,
+        zone=membership.me.zone,
         document_revision=view.document_revision,
         platform_reachable=platform_reachable,
-        members=_members(roster, view),
+        members=_members(membership, view),
         pools=_pools(report, view),
         stops=tuple(
             stop_status(
@@ -43,13 +43,15 @@
     )
 
 
-def _members(roster: RosterView, view: FleetView) -> tuple[MemberStatus, ...]:
+def _members(membership: MembershipTracker, view: FleetView) -> tuple[MemberStatus, ...]:
     by_process: dict[ProcessId, Member] = {}
-    for zone in roster.zones():
-        by_process |= {member.process: member for member in roster.registered_in(zone)}
-    by_process |= {heard.member.process: heard.member for heard in roster.heard()}
-    by_process[roster.me.process] = roster.me
-    complete_to = _complete_to_by_process(roster, view)
+    for zone in membership.zones():
+        by_process |= {member.process: member for member in membership.registered_in(zone)}
+    by_process |= {
+        heartbeat.member.process: heartbeat.member for heartbeat in membership.last_heartbeats()
+    }
+    by_process[membership.me.process] = membership.me
+    complete_to = _complete_to_by_process(membership, view)
     return tuple(
         MemberStatus(
             process,
@@ -57,44 +59,47 @@
             member.role,
             member.zone,
             member.entry_host,
-            roster.liveness(member),
+            membership.liveness(member),
             complete_to.get(process, Revision(0)),
         )
         for process, member in sorted(by_process.items())
     )
 
 
-def _complete_to_by_process(roster: RosterView, view: FleetView) -> dict[ProcessId, Revision]:
-    """Return how far each process is; of another zone's, the least that its controllers told.
+def _complete_to_by_process(
+    membership: MembershipTracker, view: FleetView
+) -> dict[ProcessId, Revision]:
+    """Return the revision to which each process's mirror is known to be complete.
 
-    Guard against an edit told as in force everywhere while a paused or cut-off gateway goes on by
-    the older one: a zone's word is the least of those that it hears, so it rises as soon as such
-    a gateway is suspect there. It must not count for the suspect ones, of which nothing is known.
+    For members of another zone it is the lowest revision that the zone's controllers report. That
+    excludes suspect members, so it rises once a paused or disconnected gateway becomes suspect.
+    It is not used for suspect members: an edit would be shown as in force everywhere while such a
+    gateway still works by the previous document.
     """
     found = {
-        member.process: news.complete_to
-        for news in (*roster.news(), *_own_word(roster))
-        for member in roster.registered_in(news.zone)
-        if member.process not in news.suspects
+        member.process: zone_status.complete_to
+        for zone_status in (*membership.zone_statuses(), *_own_zone_status(membership))
+        for member in membership.registered_in(zone_status.zone)
+        if member.process not in zone_status.suspects
     }
     found |= {
-        heard.member.process: heard.complete_to
-        for heard in roster.heard()
-        if heard.member.zone == roster.me.zone
+        heartbeat.member.process: heartbeat.complete_to
+        for heartbeat in membership.last_heartbeats()
+        if heartbeat.member.zone == membership.me.zone
     }
-    return found | {roster.me.process: view.mirror.complete_to}
+    return found | {membership.me.process: view.mirror.complete_to}
 
 
-def _own_word(roster: RosterView) -> tuple[ZoneNews, ...]:
-    word = roster.word()
-    return () if word is None else (word,)
+def _own_zone_status(membership: MembershipTracker) -> tuple[ZoneStatus, ...]:
+    report = membership.latest_head_report()
+    return () if report is None else (report,)
 
 
 def _pools(report: FleetReport, view: FleetView) -> tuple[PoolStatus, ...]:
-    """Return each pool's counts, as of the last look at the fleet if there was one.
+    """Return the host counts of each pool, from the last fleet report if there is one.
 
-    A controller that started while the platform is away has seen no host list, so that it can't
-    look; the records that its peers gave it still tell how many hosts are in which phase.
+    A controller that started while the platform is unreachable has no host list and thus no
+    report. It counts the hosts by phase in the records that it received from its peers.
     """
     reports_by_pool = {pool.pool: pool for pool in report.pools}
     return tuple(_pool(pool, reports_by_pool.get(pool.id), view) for pool in view.document.pools)
@@ -105,8 +110,10 @@
         owed, missing = report.owed, report.missing
         counts = (report.serving, report.withdrawing, report.stopped)
     else:
-        held = view.pools_by_id.get(pool.id)
-        phases = Counter(host.phase for host in held[0].hosts) if held is not None else Counter()
+        recorded = view.pools_by_id.get(pool.id)
+        phases = (
+            Counter(host.phase for host in recorded[0].hosts) if recorded is not None else Counter()
+        )
         counts = (
             phases[HostPhase.SERVING],
             phases[HostPhase.WITHDRAWING],
@@ -118,7 +125,7 @@
 
 
 def _owed(pool: Pool, document: Document) -> int:
-    """Return the hosts owed to plans that prefer this pool."""
+    """Return the number of hosts owed to the plans whose first pool is this one."""
     plans_by_id = document.plans_by_id()
     return sum(
         plans_by_id[entitlement.plan].hosts_owed
@@ -127,17 +134,19 @@
     )
 
 
-def _entry_hosts(roster: RosterView) -> dict[HostId, bool]:
-    """Return every entry host that runs a gateway, and whether all its gateways are drained.
+def _entry_hosts(membership: MembershipTracker) -> dict[HostId, bool]:
+    """Return the entry hosts that run gateways, and whether all gateways of each are drained.
 
-    A gateway that is gone holds no caller either.
+    Gateways that are gone are not registered any more, and need not be drained.
     """
-    drained = {one.member.process for one in roster.heard() if one.drained}
-    news = (*roster.news(), *_own_word(roster))
-    drained |= {process for one in news for process in one.drained}
+    drained = {
+        heartbeat.member.process for heartbeat in membership.last_heartbeats() if heartbeat.drained
+    }
+    zone_statuses = (*membership.zone_statuses(), *_own_zone_status(membership))
+    drained |= {process for status in zone_statuses for process in status.drained}
     found: dict[HostId, bool] = {}
-    for zone in roster.zones():
-        for member in roster.registered_in(zone):
+    for zone in membership.zones():
+        for member in membership.registered_in(zone):
             if member.role is Role.GATEWAY:
                 host = HostId(member.entry_host)
                 found[host] = found.get(host, True) and member.process in drained
--- a/src/lentilrill/_stop_status.py
+++ b/src/lentilrill/_stop_status.py
@@ -1,4 +1,4 @@
-"""How far a planned stop is, from the document, the pools' records and the last look."""
+"""Progress of a planned stop, from the document, the pool records and the last fleet report."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
 
 __all__ = ["stop_status"]
 
-MAX_HELD_UP_SHOWN = 5
+MAX_DELAYED_SHOWN = 5
 
 
 class Progress(msgspec.Struct):
-    """Hosts of a stop by how far they are."""
+    """Hosts of a stop by their progress."""
 
     waiting: list[HostId] = []
     withdrawing: list[HostId] = []
@@ -24,12 +24,12 @@
     def state(self, retire: bool) -> StopState:
         """Return the state of the whole stop.
 
-        A retired host is forgotten once it was released, so an unknown one is done.
+        The record of a retired host is deleted after its release, so an unknown one is done.
         """
-        begun = bool(self.withdrawing or self.stopped or self.done)
-        if self.withdrawing or (self.waiting and begun):
+        has_begun = bool(self.withdrawing or self.stopped or self.done)
+        if self.withdrawing or (self.waiting and has_begun):
             return StopState.WITHDRAWING
-        if self.waiting or (self.unknown and not begun and not retire):
+        if self.waiting or (self.unknown and not has_begun and not retire):
             return StopState.WAITING
         return StopState.STOPPED if self.stopped else StopState.DONE
 
@@ -41,17 +41,17 @@
     drained_by_entry_host: dict[HostId, bool],
     unacknowledged: dict[HostId, str],
 ) -> StopStatus:
-    """Return what operators see of one stop.
+    """Return the status of one stop for operators.
 
-    :param report: the fleet's last look at it; ``None`` if there was none since it was declared.
+    :param report: last fleet report on the stop; ``None`` if there is none since its declaration.
     :param drained_by_entry_host: entry hosts that run gateways, and whether those are drained.
-    :param unacknowledged: why withdrawing hosts are not released yet.
+    :param unacknowledged: reasons why withdrawing hosts are not released yet.
     """
     progress = _progress(stop, view, drained_by_entry_host)
     waits = () if report is None else report.waits
     reasons = [f"{wait.hosts} of {wait.pool}: {wait.reason}" for wait in waits]
-    held_up = [host for host in progress.withdrawing if host in unacknowledged]
-    reasons += [f"{host}: {unacknowledged[host]}" for host in held_up[:MAX_HELD_UP_SHOWN]]
+    delayed = [host for host in progress.withdrawing if host in unacknowledged]
+    reasons += [f"{host}: {unacknowledged[host]}" for host in delayed[:MAX_DELAYED_SHOWN]]
     if progress.unknown and not stop.retire:
         reasons.append(f"in no pool: {', '.join(progress.unknown)}")
     return StopStatus(
--- a/src/lentilrill/fleet/_trouble_reports.py
+++ b/src/lentilrill/fleet/_trouble_reports.py
@@ -7,7 +7,7 @@
 
 from lentilrill.ids import HostId
 from lentilrill.inner import HostTrouble
-from lentilrill.membership import Roster
+from lentilrill.membership import MembershipList
 
 __all__ = ["TroubleReports"]
 
@@ -27,7 +27,7 @@
 class TroubleReports:
     """Last report of each gateway of the zone, with the status that other zones send."""
 
-    def __init__(self, roster: Roster) -> None:
+    def __init__(self, roster: MembershipList) -> None:
         self._roster = roster
         self._lock = threading.Lock()
         self._report_by_sender: dict[tuple[str, int], _Report] = {}
@@ -56,7 +56,7 @@
         pool may be in another zone and would spend the budget a second time.
         """
         ejected, leaving = self.in_zone(now)
-        for news in self._roster.news():
+        for news in self._roster.zone_statuses():
             if time.monotonic() - news.at <= REPORT_TTL_S:
                 ejected, leaving = ejected | news.ejected, leaving | news.leaving
         return ejected, leaving
--- a/src/lentilrill/gossip/_exchange.py
+++ b/src/lentilrill/gossip/_exchange.py
@@ -1,4 +1,4 @@
-"""Peers bring each other's mirrors up to date."""
+"""Exchange of state items between peers, to bring their mirrors up to date."""
 
 import time
 
@@ -8,34 +8,34 @@
 
 __all__ = ["StateExchange"]
 
-ASK_PAUSE_S = 0.3
+MIN_REQUEST_INTERVAL_S = 0.3
 
 
 class StateExchange:
-    """Answers peers that lack state, and asks those that have more."""
+    """Sends state items to peers that request them, and requests missing items from peers."""
 
     def __init__(self, node: Node, mirror: Mirror) -> None:
         self._node = node
         self._mirror = mirror
-        self._last_ask_at = 0.0
-        node.on(StateAsk, self._asked)
-        node.on(StateItems, self._told)
+        self._last_request_at = 0.0
+        node.on(StateAsk, self._on_state_ask)
+        node.on(StateItems, self._on_state_items)
 
-    def pull(self, address: str) -> None:
-        """Ask the peer at ``address`` for what is missing here, unless one was asked just now."""
+    def request_missing(self, address: str) -> None:
+        """Request missing items from the peer at ``address``, at a limited rate over all peers."""
         now = time.monotonic()
-        if now - self._last_ask_at < ASK_PAUSE_S:
+        if now - self._last_request_at < MIN_REQUEST_INTERVAL_S:
             return
-        self._last_ask_at = now
+        self._last_request_at = now
         self._node.send(address, StateAsk(self._mirror.complete_to))
 
-    def _asked(self, batch: Batch, message: StateAsk) -> None:
+    def _on_state_ask(self, batch: Batch, message: StateAsk) -> None:
         items, complete_to = self._mirror.changes_since(message.after)
         self._node.send(batch.reply_to, StateItems(items, message.after, complete_to))
 
-    def _told(self, batch: Batch, message: StateItems) -> None:
+    def _on_state_items(self, batch: Batch, message: StateItems) -> None:
         del batch
-        # Items that start after this mirror's end leave a hole; were complete_to taken over with
-        # it, the missed change would never be asked for again. So only the items are taken.
-        whole = message.after <= self._mirror.complete_to
-        self._mirror.merge(message.items, message.complete_to if whole else Revision(0))
+        # If the items start after the end of this mirror, changes in between are missing. Storing
+        # complete_to as well would hide the gap, and the missing changes would never be requested.
+        is_contiguous = message.after <= self._mirror.complete_to
+        self._mirror.merge(message.items, message.complete_to if is_contiguous else Revision(0))
--- a/src/lentilrill/gossip/_health.py
+++ b/src/lentilrill/gossip/_health.py
@@ -1,29 +1,29 @@
-"""What members tell of a zone, on the wire and as they remember it."""
+"""Conversion of a zone's status between its message and its local form."""
 
 import time
 
 from lentilrill.inner import ZoneHealth
-from lentilrill.membership import ZoneNews
+from lentilrill.membership import ZoneStatus
 
-__all__ = ["health", "news"]
+__all__ = ["zone_health", "zone_status"]
 
 
-def health(news: ZoneNews) -> ZoneHealth:
-    """Return ``news`` as a message; monotonic clocks differ, so its age is told."""
+def zone_health(status: ZoneStatus) -> ZoneHealth:
+    """Return the message for ``status``, with its age, since monotonic clocks differ."""
     return ZoneHealth(
-        news.zone,
-        round(time.monotonic() - news.at, 2),
-        tuple(sorted(news.suspects)),
-        news.complete_to,
-        tuple(sorted(news.drained)),
-        tuple(sorted(news.ejected)),
-        tuple(sorted(news.leaving)),
+        status.zone,
+        round(time.monotonic() - status.at, 2),
+        tuple(sorted(status.suspects)),
+        status.complete_to,
+        tuple(sorted(status.drained)),
+        tuple(sorted(status.ejected)),
+        tuple(sorted(status.leaving)),
     )
 
 
-def news(health: ZoneHealth) -> ZoneNews:
-    """Return what was just heard, by this process's own clock."""
-    return ZoneNews(
+def zone_status(health: ZoneHealth) -> ZoneStatus:
+    """Return the local form of a message received just now, timed by this process's clock."""
+    return ZoneStatus(
         health.zone,
         time.monotonic() - health.age_s,
         frozenset(health.suspects),
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -1,29 +1,29 @@
-"""Heartbeats between members, and what they say of the mirror."""
+"""Heartbeats between members, with the revision of each member's mirror."""
 
 import threading
 import time
 from collections.abc import Callable
 
 from lentilrill.gossip._exchange import StateExchange
-from lentilrill.gossip._health import health, news
-from lentilrill.gossip._ring import OtherZones
+from lentilrill.gossip._health import zone_health, zone_status
+from lentilrill.gossip._ring import ZoneRing
 from lentilrill.ids import HostId, ZoneId
 from lentilrill.inner import Batch, Heartbeat, Leave, Node, ZoneHealth
-from lentilrill.membership import Member, Role, RosterView, ZoneNews
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneStatus
 from lentilrill.settings import ProcessSettings
 from lentilrill.store import Mirror
 from lentilrill.telemetry import Event, Metrics, log
 
 __all__ = ["Heartbeats"]
 
-CHANGE_PAUSE_S = 0.1
-ANSWER_LASTS_S = 0.25
-PROBE_EVERY = 8
-"""Heartbeats between two in which a head tells all members, silent ones too."""
-METRICS_EVERY = 4
+MIN_INTERVAL_S = 0.1
+ANSWER_TTL_S = 0.25
+PROBE_EVERY_BEATS = 8
+"""Every how many heartbeats a head sends to all members, including silent ones."""
+METRICS_EVERY_BEATS = 4
 FORGET_AFTER_S = 60.0
 LEAVE_REPEATS = 3
-LEAVE_PAUSE_S = 0.1
+LEAVE_INTERVAL_S = 0.1
 
 Trouble = tuple[frozenset[HostId], frozenset[HostId]]
 
@@ -33,19 +33,20 @@
 
 
 class Heartbeats:
-    """Tells peers that this process lives, hears them, and pulls state that they have newer.
+    """Exchange of heartbeats with peers, which also requests newer state from them.
 
-    Within a zone every member exchanges heartbeats with the zone's heads, which tell it whom
-    else they hear. So a member that is no head costs the same in a zone of any size. Between
-    zones the first heads form a ring, along which they tell what they know of every zone.
+    Within a zone every member exchanges heartbeats with the zone's heads, which report to it
+    which other members are alive. So the cost of a member that is not a head does not depend on
+    the size of the zone. Between zones the first heads form a ring, along which they pass on the
+    status of every zone.
 
-    Guard against a broken control path that hides gateways from each other: a member that hears
-    no head tells all members of the zone directly, and each answers. Otherwise each gateway
-    would believe itself alone, and every one of them would hand out all slots of the zone.
+    A member that receives no heartbeat of any head sends its own to all members of the zone, and
+    each answers. Otherwise gateways that lost contact with the heads would not detect each other,
+    and every one of them, as the only gateway in its own view, would grant all slots of the zone.
 
     :param platform_ok: whether the platform answered this process's last call.
     :param trouble: ejected and leaving workers of this zone, for the other zones' controllers.
-    :param is_drained: whether callers go elsewhere, and this process holds none any more.
+    :param is_drained: whether this process accepts no callers and has none left.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         settings: ProcessSettings,
         node: Node,
         mirror: Mirror,
-        roster: RosterView,
+        membership: MembershipTracker,
         metrics: Metrics,
         platform_ok: Callable[[], bool] = lambda: False,
         trouble: Callable[[], Trouble] = _no_trouble,
@@ -62,63 +63,63 @@
         self._settings = settings
         self._node = node
         self._mirror = mirror
-        self._roster = roster
+        self._membership = membership
         self._metrics = metrics
         self._platform_ok = platform_ok
         self._trouble = trouble
         self._is_drained = is_drained
-        self._other_zones = OtherZones(roster, settings.zone, settings.seeds)
+        self._zone_ring = ZoneRing(membership, settings.zone, settings.seeds)
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="heartbeats", daemon=True)
         self._wake = threading.Event()
         mirror.subscribe(lambda items: self._wake.set())
         self._head_since: float | None = None
-        self._held_answer: tuple[float, Heartbeat] | None = None
+        self._cached_answer: tuple[float, Heartbeat] | None = None
         self._exchange = StateExchange(node, mirror)
         self._bytes_counted = (0, 0)
-        node.on(Heartbeat, self._heard)
-        node.on(Leave, self._left)
+        node.on(Heartbeat, self._on_heartbeat)
+        node.on(Leave, self._on_leave)
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Start sending heartbeats."""
         self._thread.start()
 
     def close(self, is_clean: bool = True) -> None:
-        """End the task, and say that this process ends.
+        """Stop the thread and, after a clean end, send a ``Leave`` message to the zone.
 
-        Guard against a host that is released under a job: a leave says that nothing of this
-        process is in flight. One that gives up on its jobs ends without it, and withdrawals go
-        on waiting until it is proved gone.
+        ``Leave`` means that this process has nothing in flight. A process that abandons its jobs
+        must not send it: a host could be released while one of the jobs still runs there. Without
+        it, withdrawals wait until there is other proof that the process has ended.
 
-        :param is_clean: whether nothing is in flight any more.
+        :param is_clean: whether nothing is in flight.
         """
         self._stopping.set()
         self._wake.set()
         self._thread.join()
         if not is_clean:
             return
-        leave = Leave(self._roster.me)
+        leave = Leave(self._membership.me)
         for _ in range(LEAVE_REPEATS):
             for address in self._zone_peers():
                 self._node.send(address, leave)
-            time.sleep(LEAVE_PAUSE_S)
+            time.sleep(LEAVE_INTERVAL_S)
 
     def _run(self) -> None:
         beat = 0
         while not self._stopping.is_set():
-            self._roster.refresh()
-            self._roster.forget(FORGET_AFTER_S)
-            self._tell_zone(beat)
-            self._tell(self._other_zones.peers(beat, self._zone_peers()))
-            if beat % METRICS_EVERY == 0:
+            self._membership.refresh()
+            self._membership.forget(FORGET_AFTER_S)
+            self._send_to_zone(beat)
+            self._send_heartbeat(self._zone_ring.peers(beat, self._zone_peers()))
+            if beat % METRICS_EVERY_BEATS == 0:
                 self._count_bytes()
             beat += 1
             self._pause()
 
     def _pause(self) -> None:
-        """Wait for the next beat; a changed state is told sooner, but not at once each time."""
-        if not self._stopping.wait(CHANGE_PAUSE_S):
-            self._wake.wait(max(0.0, self._settings.heartbeat_s - CHANGE_PAUSE_S))
+        """Wait for the next heartbeat; a change of state shortens the wait, down to a minimum."""
+        if not self._stopping.wait(MIN_INTERVAL_S):
+            self._wake.wait(max(0.0, self._settings.heartbeat_s - MIN_INTERVAL_S))
         self._wake.clear()
 
     def _count_bytes(self) -> None:
@@ -127,29 +128,31 @@
         self._metrics.incr("inner.bytes_received", received - self._bytes_counted[1])
         self._bytes_counted = (sent, received)
 
-    def _tell_zone(self, beat: int) -> None:
-        heads = self._roster.heads()
-        is_head = self._roster.me in heads
-        self._note_head(is_head)
-        others = [member for member in heads if member != self._roster.me]
+    def _send_to_zone(self, beat: int) -> None:
+        heads = self._membership.heads()
+        is_head = self._membership.me in heads
+        self._update_head_since(is_head)
+        others = [member for member in heads if member != self._membership.me]
         for member in others:
-            self._roster.try_out(member)
+            self._membership.record_probe(member)
         addresses = [member.inner for member in others]
-        settled = self._knows_zone if is_head else self._roster.word() is not None
-        # Two heads that were cut off from each other each believe the other silent, and are
-        # heads still; only by trying all members again do they meet once the cut has healed.
-        if not settled or (is_head and beat % PROBE_EVERY == 0):
+        settled = (
+            self._has_zone_view if is_head else self._membership.latest_head_report() is not None
+        )
+        # During a network partition two heads may each consider the other silent and remain
+        # heads. They find each other afterwards only by sending to all members again.
+        if not settled or (is_head and beat % PROBE_EVERY_BEATS == 0):
             addresses = self._zone_peers()
-        self._tell(addresses)
+        self._send_heartbeat(addresses)
 
-    def _tell(self, addresses: list[str]) -> None:
+    def _send_heartbeat(self, addresses: list[str]) -> None:
         if not addresses:
             return
         heartbeat = self._heartbeat()
         for address in addresses:
             self._node.send(address, heartbeat)
 
-    def _note_head(self, is_head: bool) -> None:
+    def _update_head_since(self, is_head: bool) -> None:
         now = time.monotonic()
         if not is_head:
             self._head_since = None
@@ -157,110 +160,116 @@
             self._head_since = now
 
     @property
-    def _knows_zone(self) -> bool:
-        """Whether this process is a head that has heard every living member, or had the time to."""
+    def _has_zone_view(self) -> bool:
+        """Whether this process is a head that has heard all members, or waited long enough."""
         since = self._head_since
         if since is None:
             return False
-        had_time = time.monotonic() - since > self._settings.suspect_after_s
-        return had_time or not self._roster.silent()
+        has_waited = time.monotonic() - since > self._settings.suspect_after_s
+        return has_waited or not self._membership.silent()
 
     def _heartbeat(self, answers: bool = False) -> Heartbeat:
-        told = self._health() if self._roster.me.role is Role.CONTROLLER else ()
+        reports = self._health() if self._membership.me.role is Role.CONTROLLER else ()
         return Heartbeat(
-            self._roster.me,
+            self._membership.me,
             self._mirror.complete_to,
             answers,
             self._platform_ok(),
             self._is_drained(),
-            told,
+            reports,
         )
 
     def _answer(self) -> Heartbeat:
-        """Return an answer; one serves all members that ask at about the same time."""
+        """Return an answer, which is cached for a short time to serve several members."""
         now = time.monotonic()
-        held = self._held_answer
-        fresh = held is not None and now - held[0] < ANSWER_LASTS_S
-        if held is not None and fresh and held[1].complete_to == self._mirror.complete_to:
-            return held[1]
+        cached = self._cached_answer
+        fresh = cached is not None and now - cached[0] < ANSWER_TTL_S
+        if cached is not None and fresh and cached[1].complete_to == self._mirror.complete_to:
+            return cached[1]
         answer = self._heartbeat(answers=True)
-        self._held_answer = (now, answer)
+        self._cached_answer = (now, answer)
         return answer
 
     def _health(self) -> tuple[ZoneHealth, ...]:
-        others = [health(one) for one in self._roster.news()]
-        if self._knows_zone:
+        others = [zone_health(status) for status in self._membership.zone_statuses()]
+        if self._has_zone_view:
             return (self._own_health(), *others)
-        word = self._roster.word()
-        return tuple(others) if word is None else (health(word), *others)
+        report = self._membership.latest_head_report()
+        return tuple(others) if report is None else (zone_health(report), *others)
 
     def _own_health(self) -> ZoneHealth:
         zone = self._settings.zone
-        suspects = frozenset(member.process for member in self._roster.silent())
-        heard = [
-            one
-            for one in self._roster.heard()
-            if one.member.zone == zone and one.member.process not in suspects and not one.left
+        suspects = frozenset(member.process for member in self._membership.silent())
+        alive = [
+            heartbeat
+            for heartbeat in self._membership.last_heartbeats()
+            if heartbeat.member.zone == zone
+            and heartbeat.member.process not in suspects
+            and not heartbeat.left
         ]
-        least = min((one.complete_to for one in heard), default=self._mirror.complete_to)
+        lowest = min(
+            (heartbeat.complete_to for heartbeat in alive), default=self._mirror.complete_to
+        )
         ejected, leaving = self._trouble()
-        return health(
-            ZoneNews(
+        return zone_health(
+            ZoneStatus(
                 zone,
                 time.monotonic(),
                 suspects,
-                min(least, self._mirror.complete_to),
-                frozenset(one.member.process for one in heard if one.drained),
+                min(lowest, self._mirror.complete_to),
+                frozenset(heartbeat.member.process for heartbeat in alive if heartbeat.drained),
                 ejected,
                 leaving,
             )
         )
 
     def _registered(self, zone: ZoneId) -> tuple[Member, ...]:
-        return self._roster.registered_in(zone)
+        return self._membership.registered_in(zone)
 
     def _zone_peers(self) -> list[str]:
-        me = self._roster.me
+        me = self._membership.me
         addresses = {member.inner for member in self._registered(me.zone)}
         addresses |= {
-            one.member.inner
-            for one in self._roster.heard()
-            if one.member.zone == me.zone and not one.left
+            heartbeat.member.inner
+            for heartbeat in self._membership.last_heartbeats()
+            if heartbeat.member.zone == me.zone and not heartbeat.left
         }
         if len(addresses - {me.inner}) == 0:
             addresses |= set(self._settings.seeds)
         return sorted(addresses - {me.inner})
 
-    def _heard(self, batch: Batch, message: Heartbeat) -> None:
+    def _on_heartbeat(self, batch: Batch, message: Heartbeat) -> None:
         member = message.member
-        last = self._roster.last_heard(member)
-        if not self._roster.hear(member, message.complete_to, message.platform, message.drained):
+        last = self._membership.last_heartbeat(member)
+        if not self._membership.record_heartbeat(
+            member, message.complete_to, message.platform, message.drained
+        ):
             self._metrics.incr("membership.stale_heartbeats")
             return
         if last is None:
             log(Event.MEMBER_ALIVE, peer=member.process, incarnation=member.incarnation)
-        if not message.answers and (last is None or self._is_to_answer(member)):
+        if not message.answers and (last is None or self._should_answer(member)):
             self._node.send(member.inner, self._answer())
-        self._hear_zones(member, message.health)
+        self._record_zone_health(member, message.health)
         if message.complete_to > self._mirror.complete_to:
-            self._exchange.pull(batch.reply_to)
+            self._exchange.request_missing(batch.reply_to)
         elif last is not None and message.complete_to > last.complete_to:
-            self._wake.set()  # other zones' operators wait to hear that the change is here
+            self._wake.set()  # operators of other zones wait until the change is reported here
 
-    def _is_to_answer(self, member: Member) -> bool:
-        """Whether the member waits for an answer: two heads tell each other without being asked."""
-        heads = self._roster.heads()
-        both_heads = member in heads and self._roster.me in heads
+    def _should_answer(self, member: Member) -> bool:
+        """Return whether to answer the member; two heads send to each other anyway."""
+        heads = self._membership.heads()
+        both_heads = member in heads and self._membership.me in heads
         return member.zone == self._settings.zone and not both_heads
 
-    def _hear_zones(self, teller: Member, told: tuple[ZoneHealth, ...]) -> None:
-        heard = [news(one) for one in told]
-        self._roster.hear_zones(heard)
-        for one in heard:
-            if one.zone == self._settings.zone == teller.zone:
-                self._roster.hear_word(teller.process, one)
+    def _record_zone_health(self, sender: Member, reports: tuple[ZoneHealth, ...]) -> None:
+        statuses = [zone_status(report) for report in reports]
+        self._membership.record_zone_statuses(statuses)
+        for status in statuses:
+            if status.zone == self._settings.zone == sender.zone:
+                self._membership.record_head_report(sender.process, status)
 
-    def _left(self, batch: Batch, message: Leave) -> None:
+    def _on_leave(self, batch: Batch, message: Leave) -> None:
         del batch
-        self._roster.hear_leave(message.member)
+        self._membership.record_leave(message.member)
         log(Event.MEMBER_GONE, peer=message.member.process, proof="left")
--- a/src/lentilrill/gossip/_recorder.py
+++ b/src/lentilrill/gossip/_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the zone's record of members on the platform."""
+"""Maintenance of the zone's record of members on the platform."""
 
 import threading
 import time
@@ -12,7 +12,7 @@
 from lentilrill.membership import (
     Liveness,
     Member,
-    RosterView,
+    MembershipTracker,
     ZoneRecord,
     zone_key,
 )
@@ -21,48 +21,48 @@
 
 __all__ = ["ZoneRecorder", "next_record"]
 
-ROUND_S = 1.0
+INTERVAL_S = 1.0
 HOST_LIST_EVERY_S = 2.0
-AMBIGUOUS_PAUSE_S = 1.0
+CONFLICT_PAUSE_S = 1.0
 
 ZonesById = Callable[[], dict[ZoneId, tuple[ZoneRecord, Revision]]]
 
 
 def next_record(
-    record: ZoneRecord, heard: tuple[Member, ...], is_gone: Callable[[Member], bool]
+    record: ZoneRecord, alive: tuple[Member, ...], is_gone: Callable[[Member], bool]
 ) -> ZoneRecord:
-    """Return the record with newcomers added and members taken out that are proved gone.
+    """Return the record with new members added and members removed that have provably ended.
 
-    A registered member that is only silent stays: it may be paused between a check and a send.
+    A registered member that is merely silent stays: it may be paused between a check and a send.
 
-    :param heard: living members of the zone, heard of late.
-    :param is_gone: whether an incarnation is proved to have ended.
+    :param alive: living members of the zone.
+    :param is_gone: returns whether an incarnation has provably ended.
     """
     members = [member for member in record.members if not is_gone(member)]
-    held_by_process = {member.process: member for member in members}
-    for member in heard:
-        held = held_by_process.get(member.process)
-        if held is None and not is_gone(member):
+    recorded_by_process = {member.process: member for member in members}
+    for member in alive:
+        recorded = recorded_by_process.get(member.process)
+        if recorded is None and not is_gone(member):
             members.append(member)
     members.sort(key=lambda member: member.process)
     return ZoneRecord(record.zone, tuple(members))
 
 
 class ZoneRecorder:
-    """Writes the zone's record when members join or are proved gone.
+    """Task that updates the zone's record when members join or have provably ended.
 
-    Any controller of the zone may write, by compare-and-swap on the record's revision; the first
-    of the zone's heads does, since it hears every member.
+    Any controller of the zone may write, by compare-and-swap on the record's revision. Normally
+    only the zone's first head does, since it receives the heartbeats of every member.
 
-    :param publish: told of this process's own committed write.
-    :param host_list_lag_s: how old the host list may be.
+    :param publish: called with the items of each committed write.
+    :param host_list_lag_s: maximum lag of the host list.
     """
 
     def __init__(
         self,
         kv: KeyValue,
         hosts: HostList,
-        roster: RosterView,
+        membership: MembershipTracker,
         zones_by_id: ZonesById,
         publish: Callable[[tuple[Item, ...]], None],
         host_list_lag_s: float,
@@ -70,7 +70,7 @@
     ) -> None:
         self._kv = kv
         self._hosts = hosts
-        self._roster = roster
+        self._membership = membership
         self._zones_by_id = zones_by_id
         self._publish = publish
         self._lag_s = host_list_lag_s
@@ -82,45 +82,48 @@
         self._thread = threading.Thread(target=self._run, name="zone-recorder", daemon=True)
 
     def start(self) -> None:
-        """Begin to keep the record."""
+        """Start the task."""
         self._thread.start()
 
     def close(self) -> None:
-        """End the task."""
+        """Stop the task."""
         self._stopping.set()
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._stopping.wait(ROUND_S):
+        while not self._stopping.wait(INTERVAL_S):
             try:
-                self.round()
-            except Exception as error:  # the task must outlive one bad round
+                self.run_once()
+            except Exception as error:  # a failed round must not stop the task
                 log(Event.TASK_FAILED, task="zone-recorder", error=repr(error))
 
-    def round(self) -> None:
-        """Look once at the zone's members and write the record if it has to change."""
-        me = self._roster.me
-        if self._roster.heads()[:1] != (me,):
+    def run_once(self) -> None:
+        """Check the zone's members once, and write the record if it has to change."""
+        me = self._membership.me
+        if self._membership.heads()[:1] != (me,):
             return
         record, revision = self._zones_by_id().get(me.zone, (ZoneRecord(me.zone), Revision(0)))
-        self._note_silence(record)
-        fresh = next_record(record, self._heard(), self._is_gone)
-        if fresh != record:
-            self._write(fresh, revision)
-
-    def _heard(self) -> tuple[Member, ...]:
-        me = self._roster.me
-        heard = [
-            one.member
-            for one in self._roster.heard()
-            if one.member.zone == me.zone and self._roster.liveness(one.member) is Liveness.ALIVE
+        self._update_silence(record)
+        updated = next_record(record, self._alive_members(), self._is_gone)
+        if updated != record:
+            self._write(updated, revision)
+
+    def _alive_members(self) -> tuple[Member, ...]:
+        me = self._membership.me
+        alive = [
+            heartbeat.member
+            for heartbeat in self._membership.last_heartbeats()
+            if heartbeat.member.zone == me.zone
+            and self._membership.liveness(heartbeat.member) is Liveness.ALIVE
         ]
-        return (*heard, me)
+        return (*alive, me)
 
-    def _note_silence(self, record: ZoneRecord) -> None:
+    def _update_silence(self, record: ZoneRecord) -> None:
         now = time.time()
         silent = {
-            member for member in record.members if self._roster.liveness(member) is Liveness.SUSPECT
+            member
+            for member in record.members
+            if self._membership.liveness(member) is Liveness.SUSPECT
         }
         self._silent_since = {member: self._silent_since.get(member, now) for member in silent}
         if silent and now - self._listed_at > HOST_LIST_EVERY_S:
@@ -129,14 +132,14 @@
             self._listing = None if isinstance(result, Failure) else result.unwrap()
 
     def _is_gone(self, member: Member) -> bool:
-        return self._roster.liveness(member) is Liveness.GONE or self._is_delisted(member)
+        return self._membership.liveness(member) is Liveness.GONE or self._is_delisted(member)
 
     def _is_delisted(self, member: Member) -> bool:
-        """Whether the platform ended the member's entry host.
+        """Return whether the host list proves that the member's entry host has ended.
 
-        The list lags: one that was made soon after the silence began may lack a host that is
-        only being started, or show one that has ended. So it has to be newer by more than its
-        lag, and is read only while the member is silent.
+        The list lags: soon after the silence began it may lack a host that is starting, or still
+        contain one that has ended. So it must be newer than the start of the silence by more than
+        its lag. It is read only while members are silent.
         """
         since = self._silent_since.get(member)
         listing = self._listing
@@ -150,8 +153,8 @@
         result = self._kv.commit((Compare(key, revision),), (Put(key, value),))
         if isinstance(result, Failure):
             if result.failure().kind is FaultKind.AMBIGUOUS:
-                # The write may have taken effect; the watch brings it before the next try.
-                self._stopping.wait(AMBIGUOUS_PAUSE_S)
+                # The write may have taken effect; the watch delivers it before the next attempt.
+                self._stopping.wait(CONFLICT_PAUSE_S)
             return
         answer = result.unwrap()
         if answer.succeeded:
@@ -164,4 +167,4 @@
             )
         else:
             self._metrics.incr("membership.record_conflicts")
-            self._stopping.wait(AMBIGUOUS_PAUSE_S)
+            self._stopping.wait(CONFLICT_PAUSE_S)
--- a/src/lentilrill/inner/_node.py
+++ b/src/lentilrill/inner/_node.py
@@ -1,4 +1,4 @@
-"""ZeroMQ between the system's processes: one listening socket, one task that sends."""
+"""ZeroMQ messaging between the system's processes: one listening socket, one sender thread."""
 
 import queue
 import threading
@@ -17,46 +17,46 @@
 
 __all__ = ["Node"]
 
-OUTBOX_MESSAGES = 20_000
-BATCH_MESSAGES = 256
-IDLE_PEER_S = 20.0
-SWEEP_EVERY_S = 1.0
-LAST_LINGER_MS = 500
-"""How long what was sent last may take to leave once a connection is given up."""
+MAX_OUTBOX_MESSAGES = 20_000
+MAX_BATCH_MESSAGES = 256
+IDLE_TIMEOUT_S = 20.0
+IDLE_CHECK_INTERVAL_S = 1.0
+CLOSE_LINGER_MS = 500
+"""Time that the last messages have to be sent once a connection is closed."""
 RECEIVE_POLL_MS = 1000
-PING_MS = 2000
-SILENT_MS = 4000
+PING_INTERVAL_MS = 2000
+PING_TIMEOUT_MS = 4000
 
 Handler = Callable[[Batch, Any], None]
 
 
 class _AllowedKey:
-    """ZAP credentials: only holders of the system's own key pair may connect.
+    """ZAP credentials provider that accepts only the system's own key pair.
 
-    Guard against a stray process that joins or acknowledges: its CURVE handshake fails, and no
-    message of it is ever read.
+    A process of another system must not join this one or acknowledge a withdrawal. Its CURVE
+    handshake fails, so none of its messages is ever read.
     """
 
-    def __init__(self, public: bytes) -> None:
-        self._public = public
+    def __init__(self, public_key: bytes) -> None:
+        self._public_key = public_key
 
     def callback(self, domain: str, key: bytes) -> bool:
         """Return whether ``key`` (Z85) is the system's."""
         del domain
-        return key == self._public
+        return key == self._public_key
 
 
 class Node:
-    """A process's end of the inner protocol.
+    """A process's endpoint of the inner protocol.
 
-    Handlers run on the receiving task and must not block. Sending never blocks: the outbox and
-    each peer's queue are bounded, and what does not fit is dropped and counted. Every message of
-    the protocol may be lost, so whoever needs an answer asks again.
+    Handlers run on the receiver thread and must not block. Sending never blocks: the outbox and
+    each peer's queue are bounded, and messages that do not fit are dropped and counted. Any
+    message of the protocol may be lost, so a sender that needs an answer retries.
 
-    :param address: ``ip:port`` to listen on; also told to peers as the address to reply to.
-    :param keys: key pair shared by the system's processes; ``None``: the network between them
-        is trusted, and nothing is authenticated.
-    :param listen: ``ip:port`` to listen on instead, if peers reach it by another address.
+    :param address: ``ip:port`` to listen on; peers reply to it.
+    :param keys: key pair shared by the system's processes; ``None`` if the network between them
+        is trusted, in which case peers are not authenticated.
+    :param listen: ``ip:port`` to bind to instead, if it differs from the address peers use.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.process = process
         self.incarnation = incarnation
         self.address = address
-        self._listen = listen or address
+        self._bind_address = listen or address
         self.bytes_sent = 0
         self.bytes_received = 0
         self._keys = keys
@@ -88,27 +88,27 @@
         self._handlers_by_kind.setdefault(kind, []).append(handler)
 
     def start(self) -> None:
-        """Listen, and begin to receive."""
+        """Bind the listening socket and start the receiver and sender threads."""
         if self._auth is not None and self._keys is not None:
             self._auth.start()
             self._auth.configure_curve_callback(
                 credentials_provider=_AllowedKey(self._keys.public.encode())
             )
-        self._listening = self.socket(zmq.ROUTER)
+        self._listener = self.socket(zmq.ROUTER)
         if self._keys is not None:
-            self._listening.curve_server = True
-        self._listening.setsockopt(zmq.MAXMSGSIZE, MAX_BATCH_BYTES)
-        self._listening.bind(f"tcp://{self._listen}")
+            self._listener.curve_server = True
+        self._listener.setsockopt(zmq.MAXMSGSIZE, MAX_BATCH_BYTES)
+        self._listener.bind(f"tcp://{self._bind_address}")
         self._receiver.start()
         self._sender.start()
 
     def send(self, address: str, message: Message) -> None:
-        """Queue ``message`` for the process that listens on ``address``."""
+        """Queue ``message`` for the process at ``address``."""
         if not self._stopping.is_set():
             self._sender.put(address, message)
 
     def close(self, linger_s: float = 0.5) -> None:
-        """Send what is queued, for at most ``linger_s`` seconds, and end all tasks."""
+        """Send queued messages for at most ``linger_s`` seconds, then stop all threads."""
         self._stopping.set()
         self._sender.finish()
         if self._sender.is_alive():
@@ -121,20 +121,20 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the node was closed."""
+        """Whether the node is closed or closing."""
         return self._stopping.is_set()
 
     def socket(self, kind: int) -> zmq.Socket:
-        """Return a socket with the system's keys and limits."""
+        """Return a socket of type ``kind`` with the system's keys and limits."""
         socket = self._context.socket(kind)
         if self._keys is not None:
             socket.curve_publickey = self._keys.public.encode()
             socket.curve_secretkey = self._keys.secret.encode()
-        # A connection that something in between forgot goes silent for good, while a new one
-        # works. Unanswered pings show it; the library then closes it and connects anew.
-        socket.setsockopt(zmq.HEARTBEAT_IVL, PING_MS)
-        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENT_MS)
-        socket.setsockopt(zmq.HEARTBEAT_TTL, SILENT_MS)
+        # A firewall or NAT device may drop the state of a connection, which then stays silent for
+        # good while a new connection works. ZeroMQ detects it by missing pongs and reconnects.
+        socket.setsockopt(zmq.HEARTBEAT_IVL, PING_INTERVAL_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, PING_TIMEOUT_MS)
+        socket.setsockopt(zmq.HEARTBEAT_TTL, PING_TIMEOUT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL, 50)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 1000)
         socket.setsockopt(zmq.CONNECT_TIMEOUT, 1000)
@@ -142,53 +142,53 @@
         socket.setsockopt(zmq.LINGER, 0)
         return socket
 
-    def connected(self, address: str) -> zmq.Socket:
-        """Return a sending socket that connects to ``address``, now and after each loss."""
+    def sender_socket(self, address: str) -> zmq.Socket:
+        """Return a sending socket that connects, and reconnects, to ``address``."""
         socket = self.socket(zmq.DEALER)
         if self._keys is not None:
             socket.curve_serverkey = self._keys.public.encode()
-        own_ip = self._listen.rpartition(":")[0]
+        own_ip = self._bind_address.rpartition(":")[0]
         same_family = own_ip.startswith("[") == address.startswith("[")
         socket.connect(f"tcp://{own_ip}:0;{address}" if same_family else f"tcp://{address}")
         return socket
 
     def batch(self, messages: tuple[Message, ...]) -> Batch:
-        """Return ``messages`` in a batch of this process."""
+        """Return a batch of ``messages`` with this process as the sender."""
         return Batch(self.process, self.incarnation, self.address, messages)
 
-    def dropped(self, peer: str, reason: str) -> None:
-        """Count and log a message that could not be used."""
+    def report_dropped(self, peer: str, reason: str) -> None:
+        """Count and log a message that could not be sent or decoded."""
         self._metrics.incr("inner.dropped")
         log(Event.INNER_DROPPED, peer=peer or "unknown", reason=reason)
 
     def deliver(self, batch: Batch) -> None:
-        """Hand each message of ``batch`` to its handlers."""
+        """Call the handlers of each message of ``batch``."""
         for message in batch.messages:
             for handler in self._handlers_by_kind.get(type(message), ()):
                 try:
                     handler(batch, message)
-                except Exception as error:  # a failing handler must not end the receiving task
+                except Exception as error:  # a failing handler must not stop the receiver thread
                     log(Event.TASK_FAILED, task=type(message).__name__, error=repr(error))
 
     def _receive(self) -> None:
         while not self._stopping.is_set():
-            if not self._listening.poll(RECEIVE_POLL_MS):
+            if not self._listener.poll(RECEIVE_POLL_MS):
                 continue
-            frames = self._listening.recv_multipart()
+            frames = self._listener.recv_multipart()
             self.bytes_received += len(frames[-1])
             result = decode(frames[-1])
             if isinstance(result, Failure):
-                self.dropped("", result.failure().reason)
+                self.report_dropped("", result.failure().reason)
             else:
                 self.deliver(result.unwrap())
-        self._listening.close()
+        self._listener.close()
 
 
 class _Sender(threading.Thread):
-    """Sends all peers their messages, many for one peer in one batch when they queue up.
+    """Thread that sends the messages of all peers, batching those that are queued for one peer.
 
-    One task for all peers: the cost of a process must not grow with the number of processes that
-    it has ever told something. Sending never waits for a peer, so that none holds up the others.
+    A single thread serves all peers, so that the number of threads does not grow with the number
+    of peers. It never waits for a peer, so that a slow one does not delay the others.
     """
 
     def __init__(self, node: Node) -> None:
@@ -197,35 +197,35 @@
         self._outbox: queue.SimpleQueue[tuple[str, Message] | None] = queue.SimpleQueue()
         self._sockets_by_address: dict[str, zmq.Socket] = {}
         self._used_at: dict[str, float] = {}
-        self._swept_at = time.monotonic()
+        self._idle_checked_at = time.monotonic()
 
     def put(self, address: str, message: Message) -> None:
-        """Queue a message for the process that listens on ``address``."""
-        if self._outbox.qsize() >= OUTBOX_MESSAGES:
-            self._node.dropped(address, "outbox full")
+        """Queue a message for the process at ``address``, or drop it if the outbox is full."""
+        if self._outbox.qsize() >= MAX_OUTBOX_MESSAGES:
+            self._node.report_dropped(address, "outbox full")
         else:
             self._outbox.put((address, message))
 
     def finish(self) -> None:
-        """End the task once all that is queued has been sent."""
+        """Stop the thread once all queued messages have been sent."""
         self._outbox.put(None)
 
     def run(self) -> None:
-        """Send until finished."""
+        """Send messages until :meth:`finish` is called."""
         finished = False
         while not finished:
-            messages_by_address, finished = self._next()
+            messages_by_address, finished = self._next_messages()
             for address, messages in messages_by_address.items():
                 self._try_to_send(address, messages)
             self._close_idle(time.monotonic())
         for socket in self._sockets_by_address.values():
-            socket.close(linger=LAST_LINGER_MS)
+            socket.close(linger=CLOSE_LINGER_MS)
 
-    def _next(self) -> tuple[dict[str, list[Message]], bool]:
-        """Return what is queued, by peer, and whether the task is to end after it."""
+    def _next_messages(self) -> tuple[dict[str, list[Message]], bool]:
+        """Return the queued messages by address, and whether the thread is to stop after them."""
         messages_by_address: dict[str, list[Message]] = {}
-        wait_s = IDLE_PEER_S
-        for _ in range(BATCH_MESSAGES):
+        wait_s = IDLE_TIMEOUT_S
+        for _ in range(MAX_BATCH_MESSAGES):
             try:
                 entry = self._outbox.get(block=wait_s > 0, timeout=wait_s)
             except queue.Empty:
@@ -240,8 +240,8 @@
     def _try_to_send(self, address: str, messages: list[Message]) -> None:
         try:
             self._send(address, messages)
-        except Exception as error:  # one peer's odd address must not end the sending to all
-            self._node.dropped(address, repr(error))
+        except Exception as error:  # one malformed address must not stop sending to other peers
+            self._node.report_dropped(address, repr(error))
 
     def _send(self, address: str, messages: list[Message]) -> None:
         batch = self._node.batch(tuple(messages))
@@ -255,19 +255,19 @@
             socket.send(data, zmq.NOBLOCK)
             self._node.bytes_sent += len(data)
         except zmq.Again:
-            self._node.dropped(address, "peer does not read")
+            self._node.report_dropped(address, "peer's send queue is full")
 
     def _socket(self, address: str) -> zmq.Socket:
         socket = self._sockets_by_address.get(address)
         if socket is None:
-            socket = self._sockets_by_address[address] = self._node.connected(address)
+            socket = self._sockets_by_address[address] = self._node.sender_socket(address)
         return socket
 
     def _close_idle(self, now: float) -> None:
-        if now - self._swept_at < SWEEP_EVERY_S:
+        if now - self._idle_checked_at < IDLE_CHECK_INTERVAL_S:
             return
-        self._swept_at = now
+        self._idle_checked_at = now
         for address, used_at in list(self._used_at.items()):
-            if now - used_at > IDLE_PEER_S:
+            if now - used_at > IDLE_TIMEOUT_S:
                 del self._used_at[address]
-                self._sockets_by_address.pop(address).close(linger=LAST_LINGER_MS)
+                self._sockets_by_address.pop(address).close(linger=CLOSE_LINGER_MS)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces, which can be told to fail."""
+"""Fakes of interfaces, with failures that tests can set."""
 
 import threading
 from collections import Counter, deque
@@ -9,7 +9,7 @@
 
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.ids import Revision, ZoneId
-from lentilrill.membership import Liveness, Member, Role, ZoneNews
+from lentilrill.membership import Liveness, Member, Role, ZoneStatus
 from lentilrill.store import (
     Compare,
     DeleteRange,
@@ -29,48 +29,48 @@
     "CountingMetrics",
     "FakeHostList",
     "FakeKeyValue",
+    "FakeMembershipList",
     "FakeNode",
-    "FakeRoster",
     "lose_answer",
     "lose_request",
     "refuse",
 ]
 
-SILENT_WATCH_S = 0.2
+WATCH_TIMEOUT_S = 0.2
 
-Fate = Callable[[Callable[[], Result]], Result]
-"""What becomes of one call: gets the call itself, and returns what its caller sees."""
+CallWrapper = Callable[[Callable[[], Result]], Result]
+"""Wrapper of one call that decides whether it takes effect and which result its caller gets."""
 
 
 def lose_answer(call: Callable[[], Result]) -> Result:
-    """Fate of a call that takes effect while its answer is lost."""
+    """Make the call, but lose its answer."""
     call()
     return _lost()
 
 
 def lose_request(call: Callable[[], Result]) -> Result:
-    """Fate of a call that never arrives, which its caller can't tell from a lost answer."""
+    """Lose the call; its caller can't distinguish that from a lost answer."""
     del call
     return _lost()
 
 
 def refuse(call: Callable[[], Result]) -> Result:
-    """Fate of a call that is given up before it is sent."""
+    """Fail the call before it is sent."""
     del call
     return _unavailable("call")
 
 
 class FakeKeyValue:
-    """The key-value service in memory, with compare-and-swap over one revision counter.
+    """In-memory key-value service, with compare-and-swap and one revision counter.
 
-    :ivar down: every call fails as unavailable.
-    :ivar lose_answers: how many of the next commits take effect but lose their answer.
-    :ivar lose_requests: how many of the next commits are lost before they take effect; the
-        caller can't tell the two apart.
-    :ivar before_commit: called once before the next commit, as a racing writer.
+    :ivar down: whether every call fails as unavailable.
+    :ivar lose_answers: number of next commits that take effect but lose their answer.
+    :ivar lose_requests: number of next commits that are lost before they take effect; the caller
+        can't distinguish the two.
+    :ivar before_commit: called once before the next commit, to simulate a racing writer.
     :ivar observer: called after each change with the items as they were before it.
-    :ivar priorities: of the reads of single keys.
-    :ivar commits: fates of the next commits, in order; the same for reads.
+    :ivar priorities: priorities of the reads of single keys.
+    :ivar commits: wrappers of the next commits, in order; ``reads`` are those of the next reads.
     """
 
     def __init__(self) -> None:
@@ -79,8 +79,8 @@
         self.lose_requests = 0
         self.before_commit: Callable[[], None] | None = None
         self.observer: Callable[[dict[str, Item]], None] | None = None
-        self.commits: deque[Fate] = deque()
-        self.reads: deque[Fate] = deque()
+        self.commits: deque[CallWrapper] = deque()
+        self.reads: deque[CallWrapper] = deque()
         self.calls: Counter[str] = Counter()
         self.priorities: list[Priority] = []
         self.revision = Revision(0)
@@ -94,8 +94,8 @@
         self.calls["read"] += 1
         if self.down:
             return _unavailable("read")
-        fate = self.reads.popleft() if self.reads else _as_usual
-        return fate(lambda: self._read(prefix))
+        wrapper = self.reads.popleft() if self.reads else _call_through
+        return wrapper(lambda: self._read(prefix))
 
     def _read(self, prefix: str) -> Result[RangeAnswer, Fault]:
         with self._changed:
@@ -123,8 +123,8 @@
         self.calls["commit"] += 1
         if self.down:
             return _unavailable("commit")
-        fate = self.commits.popleft() if self.commits else _as_usual
-        return fate(lambda: self._commit(compares, writes))
+        wrapper = self.commits.popleft() if self.commits else _call_through
+        return wrapper(lambda: self._commit(compares, writes))
 
     def _commit(
         self, compares: tuple[Compare, ...], writes: tuple[Put | DeleteRange, ...]
@@ -135,7 +135,7 @@
         if self.lose_requests:
             self.lose_requests -= 1
             return _lost()
-        if any(isinstance(write, Put) and self._is_over(write.lease) for write in writes):
+        if any(isinstance(write, Put) and self._has_ended(write.lease) for write in writes):
             return Failure(Fault("platform.commit", "fake", FaultKind.INVALID, "no such lease"))
         with self._changed:
             held = all(self._revision_of(c.key) == c.revision for c in compares)
@@ -148,11 +148,11 @@
             return _lost()
         return Success(answer)
 
-    def _is_over(self, lease: int) -> bool:
+    def _has_ended(self, lease: int) -> bool:
         return bool(lease) and lease not in self._leases
 
     def put(self, key: str, value: bytes) -> Revision:
-        """Write without comparison, as an operator's tool or another process would."""
+        """Write unconditionally, as an operator's tool or another process would."""
         with self._changed:
             self._apply((Put(key, value),))
             return self.revision
@@ -161,12 +161,12 @@
         self.calls["watch"] += 1
         return FakeWatch(self, prefix, after)
 
-    def news(self, prefix: str, after: Revision) -> Result[WatchBatch, Fault]:
-        """Wait for changes below ``prefix``; a watch that hears nothing for long is a fault."""
+    def changes(self, prefix: str, after: Revision) -> Result[WatchBatch, Fault]:
+        """Wait for changes below ``prefix``; return a fault if there are none for a while."""
         with self._changed:
-            if not self._news(prefix, after):
-                self._changed.wait(SILENT_WATCH_S)
-            items, revision = self._news(prefix, after), self.revision
+            if not self._changes_after(prefix, after):
+                self._changed.wait(WATCH_TIMEOUT_S)
+            items, revision = self._changes_after(prefix, after), self.revision
         if self.down or not items:
             return _unavailable("watch")
         return Success(WatchBatch(tuple(items), revision))
@@ -197,12 +197,12 @@
         return Success(None)
 
     def sync(self, mirror: Mirror) -> None:
-        """Bring a mirror up to date with the state keys, as the relayed watch would."""
+        """Update a mirror with the state keys, as the relayed watch would."""
         with self._changed:
             items = [i for k, i in self.items_by_key.items() if k.startswith("state/")]
             mirror.replace(items, self.revision)
 
-    def _news(self, prefix: str, after: Revision) -> list[Item]:
+    def _changes_after(self, prefix: str, after: Revision) -> list[Item]:
         return [i for i in self._history if i.revision > after and i.key.startswith(prefix)]
 
     def _items_of(self, compares: tuple[Compare, ...]) -> tuple[Item, ...]:
@@ -234,7 +234,7 @@
 
 
 class FakeWatch:
-    """A watch of the key-value service in memory; any task may close it."""
+    """A watch of the in-memory key-value service; any thread may close it."""
 
     def __init__(self, kv: FakeKeyValue, prefix: str, after: Revision) -> None:
         self._kv = kv
@@ -244,7 +244,7 @@
 
     def __iter__(self) -> Iterator[Result[WatchBatch, Fault]]:
         while not self._ended:
-            result = self._kv.news(self._prefix, self._after)
+            result = self._kv.changes(self._prefix, self._after)
             self._ended = isinstance(result, Failure)
             if not self._ended:
                 self._after = result.unwrap().revision
@@ -255,10 +255,10 @@
 
 
 class FakeHostList:
-    """The platform's host list.
+    """Fake of the platform's host list.
 
-    :ivar as_of: when the list was made; ``None`` means right now by the clock.
-    :ivar last: the list as last given out.
+    :ivar as_of: time at which the list was made; ``None`` for the current time of the clock.
+    :ivar last: the last returned list.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -270,7 +270,7 @@
         self._clock = clock
 
     def add(self, *infos: HostInfo) -> None:
-        """List hosts, or change what is listed of them."""
+        """Add hosts to the list, or replace their entries."""
         self.infos_by_id.update({info.id: info for info in infos})
 
     def hosts(self) -> Result[HostListing, Fault]:
@@ -282,13 +282,13 @@
         return Success(self.last)
 
 
-class FakeRoster:
-    """Members as a process believes them to be, set by the test."""
+class FakeMembershipList:
+    """List of members that the test sets."""
 
     def __init__(self, me: Member, members: list[Member]) -> None:
         self.me = me
         self.members = members
-        self.zone_news: tuple[ZoneNews, ...] = ()
+        self.reported_statuses: tuple[ZoneStatus, ...] = ()
 
     def alive(self, role: Role, zone: ZoneId | None = None) -> tuple[Member, ...]:
         return tuple(
@@ -301,15 +301,15 @@
     def liveness(self, member: Member) -> Liveness:
         return Liveness.ALIVE if member in self.members else Liveness.SUSPECT
 
-    def news(self) -> tuple[ZoneNews, ...]:
-        return self.zone_news
+    def zone_statuses(self) -> tuple[ZoneStatus, ...]:
+        return self.reported_statuses
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         del listener
 
 
 class CountingMetrics(NoMetrics):
-    """Metrics that keep counters."""
+    """Metrics that record counters."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -319,7 +319,7 @@
 
 
 class FakeNode:
-    """The inner protocol's node: keeps handlers, and hands messages to them at once."""
+    """Fake of the inner protocol's node that calls handlers directly."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any, Any], None]] = {}
@@ -328,12 +328,12 @@
         self.handlers[kind] = handler
 
     def deliver(self, batch: Any) -> None:
-        """Handle each message of a batch."""
+        """Call the handler of each message of ``batch``."""
         for message in batch.messages:
             self.handlers[type(message)](batch, message)
 
 
-def _as_usual(call: Callable[[], Result]) -> Result:
+def _call_through(call: Callable[[], Result]) -> Result:
     return call()
 
 
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -12,7 +12,7 @@
 from lentilrill.fleet._record_store import Basis, PoolRecordStore
 from lentilrill.fleet._records import HostEntry, PoolRecord
 from lentilrill.ids import HostId, PoolId, RackId, Revision, StopId, ZoneId
-from lentilrill.membership import ZoneNews
+from lentilrill.membership import ZoneStatus
 from lentilrill.settings import Document, Objective, PlannedStop
 from lentilrill.store import HostInfo, HostListing, Mirror
 from tests.builders import a_plan, a_pool, an_entitlement
@@ -120,8 +120,10 @@
         # about the hosts that schedulers of this zone have ejected.
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
-        news = ZoneNews(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
-        far.roster.zone_news = (msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),)
+        news = ZoneStatus(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
+        far.roster.reported_statuses = (
+            msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),
+        )
         world.change(stops=(a_stop(["h1"]),))
         world.sync()
         world.now += 1
--- a/tests/gossip/test_heartbeats.py
+++ b/tests/gossip/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""State and liveness spread between real nodes, without the platform."""
+"""State and liveness are replicated between real nodes without the platform."""
 
 import threading
 
@@ -9,7 +9,7 @@
 from lentilrill.gossip import Heartbeats
 from lentilrill.ids import EntryHostId, Incarnation, ProcessId, Revision, ZoneId
 from lentilrill.inner import Node, StateItems
-from lentilrill.membership import Liveness, Member, Role, RosterView, ZoneRecord, zone_key
+from lentilrill.membership import Liveness, Member, MembershipTracker, Role, ZoneRecord, zone_key
 from lentilrill.settings import InnerKeys, ProcessSettings
 from lentilrill.store import Item, Mirror
 from lentilrill.telemetry import NoMetrics
@@ -19,7 +19,7 @@
 
 
 class Peer:
-    """One process's gossip over a real node."""
+    """The heartbeats of one process over a real node."""
 
     def __init__(
         self,
@@ -53,19 +53,19 @@
         self.node = Node(ProcessId(name), incarnation, self.address, keys)
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.roster = RosterView(self.member, lambda: self.view.zones_by_id, 1.0, 2.0)
+        self.membership = MembershipTracker(self.member, lambda: self.view.zones_by_id, 1.0, 2.0)
         self.heartbeats = Heartbeats(
-            self.settings, self.node, self.mirror, self.roster, NoMetrics()
+            self.settings, self.node, self.mirror, self.membership, NoMetrics()
         )
         self.changed = threading.Event()
         self.mirror.subscribe(lambda items: self.changed.set())
-        self.roster.subscribe(self.changed.set)
+        self.membership.subscribe(self.changed.set)
         self.node.start()
         self.heartbeats.start()
 
-    def until(self, holds) -> bool:
+    def until(self, condition) -> bool:
         for _ in range(int(WAIT_S / 0.05)):
-            if holds():
+            if condition():
                 return True
             self.changed.wait(0.05)
             self.changed.clear()
@@ -85,9 +85,10 @@
         self.addCleanup(peer.close)
         return peer
 
-    def test_a_restarted_process_learns_from_its_peers_in_an_outage(self) -> None:
-        # The platform is down and an entry host is replaced. Its new process knows nothing and
-        # can't read the platform; without its peers it would serve nothing, or an old document.
+    def test_a_restarted_process_gets_state_from_its_peers_in_an_outage(self) -> None:
+        # The platform is down and an entry host is replaced. Its new process has no state and
+        # can't read the platform. Without its peers it could serve nothing, or only by an
+        # old document.
         keys = builders.inner_keys()
         old = self.a_peer("ct-1", keys)
         old.mirror.replace((Item(DOCUMENT_KEY, b"{}", Revision(5)),), Revision(7))
@@ -102,37 +103,45 @@
         here.mirror.replace((Item(DOCUMENT_KEY, b"{}", Revision(5)),), Revision(7))
         self.assertTrue(there.until(lambda: there.view.document_revision == 5))
 
-    def test_state_with_a_hole_before_it_is_not_taken_as_whole(self) -> None:
-        # Of two changes told by a peer the first message is lost. Were the second one's end
-        # taken over, the first change would be in force everywhere but here, for good.
+    def test_state_after_a_gap_does_not_advance_complete_to(self) -> None:
+        # A peer sends two changes and the first message is lost. If the second message advanced
+        # complete_to, this process would never request the first change.
         keys = builders.inner_keys()
         peer = self.a_peer("ct-1", keys)
-        teller = self.a_peer("ct-2", keys)
-        late = Item("state/pools/b", b"{}", Revision(9))
-        teller.node.send(peer.address, StateItems((late,), Revision(8), Revision(9)))
+        sender = self.a_peer("ct-2", keys)
+        item = Item("state/pools/b", b"{}", Revision(9))
+        sender.node.send(peer.address, StateItems((item,), Revision(8), Revision(9)))
         self.assertTrue(peer.until(lambda: peer.mirror.get("state/pools/b") is not None))
         self.assertEqual(0, peer.mirror.complete_to)
 
-    def test_a_clean_leave_is_heard_at_once(self) -> None:
+    def test_a_clean_leave_is_recorded_at_once(self) -> None:
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         leaves = Peer("ct-2", keys, seeds=(stays.address,))
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.ALIVE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(leaves.member) is Liveness.ALIVE)
+        )
         leaves.close()
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(leaves.member) is Liveness.GONE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(leaves.member) is Liveness.GONE)
+        )
 
-    def test_a_process_that_gave_up_on_its_jobs_does_not_leave(self) -> None:
-        # A gateway is told to stop, and after its drain time a long volume still runs. Did it
-        # say that it leaves, a planned stop would be granted at once and cut the volume off.
+    def test_a_process_that_abandons_jobs_does_not_send_leave(self) -> None:
+        # A gateway is stopped, and a long job still runs when its drain time ends. If it sent
+        # Leave, a planned stop of the job's host would be granted at once and abort the job.
         keys = builders.inner_keys()
         stays = self.a_peer("ct-1", keys)
         ends = Peer("ct-2", keys, seeds=(stays.address,))
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(ends.member) is Liveness.ALIVE))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(ends.member) is Liveness.ALIVE)
+        )
         ends.heartbeats.close(is_clean=False)
         ends.node.close(0.1)
-        self.assertTrue(stays.until(lambda: stays.roster.liveness(ends.member) is Liveness.SUSPECT))
+        self.assertTrue(
+            stays.until(lambda: stays.membership.liveness(ends.member) is Liveness.SUSPECT)
+        )
 
-    def test_gateways_hear_of_each_other_through_heads(self) -> None:
+    def test_gateways_detect_each_other_through_heads(self) -> None:
         keys = builders.inner_keys()
         heads = [self.a_peer("ct-1", keys)]
         heads.append(self.a_peer("ct-2", keys, seeds=(heads[0].address,)))
@@ -140,13 +149,13 @@
         gateways = [self.a_peer(f"gw-{n}", keys, seeds, role=Role.GATEWAY) for n in (1, 2)]
         self.register(heads + gateways)
         one, two = gateways
-        self.assertTrue(one.until(lambda: two.member in one.roster.alive(Role.GATEWAY)))
-        self.assertTrue(one.until(lambda: one.roster.word() is not None))
+        self.assertTrue(one.until(lambda: two.member in one.membership.alive(Role.GATEWAY)))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is not None))
 
-    def test_gateways_find_each_other_without_any_head(self) -> None:
-        # Every controller of a zone is down, as a bad release crashes them. The gateways must
-        # still see each other, or each would schedule every pool for itself and hand out all
-        # slots several times.
+    def test_gateways_detect_each_other_without_any_head(self) -> None:
+        # A faulty release crashes every controller of a zone. The gateways must still detect each
+        # other; otherwise each would schedule every pool and all slots would be granted several
+        # times.
         keys = builders.inner_keys()
         head = Peer("ct-1", keys)
         gateways = [
@@ -154,16 +163,16 @@
         ]
         self.register([head, *gateways])
         one, two = gateways
-        self.assertTrue(one.until(lambda: one.roster.word() is not None))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is not None))
         head.node.close(0.0)
         self.addCleanup(head.heartbeats.close)
-        self.assertTrue(one.until(lambda: one.roster.word() is None))
+        self.assertTrue(one.until(lambda: one.membership.latest_head_report() is None))
         alive = [two.member, one.member]
         for peer in gateways:
             self.assertTrue(
-                peer.until(lambda p=peer: p.roster.last_heard(p.other(alive)) is not None)
+                peer.until(lambda p=peer: p.membership.last_heartbeat(p.other(alive)) is not None)
             )
-        self.assertTrue(one.until(lambda: two.member in one.roster.alive(Role.GATEWAY)))
+        self.assertTrue(one.until(lambda: two.member in one.membership.alive(Role.GATEWAY)))
 
     def register(self, peers: list[Peer]) -> None:
         record = ZoneRecord(ZoneId("z1"), tuple(peer.member for peer in peers))
--- a/tests/gossip/test_recorder.py
+++ b/tests/gossip/test_recorder.py
@@ -1,4 +1,4 @@
-"""The zone's record takes members out only when they are proved gone."""
+"""Members are removed from the zone's record only when they have provably ended."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from lentilrill.faults import Fault, FaultKind
 from lentilrill.gossip import ZoneRecorder, next_record
 from lentilrill.ids import EntryHostId, HostId, RackId, Revision, ZoneId
-from lentilrill.membership import Member, Role, RosterView, ZoneRecord
+from lentilrill.membership import Member, MembershipTracker, Role, ZoneRecord
 from lentilrill.store import (
     HostInfo,
     HostKind,
@@ -30,8 +30,9 @@
 
 class NextRecordTest(TestCase):
     def test_a_silent_member_stays(self) -> None:
-        # A gateway falls silent while a host is being withdrawn. Taken out of the record, it
-        # would no longer be asked; it wakes up and sends to a host that has moved on.
+        # A gateway is paused while a host is being withdrawn. If it were removed from the record,
+        # its acknowledgement would not be required, and it could resume and send to a host that
+        # was released meanwhile.
         silent = builders.a_member("gw-silent")
         record = ZoneRecord(ZONE, (silent,))
         self.assertEqual(record, next_record(record, (), never))
@@ -44,7 +45,7 @@
 
 
 class FakeStore:
-    """Commits always succeed unless ``fault`` is set; keeps what was written."""
+    """Store whose commits succeed unless ``fault`` is set."""
 
     def __init__(self) -> None:
         self.fault: Fault | None = None
@@ -70,12 +71,12 @@
         super().setUp()
         self.zones: dict[ZoneId, tuple[ZoneRecord, Revision]] = {}
         self.me = builders.a_member("ct-me", role=Role.CONTROLLER)
-        self.roster = RosterView(self.me, lambda: self.zones, 2.0, 5.0, lambda: 0.0)
+        self.membership = MembershipTracker(self.me, lambda: self.zones, 2.0, 5.0, lambda: 0.0)
         self.store, self.hosts = FakeStore(), FakeHostList()
         self.recorder = ZoneRecorder(
             self.store,  # type: ignore[arg-type]
             self.hosts,
-            self.roster,
+            self.membership,
             lambda: self.zones,
             self.publish,
             LAG_S,
@@ -90,39 +91,39 @@
     def members(self) -> tuple[str, ...]:
         return tuple(member.process for member in self.zones[ZONE][0].members)
 
-    def round(self) -> Callable[[], tuple[str, ...]]:
-        self.roster.refresh()
-        self.recorder.round()
+    def run_once(self) -> Callable[[], tuple[str, ...]]:
+        self.membership.refresh()
+        self.recorder.run_once()
         return self.members
 
     def test_newcomers_are_recorded(self) -> None:
-        self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.membership.record_heartbeat(builders.a_member("gw-1"), Revision(0), True)
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
 
     def test_nothing_is_written_without_a_change(self) -> None:
-        self.round()
-        self.round()
+        self.run_once()
+        self.run_once()
         self.assertEqual(1, self.store.revision)
 
     def test_an_outage_changes_nothing(self) -> None:
-        self.round()
+        self.run_once()
         self.store.fault = Fault("platform.txn", "p", FaultKind.UNAVAILABLE, "down")
-        self.roster.hear(builders.a_member("gw-1"), Revision(0), True)
-        self.assertEqual(("ct-me",), self.round()())
+        self.membership.record_heartbeat(builders.a_member("gw-1"), Revision(0), True)
+        self.assertEqual(("ct-me",), self.run_once()())
 
-    def test_a_silent_member_leaves_by_a_fresh_host_list_only(self) -> None:
-        # An entry host's processes fall silent. The host list still in hand was made before
-        # that, and lacks the host because it lagged at its start. Only a list made later than
-        # the silence by more than its lag shows that the platform has ended the host.
+    def test_a_silent_member_is_removed_only_by_a_recent_host_list(self) -> None:
+        # An entry host's processes fall silent. The last host list is older than that, and lacks
+        # the host only because the list lagged when the host started. Only a list that is newer
+        # than the start of the silence by more than its lag proves that the host has ended.
         peer = builders.a_member("gw-1", entry_host=EntryHostId("entry-1"))
         self.zones[ZONE] = (ZoneRecord(ZONE, (self.me, peer)), Revision(1))
         self.hosts.listing = HostListing((), 1.0)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         since = self.recorder._silent_since[peer]
         self.recorder._listing = HostListing((), since + LAG_S - 1)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         listed = HostInfo(HostId("entry-1"), "", ZONE, RackId("r"), HostKind.ENTRY)
         self.recorder._listing = HostListing((listed,), since + LAG_S + 1)
-        self.assertEqual(("ct-me", "gw-1"), self.round()())
+        self.assertEqual(("ct-me", "gw-1"), self.run_once()())
         self.recorder._listing = HostListing((), since + LAG_S + 1)
-        self.assertEqual(("ct-me",), self.round()())
+        self.assertEqual(("ct-me",), self.run_once()())
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -39,13 +39,13 @@
     def registered_in(self, zone: ZoneId) -> tuple[Member, ...]:
         return self.view.zones_by_id[zone][0].members
 
-    def heard(self) -> tuple:
+    def last_heartbeats(self) -> tuple:
         return tuple(self.heard_list)
 
-    def news(self) -> tuple:
+    def zone_statuses(self) -> tuple:
         return tuple(self.news_list)
 
-    def word(self) -> None:
+    def latest_head_report(self) -> None:
         return None
 
     def liveness(self, member: Member) -> Liveness:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the test command does with tests that are known to be red."""
+"""Handling of the tests listed in KNOWN-RED.txt by the test command."""
 
 import subprocess
 import sys
@@ -23,8 +23,8 @@
 
 
 class KnownRedTest(TestCase):
-    def play(self, *listed: str) -> tuple[int, str]:
-        """Run a small suite of one red and one green test; return exit code and output."""
+    def run_suite(self, *listed: str) -> tuple[int, str]:
+        """Run a suite of one failing and one passing test; return exit code and output."""
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "conftest.py").write_text(CONFTEST.read_text())
@@ -36,22 +36,22 @@
             run = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
         return run.returncode, run.stdout + run.stderr
 
-    def test_a_listed_test_that_fails_is_passed_over_and_told(self) -> None:
-        """README's test command failed on a fresh clone, by a failure that was known."""
-        code, output = self.play(RED)
+    def test_a_listed_test_that_fails_is_accepted_and_reported(self) -> None:
+        """The test command of the README failed on a fresh clone because of a known failure."""
+        code, output = self.run_suite(RED)
         self.assertEqual(0, code)
         self.assertThat(output, Contains(f"known red: {RED} | command | seen | issue 1"))
         self.assertThat(output, Contains(f"known red, failed: {RED}"))
         self.assertThat(output, Contains("as listed"))
 
     def test_a_failure_that_is_not_listed_fails_the_run(self) -> None:
-        """A new failure was passed over beside a known one."""
-        code, output = self.play(GREEN, "make matrix: a cell")
+        """A new failure was accepted along with a known one."""
+        code, output = self.run_suite(GREEN, "make matrix: a cell")
         self.assertEqual(1, code)
         self.assertThat(output, Contains(f"known red, passed: {GREEN}"))
         self.assertThat(output, Not(Contains(f"known red, failed: {RED}")))
 
     def test_the_list_stays_short(self) -> None:
-        """Failures piled up in the list, and nobody mended them."""
-        code, _ = self.play(*(f"make matrix: {number}" for number in range(4)), RED)
+        """Failures accumulated in the list and were not fixed."""
+        code, _ = self.run_suite(*(f"make matrix: {number}" for number in range(4)), RED)
         self.assertNotEqual(0, code)
