--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -29,6 +29,25 @@
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 METRIC = re.compile(r"\.(?:incr|gauge|timing)\(\s*f?\"([^\"]+)\"")
+CODE_FOLDERS = ("src", "tests", "standins", "bench")
+PAGES_WITH_NAMES = (
+    "docs/*.md",
+    "docs/design/*.md",
+    "docs/incidents/*.md",
+    "docs/operators/*.md",
+    "README.md",
+    "DEVELOPERS.md",
+)
+QUOTED = re.compile(r"`([^`]+)`")
+FILE = re.compile(r"(?:[\w.-]+/)*\w+\.py\b")
+TEST = re.compile(r"\btest_\w+(?!\w*\.py)")
+CLASS = re.compile(r"\b_?[A-Z]+[a-z0-9]\w*\b")
+DEFINED = re.compile(
+    r"^\s*(?:class|def|type)\s+(\w+)|^(\w+)\s*(?::[^=\n]+)?=|\btag=\"(\w+)\"", re.MULTILINE
+)
+OUTSIDE_NAMES = {
+    "NewType",  # typing of the standard library
+}
 
 
 def rows_of(page: Path) -> dict[str, list[str]]:
@@ -54,6 +73,17 @@
     return default if default == "required" else msgspec.json.encode(default).decode()
 
 
+def names_in(page: Path) -> set[str]:
+    """Return the files, tests and classes that the page quotes."""
+    text = re.sub(r"^```.*?^```", "", page.read_text(), flags=re.DOTALL | re.MULTILINE)
+    names: set[str] = set()
+    for quoted in QUOTED.findall(text):
+        names |= set(FILE.findall(quoted)) | set(TEST.findall(quoted))
+        words = [word for word in CLASS.findall(quoted) if "_" not in word[1:]]
+        names |= {word for word in words if sum(letter.isupper() for letter in word) > 1}
+    return names
+
+
 class PagesTest(TestCase):
     def test_events(self) -> None:
         self.assertEqual(events_page(), EVENTS_PAGE.read_text())
@@ -111,3 +141,23 @@
         for verdict in EditVerdict:
             if verdict is not EditVerdict.UNCHANGED:
                 self.assertIn(verdict.value, status)
+
+    def test_quoted_names_of_the_code_exist(self) -> None:
+        """A renamed file, class or test leaves its old name behind in the pages."""
+        files = [path for folder in CODE_FOLDERS for path in (ROOT / folder).rglob("*.py")]
+        paths = [f"/{path.relative_to(ROOT)}" for path in files]
+        defined = {path.stem for path in files if path.stem.startswith("test_")}
+        for path in files:
+            defined |= {name for names in DEFINED.findall(path.read_text()) for name in names}
+        pages = [page for pattern in PAGES_WITH_NAMES for page in sorted(ROOT.glob(pattern))]
+        names = {page: names_in(page) for page in pages}
+        missing = [
+            f"{page.relative_to(ROOT)}: {name}"
+            for page in pages
+            for name in sorted(names[page] - OUTSIDE_NAMES)
+            if name not in defined and not any(path.endswith(f"/{name}") for path in paths)
+        ]
+        self.assertEqual([], missing)
+        found = set().union(*names.values())
+        for kind in (FILE, TEST, CLASS):
+            self.assertTrue(any(kind.fullmatch(name) for name in found), kind.pattern)
