--- a/src/lentilrill/fleet/_coordination.py
+++ b/src/lentilrill/fleet/_coordination.py
@@ -40,14 +40,14 @@
     over what the primary one leaves undone.
     """
 
-    def __init__(self, roster: MembershipList) -> None:
-        self._roster = roster
+    def __init__(self, membership: MembershipList) -> None:
+        self._membership = membership
         self._undone_since: dict[ActionKey, float] = {}
 
     def rank(self) -> ControllerRank:
         """Return the rank of this process in its zone."""
-        me = self._roster.me
-        local = list(self._roster.alive(Role.CONTROLLER, me.zone))
+        me = self._membership.me
+        local = list(self._membership.alive(Role.CONTROLLER, me.zone))
         first = rendezvous("fleet", local)
         if first == me:
             return ControllerRank.PRIMARY
@@ -57,7 +57,7 @@
     def candidates(self) -> list[Member]:
         """Return the primary controller of each zone."""
         by_zone: dict[ZoneId, list[Member]] = {}
-        for member in self._roster.alive(Role.CONTROLLER):
+        for member in self._membership.alive(Role.CONTROLLER):
             by_zone.setdefault(member.zone, []).append(member)
         chosen = (rendezvous("fleet", members) for members in by_zone.values())
         return [member for member in chosen if member is not None]
@@ -73,13 +73,13 @@
         for key in self._undone_since.keys() - actions_by_key.keys():
             del self._undone_since[key]
         candidates = self.candidates()
-        zone_rank = 0 if self._roster.me in candidates else 1
+        zone_rank = 0 if self._membership.me in candidates else 1
         ranks: dict[PoolId, int] = {}
         chosen = []
         for key, action in actions_by_key.items():
             if action.pool not in ranks:
                 ranks[action.pool] = self._rank_for_pool(action.pool, candidates)
-            local = zones_by_host.get(action.host) == self._roster.me.zone
+            local = zones_by_host.get(action.host) == self._membership.me.zone
             rank = zone_rank if isinstance(action, Close) and local else ranks[action.pool]
             undone_s = now - self._undone_since.setdefault(key, now)
             if undone_s >= rank * TAKE_OVER_DELAY_S:
@@ -90,7 +90,7 @@
         remaining = list(candidates)
         for rank in range(len(candidates)):
             first = rendezvous(pool, remaining)
-            if first is None or first == self._roster.me:
+            if first is None or first == self._membership.me:
                 return rank
             remaining.remove(first)
         return len(candidates)
--- a/src/lentilrill/fleet/_task.py
+++ b/src/lentilrill/fleet/_task.py
@@ -65,23 +65,23 @@
         kv: KeyValue,
         hosts: HostList,
         view: FleetView,
-        roster: MembershipList,
+        membership: MembershipList,
         settings: ControllerSettings,
         node: _Inner,
         metrics: Metrics,
         clock: Callable[[], float] = time.time,
     ) -> None:
         self._view = view
-        self._roster = roster
+        self._membership = membership
         self._settings = settings
         self._metrics = metrics
         self._clock = clock
         self._writer = ActionWriter(kv, view.mirror, metrics, clock)
         self._acks = Acknowledgements()
-        self._coordinator = ActionCoordinator(roster)
+        self._coordinator = ActionCoordinator(membership)
         self._history = PlanningHistory()
         self._planned_at = 0.0
-        self._trouble_reports = TroubleReports(roster)
+        self._trouble_reports = TroubleReports(membership)
         self._plan_lock = threading.Lock()
         self._list_reader = HostListReader(hosts, settings)
         self._planned_inputs: tuple = ()
--- a/src/lentilrill/fleet/_trouble_reports.py
+++ b/src/lentilrill/fleet/_trouble_reports.py
@@ -27,8 +27,8 @@
 class TroubleReports:
     """Last report of each gateway of the zone, with the status that other zones send."""
 
-    def __init__(self, roster: MembershipList) -> None:
-        self._roster = roster
+    def __init__(self, membership: MembershipList) -> None:
+        self._membership = membership
         self._lock = threading.Lock()
         self._report_by_sender: dict[tuple[str, int], _Report] = {}
 
@@ -56,7 +56,7 @@
         pool may be in another zone and would spend the budget a second time.
         """
         ejected, leaving = self.in_zone(now)
-        for news in self._roster.zone_statuses():
-            if time.monotonic() - news.at <= REPORT_TTL_S:
-                ejected, leaving = ejected | news.ejected, leaving | news.leaving
+        for zone_status in self._membership.zone_statuses():
+            if time.monotonic() - zone_status.at <= REPORT_TTL_S:
+                ejected, leaving = ejected | zone_status.ejected, leaving | zone_status.leaving
         return ejected, leaving
--- a/src/lentilrill/gateway/_accepted_job.py
+++ b/src/lentilrill/gateway/_accepted_job.py
@@ -14,7 +14,7 @@
     """A job that was accepted from a caller or from another zone's gateway.
 
     :param body: the complete body; ``None`` if it is streamed and can be sent only once.
-    :param prefix: first part of a streamed body, read before a slot is requested.
+    :param body_prefix: first part of a streamed body, read before a slot is requested.
     :param start_by: deadline for the start of the job, in monotonic seconds.
     :param answer_by: deadline for the answer to the caller, in monotonic seconds.
     :param forwarded: whether another zone's gateway sent it.
@@ -50,7 +50,7 @@
 class StreamedResponse(msgspec.Struct, frozen=True):
     """A response that was relayed to the caller while it was read from the endpoint.
 
-    :param whole: whether the endpoint's response was read to its end.
+    :param complete: whether the endpoint's response was read to its end.
     """
 
     status: int
--- a/src/lentilrill/jobs/_client.py
+++ b/src/lentilrill/jobs/_client.py
@@ -44,9 +44,11 @@
     :param retention_s: seconds for which an outcome is sent again until it is acknowledged.
     """
 
-    def __init__(self, node: Node, roster: MembershipList, shards: int, retention_s: float) -> None:
+    def __init__(
+        self, node: Node, membership: MembershipList, shards: int, retention_s: float
+    ) -> None:
         self._node = node
-        self._roster = roster
+        self._membership = membership
         self._shards = shards
         self._retention_s = retention_s
         self._lock = threading.Lock()
@@ -132,7 +134,7 @@
         )
         last_answer = None
         while (left_s := deadline - time.monotonic()) > 0:
-            owner = owner_of(shard, self._roster)
+            owner = owner_of(shard, self._membership)
             if owner is not None:
                 self._node.send(owner.inner, ask)
             try:
@@ -159,7 +161,7 @@
         self._send_outcome(outcome)
 
     def _send_outcome(self, outcome: OutcomeNote) -> None:
-        owner = owner_of(outcome.shard, self._roster)
+        owner = owner_of(outcome.shard, self._membership)
         if owner is not None:
             self._node.send(owner.inner, outcome)
 
--- a/src/lentilrill/jobs/_owner.py
+++ b/src/lentilrill/jobs/_owner.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         node: Node,
-        roster: MembershipList,
+        membership: MembershipList,
         platform: KeyValue,
         metrics: Metrics,
         shards: int,
@@ -60,12 +60,13 @@
         writes_per_s: float = 25.0,
     ) -> None:
         self._node = node
-        self._roster = roster
+        self._membership = membership
         self._platform = platform
         self._metrics = metrics
         self._writes_per_s = writes_per_s
         self._shards = [
-            Shard(platform, number, roster.me, retention_s, wall_clock) for number in range(shards)
+            Shard(platform, number, membership.me, retention_s, wall_clock)
+            for number in range(shards)
         ]
         self._inbox: queue.Queue[ReceivedMessage | None] = queue.Queue(MAX_INBOX_MESSAGES)
         self._deferred: ReceivedMessage | None = None
@@ -89,7 +90,7 @@
 
     def owns(self, shard: int) -> bool:
         """Return whether this process owns ``shard`` by its membership list."""
-        return owner_of(shard, self._roster) == self._roster.me
+        return owner_of(shard, self._membership) == self._membership.me
 
     def _on_claim(self, batch: InnerBatch, ask: ClaimAsk) -> None:
         if not 0 <= ask.shard < len(self._shards) or not self.owns(ask.shard):
@@ -210,7 +211,7 @@
 
         All owners share the platform's write rate, which grows more slowly than the fleet.
         """
-        owners = min(len(self._roster.alive(Role.GATEWAY)), len(self._shards))
+        owners = min(len(self._membership.alive(Role.GATEWAY)), len(self._shards))
         return max(1.0 / self._writes_per_s, owners / MAX_SYSTEM_WRITES_PER_S)
 
 
--- a/src/lentilrill/jobs/_shards.py
+++ b/src/lentilrill/jobs/_shards.py
@@ -14,6 +14,6 @@
     return int.from_bytes(digest, "big") % shards
 
 
-def owner_of(shard: int, roster: MembershipList) -> Member | None:
+def owner_of(shard: int, membership: MembershipList) -> Member | None:
     """Return the gateway that owns ``shard`` by this process's membership list."""
-    return rendezvous(f"claims/{shard}", roster.alive(Role.GATEWAY))
+    return rendezvous(f"claims/{shard}", membership.alive(Role.GATEWAY))
--- a/src/lentilrill/jobs/_store.py
+++ b/src/lentilrill/jobs/_store.py
@@ -97,7 +97,7 @@
         items_by_key = {item.key: item for item in read.unwrap().items}
         owner = items_by_key.pop(owner_key(self._shard), None)
         if owner is None or owner.value != owner_value:
-            return self._conflict("the fence is not seen as taken")
+            return self._conflict("the read does not show this take-over")
         batches: list[Batch] = []
         for key in sorted(items_by_key):
             value = items_by_key[key].value
--- a/tests/fleet/test_budgets.py
+++ b/tests/fleet/test_budgets.py
@@ -120,9 +120,9 @@
         # about the hosts that schedulers of this zone have ejected.
         world = a_world(2, 1, 2)
         far = world.controller("far", "z2")
-        news = ZoneStatus(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
-        far.roster.reported_statuses = (
-            msgspec.structs.replace(news, ejected=frozenset({HostId("h0")})),
+        zone_status = ZoneStatus(ZoneId("z1"), time.monotonic(), frozenset(), Revision(0))
+        far.membership.reported_statuses = (
+            msgspec.structs.replace(zone_status, ejected=frozenset({HostId("h0")})),
         )
         world.change(stops=(a_stop(["h1"]),))
         world.sync()
--- a/tests/fleet/test_task.py
+++ b/tests/fleet/test_task.py
@@ -67,18 +67,18 @@
         # other host of the pool, and the plan is left with no host at all.
         self.world.run(2)
         ejected, other = sorted(self.world.entries("ballots"))
-        news = ZoneStatus(
+        zone_status = ZoneStatus(
             ZoneId("z2"),
             time.monotonic(),
             frozenset(),
             Revision(1),
             ejected=frozenset({ejected}),
         )
-        self.controller.roster.reported_statuses = (news,)
+        self.controller.membership.reported_statuses = (zone_status,)
         self.world.change(stops=(a_stop(other),))
         self.world.run(3)
         self.assertEqual([], self.world.in_phase("ballots", HostPhase.WITHDRAWING))
-        self.controller.roster.reported_statuses = ()
+        self.controller.membership.reported_statuses = ()
         self.world.run(3, acks=False)
         self.assertEqual([other], self.world.in_phase("ballots", HostPhase.WITHDRAWING))
 
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -186,8 +186,8 @@
         # zone only, and the first candidate of the pool is in another zone.
         for n in range(8):
             other = self.world.controller(f"far-{n}", f"far-{n}")
-            other.roster.members.remove(other.member)
-            self.controller.roster.members = self.world.members + [
+            other.membership.members.remove(other.member)
+            self.controller.membership.members = self.world.members + [
                 c.member for c in self.world.controllers
             ]
         self.world.change(stops=(a_stop("h1"),))
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -24,7 +24,7 @@
         self.node = FakeNode()
         self.mirror = Mirror()
         self.view = FleetView(self.mirror)
-        self.roster = FakeMembershipList(self.member, world.members)
+        self.membership = FakeMembershipList(self.member, world.members)
         self.hosts = FakeHostList(world.clock)
         self.hosts.infos_by_id = world.hosts.infos_by_id
         settings = ControllerSettings(
@@ -41,7 +41,7 @@
             world.kv,
             self.hosts,
             self.view,
-            self.roster,
+            self.membership,
             settings,
             self.node,
             world.metrics,
--- a/tests/jobs/fakes.py
+++ b/tests/jobs/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for tests of claims: a platform with injected faults, a message bus and a roster."""
+"""Fakes for tests of claims: a platform with injected faults, a message bus and a member list."""
 
 import threading
 from collections.abc import Callable, Iterator
@@ -21,15 +21,15 @@
     WatchBatch,
 )
 
-__all__ = ["Bus", "BusNode", "FakePlatform", "FakeRoster"]
+__all__ = ["Bus", "BusNode", "FakeMembershipList", "FakePlatform"]
 
 
 class FakePlatform:
     """A key-value service in memory with injected faults.
 
-    The answers of the next ``lose`` commits are lost after the write took effect; the next
-    ``postpone`` commits take effect only at :meth:`land`; with ``down`` every call fails; with
-    ``stale`` reads return these items.
+    The answers of the next ``lose_answers`` commits are lost after the write took effect; the next
+    ``postpone_commits`` commits take effect only at :meth:`apply_postponed`; with ``down`` every
+    call fails; with ``stale_items`` reads return these items.
     """
 
     def __init__(self) -> None:
@@ -159,7 +159,7 @@
             handler(batch, message)
 
 
-class FakeRoster:
+class FakeMembershipList:
     """One process's membership list, set by the test."""
 
     def __init__(self, me: Member, *others: Member) -> None:
--- a/tests/jobs/test_claims.py
+++ b/tests/jobs/test_claims.py
@@ -23,7 +23,7 @@
 from lentilrill.membership import Member
 from lentilrill.telemetry import NoMetrics
 from tests import builders
-from tests.jobs.fakes import Bus, BusNode, FakePlatform, FakeRoster
+from tests.jobs.fakes import Bus, BusNode, FakeMembershipList, FakePlatform
 
 WAIT_S = 10.0
 SOON_S = 0.4
@@ -36,12 +36,12 @@
     def __init__(self, test: "ClaimTestCase", member: Member, shards: int) -> None:
         self.member = member
         self.node = BusNode(test.bus, member)
-        self.roster = FakeRoster(member)
+        self.membership = FakeMembershipList(member)
         self.now = 1000.0
         node = cast(Node, self.node)
-        self.client = ClaimClient(node, self.roster, shards, RETENTION_S)
+        self.client = ClaimClient(node, self.membership, shards, RETENTION_S)
         self.owner = ClaimOwner(
-            node, self.roster, test.platform, NoMetrics(), shards, RETENTION_S, lambda: self.now
+            node, self.membership, test.platform, NoMetrics(), shards, RETENTION_S, lambda: self.now
         )
         self.client.start()
         self.owner.start()
@@ -50,7 +50,7 @@
 
     def set_only_member(self, owner: "Process") -> None:
         """Make ``owner`` the only member in this process's membership list."""
-        self.roster.members = (owner.member,)
+        self.membership.members = (owner.member,)
 
 
 class ClaimTestCase(TestCase):
@@ -238,7 +238,7 @@
     def test_a_missing_owner_does_not_delay_a_stop(self) -> None:
         self.patch(_client, "CLOSE_TIMEOUT_S", 0.1)
         one = self.a_process("one")
-        one.roster.members = ()
+        one.membership.members = ()
         one.client.record(a_claim("r1"), RecordedResponse(200, "", b"x"))
         one.client.close()
         self.assertEqual(1, one.client.unacknowledged_outcomes)
@@ -284,7 +284,7 @@
 
     def test_no_owner_claims_nothing(self) -> None:
         one = self.a_process("one")
-        one.roster.members = ()
+        one.membership.members = ()
         self.assert_state(ClaimState.UNAVAILABLE, one.client.claim(a_claim("r1"), SOON_S))
 
     def test_an_unanswered_claim_is_given_back(self) -> None:
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -24,13 +24,13 @@
 
 
 class FakeMembership:
-    """A fake roster that returns the values set by the test."""
+    """A fake membership tracker that returns the values set by the test."""
 
     def __init__(self, me: Member, view: FleetView) -> None:
         self.me = me
         self.view = view
-        self.news_list: list = []
-        self.heard_list: list = []
+        self.reported_statuses: list = []
+        self.heartbeats: list = []
         self.suspects: set[str] = set()
 
     def zones(self) -> tuple[ZoneId, ...]:
@@ -40,10 +40,10 @@
         return self.view.zones_by_id[zone][0].members
 
     def last_heartbeats(self) -> tuple:
-        return tuple(self.heard_list)
+        return tuple(self.heartbeats)
 
     def zone_statuses(self) -> tuple:
-        return tuple(self.news_list)
+        return tuple(self.reported_statuses)
 
     def latest_head_report(self) -> None:
         return None
@@ -59,7 +59,7 @@
         super().setUp()
         self.view = FleetView(Mirror())
         self.me = a_member("ct-1", role=Role.CONTROLLER)
-        self.roster = FakeMembership(self.me, self.view)
+        self.membership = FakeMembership(self.me, self.view)
         self.put(DOCUMENT_KEY, a_document("schools", "spare"), 5)
 
     def put(self, key: str, value: object, revision: int) -> None:
@@ -70,15 +70,15 @@
         self.put(zone_key(ZoneId(name)), ZoneRecord(ZoneId(name), members), 4)
 
     def status(self, report: FleetReport = FleetReport()):  # noqa: B008
-        return status(self.roster, self.view, report, False)
+        return status(self.membership, self.view, report, False)
 
     def test_paused_gateway_of_another_zone_counts_as_unheard(self) -> None:
         # A gateway of another zone is paused during an edit. Its zone reports it as suspect, and
         # reports one revision for the processes it hears from. Applied to the whole zone, that
         # showed the edit as in force everywhere, while the resumed gateway served the old one.
         self.zone("z2", a_member("gw-2", zone=ZoneId("z2")), a_member("gw-3", zone=ZoneId("z2")))
-        self.roster.suspects = {"gw-2"}
-        self.roster.news_list = [
+        self.membership.suspects = {"gw-2"}
+        self.membership.reported_statuses = [
             SimpleNamespace(
                 zone=ZoneId("z2"),
                 suspects=frozenset({ProcessId("gw-2")}),
