--- a/bench/_fleet_sim.py
+++ b/bench/_fleet_sim.py
@@ -100,8 +100,8 @@
         self.now = 0.0
         self.document = site.document()
         self.kv = FakeKeyValue()
-        self.ledger = PoolRecordStore(self.kv, Mirror())
-        self.memory = PlanningHistory()
+        self.record_store = PoolRecordStore(self.kv, Mirror())
+        self.history = PlanningHistory()
         self.infos_by_id = {info.id: info for info in site.host_infos()}
         self.returns_at: dict[HostId, float] = {}
         self.records: dict[PoolId, tuple[PoolRecord, Revision]] = {}
@@ -114,7 +114,7 @@
         self._moved_in: Counter[PoolId] = Counter()
         self._moved_out: Counter[PoolId] = Counter()
         self._declare()
-        self.promises = commitments(self.document)
+        self.commitments = commitments(self.document)
 
     def run(self, sample_every_s: float) -> None:
         """Run the site for the configured number of days."""
@@ -163,7 +163,7 @@
         for _ in range(3):
             self._step(without_failures=True)
 
-    def sight(self) -> FleetSnapshot:
+    def snapshot(self) -> FleetSnapshot:
         """Return the current input of the planner."""
         hosts = tuple(i for h, i in self.infos_by_id.items() if h not in self.returns_at)
         records = {pool: record for pool, (record, _) in self.records.items()}
@@ -199,7 +199,7 @@
             del self.returns_at[host]
             info = self.infos_by_id[host]
             self.infos_by_id[host] = msgspec.structs.replace(info, since=self.now)
-        decision = plan(self.sight(), self.memory)
+        decision = plan(self.snapshot(), self.history)
         self.last = decision
         self._write(decision.actions)
         self._start_maintenance()
@@ -242,7 +242,7 @@
             frozenset(stop.id for stop in self.document.stops),
             self.now,
         )
-        self.ledger.create([pool.id for pool in self.document.pools], basis).unwrap()
+        self.record_store.create([pool.id for pool in self.document.pools], basis).unwrap()
         actions_by_pool: dict[PoolId, list[Action]] = {}
         hosts_by_move: dict[tuple[PoolId, PoolId], list[HostId]] = {}
         for action in actions:
@@ -251,12 +251,12 @@
             else:
                 actions_by_pool.setdefault(action.pool, []).append(action)
         for (pool, target), hosts in hosts_by_move.items():
-            self.ledger.move(pool, target, hosts, basis).unwrap()
+            self.record_store.move(pool, target, hosts, basis).unwrap()
             self.moves += len(hosts)
             self._moved_out[pool] += len(hosts)
             self._moved_in[target] += len(hosts)
         for pool, pool_actions in actions_by_pool.items():
-            self.ledger.apply(pool, pool_actions, basis).unwrap()
+            self.record_store.apply(pool, pool_actions, basis).unwrap()
 
     def _sample(self) -> None:
         available: Counter[PoolId] = Counter()
@@ -267,8 +267,8 @@
                     available[pool] += 1
                     pool_by_host[entry.id] = pool
         self.samples_over_budget += any(
-            available[pool] < max((f.hosts for f in promise.floors), default=0)
-            for pool, promise in self.promises.items()
+            available[pool] < max((f.hosts for f in commitment.floors), default=0)
+            for pool, commitment in self.commitments.items()
         )
         counts = {pool: available[pool] for pool in self.records}
         moved = dict(self._moved_in), dict(self._moved_out)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -46,7 +46,7 @@
     for name, objective in (("few_moves", FEW_MOVES), ("little_buffer", LITTLE_BUFFER)):
         run = Fleet(msgspec.structs.replace(site, objective=objective))
         run.run(SAMPLE_INTERVAL_S)
-        owed = {pool: promise.owed for pool, promise in run.promises.items()}
+        owed = {pool: commitment.owed for pool, commitment in run.commitments.items()}
         buffer = sum(
             max(0, count - owed[pool])
             for sample in run.samples
@@ -71,20 +71,20 @@
 
 
 def show_cost() -> None:
-    """Show the time and memory of one planning run, by hosts and pools."""
+    """Show the time and memory of one planning round, by hosts and pools."""
     for pools, hosts in ((52, 21), (52, 42), (52, 85), (13, 340), (26, 170)):
         site = Site("cost", pools, hosts, 11, hosts - 1, hosts - 4, 4, 0.0, FEW_MOVES)
         run = Fleet(site)
         run.assign_all()
-        sight, memory = run.sight(), PlanningHistory()
-        plan(sight, memory)
+        snapshot, history = run.snapshot(), PlanningHistory()
+        plan(snapshot, history)
         times = []
         for _ in range(15):
             started = time.thread_time()
-            plan(sight, memory)
+            plan(snapshot, history)
             times.append(time.thread_time() - started)
         tracemalloc.start()
-        decision = plan(sight, memory)
+        decision = plan(snapshot, history)
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
         encoded = [msgspec.json.encode(record) for record, _ in run.records.values()]
@@ -92,7 +92,7 @@
         decoded = [msgspec.json.decode(record, type=PoolRecord) for record in encoded]
         records_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        listing = len(msgspec.json.encode(sight.listing))
+        listing = len(msgspec.json.encode(snapshot.listing))
         context = {"pools": pools, "hosts": pools * hosts, "actions": len(decision.actions)}
         show("look_least", min(times) * 1000, "ms", **context)
         show("look_median", sorted(times)[7] * 1000, "ms", **context)
