--- a/src/lentilrill/gateway/_server.py
+++ b/src/lentilrill/gateway/_server.py
@@ -67,15 +67,20 @@
         self._settings = settings
         self._view = view
         self._may_serve = may_serve
-        self._is_to_stop = must_drain
+        self._must_drain = must_drain
         self._metrics = metrics
         self._plans = PlanDirectory(view)
         self._forwarder = ForwardingSigner(settings.keys.secret)
         source_ip = (settings.inner_listen or settings.inner).rpartition(":")[0]
         self._connections = ConnectionCache(settings.connect_timeout_s, source_ip=source_ip)
-        self._watch = CallerDisconnectWatcher(slots.abandon, metrics)
+        self._watcher = CallerDisconnectWatcher(slots.abandon, metrics)
         dispatcher = Dispatcher(
-            slots, self._connections, self._forwarder, budget or RetryBudget(), self._watch, metrics
+            slots,
+            self._connections,
+            self._forwarder,
+            budget or RetryBudget(),
+            self._watcher,
+            metrics,
         )
         self._keyed = KeyedDispatcher(claims, dispatcher)
         self._in_flight = 0
@@ -100,7 +105,7 @@
     @property
     def ready(self) -> bool:
         """Whether the load balancer should send callers to this process."""
-        return not self._drain_announced and not self._is_to_stop() and self.accepts_jobs
+        return not self._drain_announced and not self._must_drain() and self.accepts_jobs
 
     @property
     def accepts_jobs(self) -> bool:
@@ -123,7 +128,7 @@
     def start(self) -> None:
         """Listen and start to serve."""
         self._http.prepare()
-        self._watch.start()
+        self._watcher.start()
         for thread in self._threads:
             thread.start()
 
@@ -151,7 +156,7 @@
         for thread in self._threads:
             if thread.is_alive():
                 thread.join()
-        self._watch.close()
+        self._watcher.close()
 
     def serve(self, req: HTTPRequest) -> None:
         """Answer one request."""
--- a/src/lentilrill/gossip/_heartbeats.py
+++ b/src/lentilrill/gossip/_heartbeats.py
@@ -161,7 +161,7 @@
 
     @property
     def _has_zone_view(self) -> bool:
-        """Whether this process is a head that has heard all members, or waited long enough."""
+        """Whether this process is a head with heartbeats of all members, or waited long enough."""
         since = self._head_since
         if since is None:
             return False
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -157,7 +157,7 @@
         return tuple(
             member
             for member in self.registered_in(self._me.zone)
-            if member != self._me and not self._is_heard_directly(member)
+            if member != self._me and not self._has_recent_heartbeat(member)
         )
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -285,9 +285,9 @@
             if status is None or now - status.at > self._zone_silent_after_s:
                 return False
             return member.process not in status.suspects
-        return self._is_heard_directly(member) or self._is_reported_alive(member)
+        return self._has_recent_heartbeat(member) or self._is_reported_alive(member)
 
-    def _is_heard_directly(self, member: Member) -> bool:
+    def _has_recent_heartbeat(self, member: Member) -> bool:
         heartbeat = self._last_heartbeat_by_process.get(member.process)
         if heartbeat is None or heartbeat.member != member:
             return False
@@ -311,7 +311,7 @@
         probed_at = self._probed_at_by_process.get(member.process)
         if probed_at is None or self._clock() - probed_at <= self._suspect_after_s:
             return True
-        return self._is_heard_directly(member) or self._is_reported_alive(member)
+        return self._has_recent_heartbeat(member) or self._is_reported_alive(member)
 
     def _is_gone(self, member: Member) -> bool:
         heartbeat = self._last_heartbeat_by_process.get(member.process)
--- a/src/lentilrill/routing/_copies.py
+++ b/src/lentilrill/routing/_copies.py
@@ -47,9 +47,9 @@
         now = self._clock()
         with self._lock:
             return any(
-                host == on and until > now
+                host == copied_host and until > now
                 for copies in self._copies_by_holder.values()
-                for on, until in copies.values()
+                for copied_host, until in copies.values()
             )
 
     def tick(self, alive: set[GatewayInstance]) -> None:
--- a/src/lentilrill/routing/_health.py
+++ b/src/lentilrill/routing/_health.py
@@ -152,7 +152,7 @@
             self._eject(record, now)
 
     def _fails_everywhere(self, plan: PlanId, host: HostId) -> bool:
-        elsewhere = [ok for at, ok in self._ok_by_host_by_plan[plan].items() if at != host]
+        elsewhere = [ok for other, ok in self._ok_by_host_by_plan[plan].items() if other != host]
         return bool(elsewhere) and not any(elsewhere)
 
     def _eject(self, record: _HostHealth, now: float) -> None:
--- a/tests/fleet/test_random.py
+++ b/tests/fleet/test_random.py
@@ -160,8 +160,8 @@
             for e in record.hosts
             if e.phase is HostPhase.SERVING and e.id in live and live[e.id].address == e.address
         ]
-        promise = commitments(self.world.document).get(record.pool)
-        floor = max((f.hosts for f in promise.floors), default=0) if promise else 0
+        commitment = commitments(self.world.document).get(record.pool)
+        floor = max((f.hosts for f in commitment.floors), default=0) if commitment else 0
         harmless = all(host not in live for host in proposed)
         assert harmless or len(serving) >= floor, f"{pool}: {len(serving)} of {floor} left"
 
@@ -219,21 +219,23 @@
 
     @rule(
         seconds=st.sampled_from([1.0, 5.0, 10.0, 20.0, 1000.0]),
-        deaf=st.sets(st.integers(0, 3)),
-        blind=st.sets(numbers),
-        looks=st.integers(1, 3),
+        paused=st.sets(st.integers(0, 3)),
+        outdated=st.sets(numbers),
+        rounds=st.integers(1, 3),
     )
-    def time_passes(self, seconds: float, deaf: set[int], blind: set[int], looks: int) -> None:
-        """Advance time; ``deaf`` gateways are paused, ``blind`` controllers get no updates."""
+    def time_passes(
+        self, seconds: float, paused: set[int], outdated: set[int], rounds: int
+    ) -> None:
+        """Advance time; ``paused`` gateways do nothing, ``outdated`` controllers get no updates."""
         self.world.kv.down = False
-        for _ in range(looks + int(seconds // 50)):
+        for _ in range(rounds + int(seconds // 50)):
             self.world.now += min(seconds, 44.0)
             for n, gateway in enumerate(self.gateways):
-                if n not in deaf:
+                if n not in paused:
                     self.resume(gateway)
             self.world.now += 6.0
             for n, controller in enumerate(self.world.controllers):
-                if n not in blind:
+                if n not in outdated:
                     self.world.kv.sync(controller.mirror)
                 self.acting = controller
                 controller.task.run_once()
