--- a/bench/ejection.py
+++ b/bench/ejection.py
@@ -43,8 +43,8 @@
         self._rng = random.Random(1)
         self._scheduler = PoolScheduler(POOL, ZoneId("z1"), 1, set(), self.events, random.Random(1))
         slots = {HostId(f"h{n}"): SLOTS for n in range(HOSTS)}
-        terms = {PLAN: PlanLimits(queue=10_000)}
-        self._scheduler.configure(PoolConfig(slots, terms, max_unavailable=budget))
+        limits_by_plan = {PLAN: PlanLimits(queue=10_000)}
+        self._scheduler.configure(PoolConfig(slots, limits_by_plan, max_unavailable=budget))
 
     def run(self) -> None:
         """Run to the end."""
@@ -82,7 +82,7 @@
         self.events.after(run_s, lambda: self._handle_replies(self._scheduler.on_done(done)))
 
     def _tick(self) -> None:
-        self._handle_replies(self._scheduler.tick({GW}, lambda caller: False))
+        self._handle_replies(self._scheduler.tick({GW}, lambda gateway: False))
         healthy = self._scheduler.hosts.capacity == HOSTS * SLOTS
         if healthy and self.events.now > FAULT_AT_S + FAULT_S:
             self._restored = min(self._restored, self.events.now)
--- a/bench/routing_costs.py
+++ b/bench/routing_costs.py
@@ -42,8 +42,8 @@
     """Return a scheduler with ``hosts`` hosts and ``plans`` plans, without limits."""
     scheduler = PoolScheduler(POOL, ZONE, 1, set(), time.monotonic, random.Random(1))
     slots = {HostId(f"h{n}"): SLOTS for n in range(hosts)}
-    terms = {PlanId(f"p{n}"): PlanLimits(queue=10**9) for n in range(plans)}
-    scheduler.configure(PoolConfig(slots, terms))
+    limits_by_plan = {PlanId(f"p{n}"): PlanLimits(queue=10**9) for n in range(plans)}
+    scheduler.configure(PoolConfig(slots, limits_by_plan))
     return scheduler
 
 
@@ -134,7 +134,7 @@
     start = time.process_time()
     for n in range(20):
         alive = {GW, GatewayInstance(ProcessId("other"), Incarnation(n), "other")}
-        scheduler.tick(alive, lambda caller: False)
+        scheduler.tick(alive, lambda gateway: False)
     cost = (time.process_time() - start) / 20
     show("sweep", cost * 1e3, "ms", hosts=hosts, queue=queue)
 
--- a/bench/surge_baselines.py
+++ b/bench/surge_baselines.py
@@ -50,15 +50,17 @@
                 continue
             host = self._rng.choice(hosts)
             self._counts[gateway, pool, host] = self._count(gateway, pool, host) + 1
-            self._events.after(HOP_S, lambda j=job, h=host: self._arrived(j, h))
+            self._events.after(HOP_S, lambda j=job, h=host: self._on_arrival(j, h))
 
-    def _arrived(self, job: Job, host: int) -> None:
+    def _on_arrival(self, job: Job, host: int) -> None:
         endpoint = self._endpoints[job.pool, host]
-        if not endpoint.run(job, lambda: self._events.after(HOP_S, lambda: self._ended(job, host))):
+        if not endpoint.run(
+            job, lambda: self._events.after(HOP_S, lambda: self._on_end(job, host))
+        ):
             job.refused = True
-            self._ended(job, host)
+            self._on_end(job, host)
 
-    def _ended(self, job: Job, host: int) -> None:
+    def _on_end(self, job: Job, host: int) -> None:
         self._counts[job.gateway, job.pool, host] -= 1
         self._send(job.gateway, job.pool)
 
@@ -103,9 +105,9 @@
                 job.refused = True
                 continue
             self._free[home] -= 1
-            self._events.after(HOP_S, lambda job=job: endpoint.run(job, lambda: self._ended(home)))
+            self._events.after(HOP_S, lambda job=job: endpoint.run(job, lambda: self._on_end(home)))
 
-    def _ended(self, home: tuple[str, int]) -> None:
+    def _on_end(self, home: tuple[str, int]) -> None:
         def ended() -> None:
             self._free[home] += 1
             self._start(home)
--- a/bench/surge_grants.py
+++ b/bench/surge_grants.py
@@ -35,7 +35,7 @@
         self.spilled = 0
         self._jobs: dict[RequestId, Job] = {}
         self._endpoints: dict[HostId, Endpoint] = {}
-        self._callers = {
+        self._gateways = {
             zone: [
                 GatewayInstance(ProcessId(f"{zone}-{n}"), Incarnation(1), f"{zone}-{n}")
                 for n in range(GATEWAYS)
@@ -72,7 +72,7 @@
         return scheduler
 
     def _ask(self, job: Job, zone: ZoneId, spillable: bool, hop_s: float) -> None:
-        caller = self._callers[zone][job.gateway]
+        gateway = self._gateways[zone][job.gateway]
         left_s = job.arrived + job.kind.wait_s - self._events.now
         kind = job.kind
         ask = Ask(
@@ -81,10 +81,10 @@
             PlanId(kind.plan),
             kind.urgency,
             left_s,
-            caller.address,
+            gateway.address,
             spillable=spillable,
         )
-        self._decide(job.pool, zone, hop_s, lambda s: s.ask(ask, caller))
+        self._decide(job.pool, zone, hop_s, lambda s: s.ask(ask, gateway))
 
     def _decide(
         self, pool: str, zone: ZoneId, hop_s: float, call: Callable[[PoolScheduler], list[Reply]]
@@ -94,16 +94,16 @@
             replies = call(self._schedulers[pool, zone])
             self.cpu_s += (time.process_time_ns() - start) / 1e9
             for reply in replies:
-                self._events.after(HOP_S, lambda reply=reply: self._answered(zone, reply))
+                self._events.after(HOP_S, lambda reply=reply: self._on_reply(zone, reply))
 
         self._events.after(hop_s, decide)
 
-    def _answered(self, zone: ZoneId, reply: Reply) -> None:
+    def _on_reply(self, zone: ZoneId, reply: Reply) -> None:
         message = reply.message
         if isinstance(message, Refused):
             job = self._jobs[message.request]
             if message.spill is None:
-                self._refused(job, message)
+                self._on_refused(job, message)
             else:
                 self.spilled += 1
                 self._ask(job, message.spill, spillable=False, hop_s=ZONE_HOP_S)
@@ -112,13 +112,13 @@
             job = self._jobs[message.request]
             endpoint = self._endpoints[message.host]
             self._events.after(
-                HOP_S, lambda: endpoint.run(job, lambda: self._ended(zone, job, message))
+                HOP_S, lambda: endpoint.run(job, lambda: self._on_end(zone, job, message))
             )
 
-    def _refused(self, job: Job, message: Refused) -> None:
+    def _on_refused(self, job: Job, message: Refused) -> None:
         job.refused = True
 
-    def _ended(self, zone: ZoneId, job: Job, granted: Granted) -> None:
+    def _on_end(self, zone: ZoneId, job: Job, granted: Granted) -> None:
         done = Done(
             granted.pool,
             granted.grant,
@@ -131,8 +131,8 @@
 
     def _tick(self) -> None:
         for (pool, zone), _ in self._schedulers.items():
-            alive = set(self._callers[zone])
-            self._decide(pool, zone, 0.0, lambda s, a=alive: s.tick(a, lambda caller: False))
+            alive = set(self._gateways[zone])
+            self._decide(pool, zone, 0.0, lambda s, a=alive: s.tick(a, lambda gateway: False))
         self._events.after(TICK_S, self._tick)
 
     def _loads(self) -> None:
@@ -155,7 +155,7 @@
         super().__init__(events, 1, seed)
         self._retry_delay_s = retry_delay_s
 
-    def _refused(self, job: Job, message: Refused) -> None:
+    def _on_refused(self, job: Job, message: Refused) -> None:
         if job.attempts == MAX_ATTEMPTS:
             job.refused = True
             return
--- a/bench/surge_load.py
+++ b/bench/surge_load.py
@@ -114,27 +114,27 @@
         self._free = slots
         self._waiting: deque[tuple[Job, Callable[[], None]]] = deque()
 
-    def run(self, job: Job, ended: Callable[[], None]) -> bool:
+    def run(self, job: Job, on_end: Callable[[], None]) -> bool:
         """Run or queue a job; return ``False`` if no connection is left."""
         if self._free:
-            self._start(job, ended)
+            self._start(job, on_end)
         elif len(self._waiting) < ENDPOINT_CONNECTIONS - SLOTS:
-            self._waiting.append((job, ended))
+            self._waiting.append((job, on_end))
         else:
             return False
         return True
 
-    def _start(self, job: Job, ended: Callable[[], None]) -> None:
+    def _start(self, job: Job, on_end: Callable[[], None]) -> None:
         self._free -= 1
         job.started = self._events.now
-        self._events.after(job.run_s, lambda: self._end(job, ended))
+        self._events.after(job.run_s, lambda: self._end(job, on_end))
 
-    def _end(self, job: Job, ended: Callable[[], None]) -> None:
+    def _end(self, job: Job, on_end: Callable[[], None]) -> None:
         job.ended = self._events.now
         self._free += 1
         if self._waiting:
             self._start(*self._waiting.popleft())
-        ended()
+        on_end()
 
 
 @dataclass(frozen=True)
