--- a/src/lentilrill/gossip/_watcher.py
+++ b/src/lentilrill/gossip/_watcher.py
@@ -135,7 +135,7 @@
         # The batch's revision may be ahead of events still to come, so the items' is used.
         newest = max((item.revision for item in batch.items), default=before)
         # An item of this process's own write is already in the mirror, but its batch shows that
-        # nothing is missing up to it. Without this message, peers would learn that only from the
+        # nothing is missing up to it. Without this message, peers would get that only with the
         # next heartbeat.
         if self._mirror.merge(batch.items, newest) or newest > before:
             self._send_to_zone(batch.items, before, newest)
--- a/src/lentilrill/membership/_tracker.py
+++ b/src/lentilrill/membership/_tracker.py
@@ -15,7 +15,7 @@
 MAX_ENDED_MEMBERS = 2000
 """Limit of ended members that are remembered; some days' worth of replaced entry hosts."""
 HEAD_COUNT = 2
-"""Number of heads of a zone; members already know the second when the first one fails."""
+"""Number of heads of a zone; the second is already in use when the first one fails."""
 
 
 class LastHeartbeat(msgspec.Struct):
--- a/src/lentilrill/operators/_api.py
+++ b/src/lentilrill/operators/_api.py
@@ -191,6 +191,6 @@
             return ()
         listing = self._host_list.hosts()
         if isinstance(listing, Failure):
-            message = f"promises were not compared with the fleet: {listing.failure()}"
+            message = f"hosts owed were not compared with the host list: {listing.failure()}"
             return (Finding(Severity.WARNING, "hosts", message),)
         return check_capacity(document, listing.unwrap())
--- a/tests/fleet/test_random.py
+++ b/tests/fleet/test_random.py
@@ -166,7 +166,7 @@
         assert harmless or len(serving) >= floor, f"{pool}: {len(serving)} of {floor} left"
 
     @rule(n=numbers)
-    def a_controller_looks(self, n: int) -> None:
+    def a_controller_plans(self, n: int) -> None:
         self.acting = self.world.controllers[n]
         self.acting.task.run_once()
 
@@ -191,11 +191,11 @@
         raise CrashError
 
     @rule(n=numbers)
-    def a_controller_hears_the_state(self, n: int) -> None:
+    def a_controller_gets_the_state(self, n: int) -> None:
         self.world.kv.sync(self.world.controllers[n].mirror)
 
     @rule(n=numbers)
-    def a_gateway_hears_the_state(self, n: int) -> None:
+    def a_gateway_gets_the_state(self, n: int) -> None:
         if n < len(self.gateways):
             self.world.kv.sync(self.gateways[n].mirror)
 
--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -94,7 +94,7 @@
         # A job reaches a stopped host: a message of another process names this gateway.
         revision = self.propose()
         ack = WithdrawalAck(self.gateway, (Barred(HostId("h1"), revision),))
-        self.world.send_message(a_member("stray"), ack)
+        self.world.send_message(a_member("gw-other"), ack)
         self.world.run(2, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
--- a/tests/gateway/fakes.py
+++ b/tests/gateway/fakes.py
@@ -126,7 +126,7 @@
 
     def __init__(self, *addresses: str) -> None:
         self.addresses = list(addresses)
-        self.where = SlotTarget.ENDPOINT
+        self.target = SlotTarget.ENDPOINT
         self.jobs: list[Job] = []
         self.started: list[Slot] = []
         self.released: list[tuple[Slot, Verdict]] = []
@@ -154,7 +154,7 @@
             Slot(
                 request=job.request,
                 pool=PoolId("schools"),
-                target=self.where,
+                target=self.target,
                 address=left[0],
                 grant=GrantId(str(next(self._grants))),
                 host=HostId(left[0]),
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -230,7 +230,7 @@
         self.there_slots = self.slots
         there = self.address
         self.slots = type(self.slots)(there)
-        self.slots.where = SlotTarget.ZONE
+        self.slots.target = SlotTarget.ZONE
         self.a_gateway(keys=self.keys)
 
     def an_endpoint_there(self, script: Any = None) -> Any:
--- a/tests/operators/test_whole_status.py
+++ b/tests/operators/test_whole_status.py
@@ -23,7 +23,7 @@
 from tests.builders import a_document, a_member, an_entry
 
 
-class FakeMembership:
+class FakeMembershipTracker:
     """A fake membership tracker that returns the values set by the test."""
 
     def __init__(self, me: Member, view: FleetView) -> None:
@@ -59,7 +59,7 @@
         super().setUp()
         self.view = FleetView(Mirror())
         self.me = a_member("ct-1", role=Role.CONTROLLER)
-        self.membership = FakeMembership(self.me, self.view)
+        self.membership = FakeMembershipTracker(self.me, self.view)
         self.put(DOCUMENT_KEY, a_document("schools", "spare"), 5)
 
     def put(self, key: str, value: object, revision: int) -> None:
@@ -74,8 +74,9 @@
 
     def test_paused_gateway_of_another_zone_counts_as_unheard(self) -> None:
         # A gateway of another zone is paused during an edit. Its zone reports it as suspect, and
-        # reports one revision for the processes it hears from. Applied to the whole zone, that
-        # showed the edit as in force everywhere, while the resumed gateway served the old one.
+        # reports one revision for the processes whose heartbeats it gets. Applied to the whole
+        # zone, that showed the edit as in force everywhere, while the resumed gateway served the
+        # old one.
         self.zone("z2", a_member("gw-2", zone=ZoneId("z2")), a_member("gw-3", zone=ZoneId("z2")))
         self.membership.suspects = {"gw-2"}
         self.membership.reported_statuses = [
--- a/tests/routing/site.py
+++ b/tests/routing/site.py
@@ -64,12 +64,12 @@
             self.gone.add(member)
         self.change()
 
-    def membership(self, me: Member) -> "FixedMembership":
+    def membership(self, me: Member) -> "FakeMembershipList":
         """Return the membership list of one process."""
-        return FixedMembership(self, me)
+        return FakeMembershipList(self, me)
 
 
-class FixedMembership:
+class FakeMembershipList:
     """A membership list that the test sets."""
 
     def __init__(self, members: Members, me: Member) -> None:
