--- a/tests/fleet/test_withdrawal.py
+++ b/tests/fleet/test_withdrawal.py
@@ -94,7 +94,7 @@
         # A job reaches a stopped host: a message of another process names this gateway.
         revision = self.propose()
         ack = WithdrawalAck(self.gateway, (Barred(HostId("h1"), revision),))
-        self.world.send_message(a_member("stray"), ack)
+        self.world.send_message(a_member("gw-other"), ack)
         self.world.run(2, acks=False)
         self.assertEqual(HostPhase.WITHDRAWING, self.phase())
 
@@ -186,8 +186,8 @@
         # zone only, and the first candidate of the pool is in another zone.
         for n in range(8):
             other = self.world.controller(f"far-{n}", f"far-{n}")
-            other.roster.members.remove(other.member)
-            self.controller.roster.members = self.world.members + [
+            other.membership.members.remove(other.member)
+            self.controller.membership.members = self.world.members + [
                 c.member for c in self.world.controllers
             ]
         self.world.change(stops=(a_stop("h1"),))
