--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -263,43 +263,43 @@
 
     def _create_fleet_owner(self, token: Revision) -> FleetOwner:
         hosts = PlatformHosts(self._settings.hosts_api)
-        emptying = EndpointDrainer(self._node, lambda pool: self._address_of(Shard(pool)))
+        drainer = EndpointDrainer(self._node, lambda pool: self._address_of(Shard(pool)))
         process = self._settings.process
         orders = HostOrders(self._settings.host_orders_per_s)
 
         def may_order() -> bool:
             return self._ownership.may_order(FLEET)
 
-        def on_refused(reason: str) -> None:
+        def on_fenced(reason: str) -> None:
             self._ownership.give_up(FLEET, reason)
 
         waves = Waves(
             self._kv,
             hosts,
-            emptying,
+            drainer,
             process,
             token,
             OWNER_KEY_PREFIX + FLEET,
             lambda: dict(self._configuration.waves_by_number),
             self._load_of,
             may_order,
-            on_refused,
+            on_fenced,
             wave_state_key,
             lambda completed: encode_wave_state(completed=completed),
             orders,
         )
         mover = Mover(
             hosts,
-            emptying,
+            drainer,
             process,
             token,
             self._pools,
             self._status_exchange.pressure_of,
-            on_refused,
+            on_fenced,
             may_order,
             orders,
         )
-        return FleetOwner(hosts, waves, mover, emptying, may_order)
+        return FleetOwner(hosts, waves, mover, drainer, may_order)
 
     def _pools(self) -> tuple[PoolEntry, ...]:
         configuration = self._configuration.current
--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -51,7 +51,8 @@
 class Intake:
     """Accepts, cancels and shows jobs.
 
-    :param local_owner_of: returns the pool's owner task, if this process owns the pool.
+    :param local_owner_of: returns the :class:`PoolOwner` of a pool; ``None`` if this process does
+        not own the pool.
     :param owner_of: returns the owner record of a pool, if known.
     :param pressure_of: returns the pressure reported by a pool's owner; ``None`` if there is no
         recent report.
--- a/src/lentilrill/ownership/_members.py
+++ b/src/lentilrill/ownership/_members.py
@@ -20,7 +20,7 @@
 
     :param inner: address on which it listens for other entry hosts.
     :param lease: the lease to which all of its keys are bound.
-    :param strength: its capacity for control work, in usual cores.
+    :param strength: its capacity for control work, in reference cores.
     """
 
     process: ProcessId
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -56,7 +56,7 @@
 
     :param shards: returns the shards that currently exist.
     :param is_store_outage: whether most entry hosts report that the store does not answer.
-    :param strength: capacity of this host for control work, in usual cores.
+    :param strength: capacity of this host for control work, in reference cores.
     :param pace: current speed of this host as a share of its usual speed. The published strength
         is multiplied by it, so that a slowed host claims last and hands its shards over, as a weak
         host does.
@@ -225,7 +225,7 @@
             lost = [
                 shard
                 for shard, token in self._tokens_by_shard.items()
-                if (held := self._owners_by_shard.get(shard)) is None or held[1] > token
+                if (current := self._owners_by_shard.get(shard)) is None or current[1] > token
             ]
         for shard in lost:
             self._lose(shard, "its key was deleted or belongs to another process")
--- a/src/lentilrill/scheduling/_admission.py
+++ b/src/lentilrill/scheduling/_admission.py
@@ -49,7 +49,7 @@
 
 
 def retry_after_s(pressure: Pressure) -> float:
-    """Return the seconds after which the pool will have room for a rejected caller."""
+    """Return the seconds after which the pool will have capacity for a rejected caller."""
     excess_s = pressure.wait_s + pressure.overdue_s - MAX_WAIT_S / 2
     return min(MAX_RETRY_S, max(MIN_RETRY_S, excess_s))
 
--- a/tests/entry/test_received_state.py
+++ b/tests/entry/test_received_state.py
@@ -29,7 +29,7 @@
 
 class ConfigurationCacheTest(TestCase):
     def test_an_older_version_never_comes_back(self) -> None:
-        """A new queue was known, then unknown, then known again.
+        """A new queue appeared, disappeared and appeared again.
 
         A host had received the new configuration from a peer, and then applied the old one from a
         stale read of the store.
--- a/tests/entry/test_status_exchange.py
+++ b/tests/entry/test_status_exchange.py
@@ -77,7 +77,7 @@
             self.assertEqual(idle if address == FLEET else (), pressure.idle, address)
 
     def test_all_hosts_get_a_pool_s_pressure_before_the_last_one_expires(self) -> None:
-        """A host refused no jobs for a full pool, because the pressure it knew had expired."""
+        """A host refused no jobs for a full pool, because its copy of the pressure was too old."""
         self.pressures = (a_pressure(),)
         self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(1.0)}))
         self.assertEqual(HOSTS - 1, len({address for address, _ in self.tick(REFRESH_INTERVAL_S)}))
--- a/tests/intake/fakes.py
+++ b/tests/intake/fakes.py
@@ -32,10 +32,10 @@
 class IntakeCase(TestCase):
     """An entry host's intake, the pools' owner, and a job that was not submitted yet.
 
-    :cvar peers_at: addresses of the other entry hosts.
+    :cvar peer_addresses: addresses of the other entry hosts.
     """
 
-    peers_at: tuple[str, ...] = ()
+    peer_addresses: tuple[str, ...] = ()
 
     def setUp(self) -> None:
         super().setUp()
@@ -51,7 +51,7 @@
             lambda pool: self.owner,
             lambda pool: self.pressure,
             lambda: [POOL, PoolId("ballots")],
-            lambda: list(self.peers_at),
+            lambda: list(self.peer_addresses),
             lambda: self.silent_s,
         )
         self.intake.start()
--- a/tests/intake/test_intake.py
+++ b/tests/intake/test_intake.py
@@ -23,7 +23,7 @@
 
 
 class IntakeTest(IntakeCase):
-    peers_at = ("10.0.0.2:1",)
+    peer_addresses = ("10.0.0.2:1",)
 
     def test_an_accepted_job_is_stored_and_the_owner_notified(self) -> None:
         self.owner = OwnerRecord("h2", 1, "10.0.0.2:1")
@@ -42,8 +42,8 @@
 
         The answers to its commits were lost. Whether one took effect or not, the job may run.
         """
-        for fate in (lose_answer, lose_request):
-            self.kv.commits.extend([fate] * ATTEMPTS)
+        for lose in (lose_answer, lose_request):
+            self.kv.commits.extend([lose] * ATTEMPTS)
             self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(a_job("c"))[0])
             self.kv.items_by_key.clear()
 
@@ -55,8 +55,8 @@
         """
         self.kv.commits.extend([lose_answer] * ATTEMPTS)
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job)[0])
-        [doubt] = self.peers.sent
-        self.assertEqual(JobDoubted(self.job.id), doubt)
+        [message] = self.peers.sent
+        self.assertEqual(JobDoubted(self.job.id), message)
         other = a_job("d")
         batch = Batch(ProcessId("h2"), Incarnation(1), "10.0.0.2:1", ())
         self.intake.on_job_doubted(batch, JobDoubted(other.id))
--- a/tests/intake/test_slow_store.py
+++ b/tests/intake/test_slow_store.py
@@ -74,8 +74,8 @@
 
     def test_a_lost_answer_is_settled_by_the_same_create(self) -> None:
         """A caller got an unknown outcome, although one more call would have settled it."""
-        for name, fate in (("b", lose_answer), ("c", lose_request)):
-            self.kv.commits.append(fate)
+        for name, lose in (("b", lose_answer), ("c", lose_request)):
+            self.kv.commits.append(lose)
             self.assertIs(JobAnswer.ACCEPTED, self.intake.submit(a_job(name))[0])
 
     def test_the_owner_is_notified_of_a_job_whose_first_answer_was_lost(self) -> None:
--- a/tests/ownership/test_hand_over.py
+++ b/tests/ownership/test_hand_over.py
@@ -108,13 +108,13 @@
 
     def key_changes(self, seconds: float) -> list[float]:
         """Advance the clock; return the times at which the key of a shard changed."""
-        seen = self.revisions()
+        current = self.revisions()
         times = []
         end = self.now + seconds
         while self.now < end:
             self.step()
-            held, seen = seen, self.revisions()
-            times += [self.now for key in seen if seen[key] != held.get(key)]
+            previous, current = current, self.revisions()
+            times += [self.now for key in current if current[key] != previous.get(key)]
         return times
 
     def revisions(self) -> dict[str, Revision]:
@@ -145,12 +145,12 @@
 
     def test_a_hand_over_without_an_answer_leaves_one_owner(self) -> None:
         """A shard had no owner, or two, after the answer to its hand-over was lost."""
-        for fate in (lose_answer, lose_request):
+        for lose in (lose_answer, lose_request):
             self.kv = FakeKeyValue()
             self.hosts = []
             weak = self.owner("h1", strength=0.5)
             strong = self.host("h2", strength=2.0)
-            self.kv.commits.append(fate)
+            self.kv.commits.append(lose)
             self.assertTrue(self.moves(weak, strong))
             token = self.kv.items_by_key[KEY].revision
             self.assertEqual(token, strong.listener.tokens_by_shard[NOTICES])
--- a/tests/ownership/test_pace.py
+++ b/tests/ownership/test_pace.py
@@ -56,7 +56,7 @@
         self.assertEqual({1.0}, self.seconds(60, IDLE_S))
         self.assertEqual({1.0}, self.seconds(60, BUSY_S))
 
-    def test_an_interrupted_piece_does_not_count(self) -> None:
+    def test_interrupted_runs_do_not_count(self) -> None:
         """An owner handed its shard over because its host had paused for a moment."""
         self.seconds(60, BUSY_S)
         self.interrupted_s = [50 * BUSY_S] * 3
--- a/tests/scheduling/test_decisions.py
+++ b/tests/scheduling/test_decisions.py
@@ -31,7 +31,7 @@
     def test_best_fit_leaves_whole_endpoints(self) -> None:
         self.assertEqual("b", self.placed([a_capacity("a", 4000), a_capacity("b", 1500)]))
 
-    def test_no_room(self) -> None:
+    def test_no_capacity(self) -> None:
         self.assertIsNone(self.placed([a_capacity("a", 500)]))
 
     def test_near_its_data_first(self) -> None:
@@ -65,9 +65,9 @@
 
         Jobs that can meet their deadline go first, shortest first, before overdue jobs.
         """
-        late = a_job_timing(age_s=5.0)
+        overdue = a_job_timing(age_s=5.0)
         long, short = a_job_timing(remaining_work=9.0), a_job_timing(remaining_work=1.0)
-        self.assertEqual([short, long, late], sorted([late, long, short], key=sort_key))
+        self.assertEqual([short, long, overdue], sorted([overdue, long, short], key=sort_key))
 
     def test_without_a_surge_the_job_with_the_least_slack_goes_first(self) -> None:
         """Without a surge large jobs were late, because small jobs with slack went first."""
@@ -83,8 +83,10 @@
         self.assertEqual([urgent, later], sorted([later, urgent], key=sort_key))
 
     def test_long_running_jobs_go_first(self) -> None:
-        lasting = a_job_timing(long_running=True, priority=1)
-        self.assertEqual([lasting, a_job_timing()], sorted([a_job_timing(), lasting], key=sort_key))
+        long_running = a_job_timing(long_running=True, priority=1)
+        self.assertEqual(
+            [long_running, a_job_timing()], sorted([a_job_timing(), long_running], key=sort_key)
+        )
 
 
 class AdmissionTest(TestCase):
--- a/tests/upkeep/test_upkeep.py
+++ b/tests/upkeep/test_upkeep.py
@@ -36,10 +36,10 @@
     def __init__(self) -> None:
         self.drainer: EndpointDrainer | None = None
         self.answers = True
-        self.asks: list[ReleaseAsk] = []
+        self.requests: list[ReleaseAsk] = []
 
     def send(self, address: str, message: Any) -> None:
-        self.asks.append(message)
+        self.requests.append(message)
         if self.answers and self.drainer is not None:
             self.drainer.on_release_told(
                 ReleaseTold(message.ask, message.endpoint, ReleaseState.FREE)
@@ -87,7 +87,7 @@
         self.peers.answers = False
         self.drainer.request_drain(NOTICES, EndpointId("i-a"))
         self.drainer.request_drain(NOTICES, EndpointId("i-a"))
-        late = ReleaseTold(self.peers.asks[0].ask, EndpointId("i-a"), ReleaseState.FREE)
+        late = ReleaseTold(self.peers.requests[0].ask, EndpointId("i-a"), ReleaseState.FREE)
         self.drainer.on_release_told(late)
         self.assertFalse(self.drainer.request_drain(NOTICES, EndpointId("i-a"))[0])
 
