--- a/src/lentilrill/platform/_endpoints.py
+++ b/src/lentilrill/platform/_endpoints.py
@@ -18,7 +18,7 @@
 
 OK = 200
 ORDER_TIMEOUT_S = 0.35
-"""Time-out of an order: endpoints answer within milliseconds, over a broken link never. An order
+"""Timeout of an order: endpoints answer within milliseconds, over a broken link never. An order
 is sent again after it; orders are idempotent."""
 POLL_SLACK_S = 0.7
 """Time that a poll may take beyond its wait before its connection counts as silent."""
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -35,7 +35,7 @@
 """Connections in the accept queue. Beyond it the kernel drops the SYN packet, which is sent again
 only seconds later."""
 IDLE_TIMEOUT_S = 15
-"""Idle time-out of keep-alive connections: the default of the configured limit."""
+"""Idle timeout of keep-alive connections: the default of the configured limit."""
 UNAVAILABLE_RETRY_S = 1.0
 """Retry time for callers of a host that has no configuration or no status of other hosts yet."""
 
@@ -48,7 +48,8 @@
     """HTTP server for callers of jobs.
 
     :param configuration: returns the configuration in effect; ``None`` if there is none yet.
-    :param leaving: returns whether connections are closed after their answers.
+    :param is_draining: whether this host drains, so that connections are closed after their
+        answers.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
         threads: int,
         intake: Intake,
         configuration: Callable[[], Configuration | None],
-        leaving: Callable[[], bool],
+        is_draining: Callable[[], bool],
         metrics: Metrics,
     ) -> None:
         self._intake = intake
         self._configuration = configuration
-        self._is_leaving = leaving
+        self._is_draining = is_draining
         self._metrics = metrics
         self._server = _create_server(address, self._serve, threads)
 
@@ -84,7 +85,7 @@
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         if retry_s is not None:
             headers.append(("Retry-After", str(max(1, round(retry_s)))))
-        if self._is_leaving():
+        if self._is_draining():
             headers.append(("Connection", "close"))
         start_response(status, headers)
         # Callers can send any method name, and each name would create a permanent metric.
@@ -107,7 +108,7 @@
         name = path[len(queue.prefix) :]
         method = environ["REQUEST_METHOD"]
         if method == "GET" and not name:
-            return self._pending(queue)
+            return self._count_pending(queue)
         if not JOB_ID.match(name):
             return NOT_FOUND, b"{}", None
         job = JobId(name)
@@ -125,7 +126,7 @@
             )
         return "405 Method Not Allowed", b"{}", None
 
-    def _pending(self, queue: Queue) -> Answer:
+    def _count_pending(self, queue: Queue) -> Answer:
         waiting = self._intake.count_waiting(queue.pool, queue.id)
         if waiting is None:
             return STATUS_BY_ANSWER[JobAnswer.UNAVAILABLE], b"{}", UNAVAILABLE_RETRY_S
--- a/src/lentilrill/platform/_kv.py
+++ b/src/lentilrill/platform/_kv.py
@@ -43,19 +43,19 @@
 NO_EFFECT_STATUSES = frozenset({400, 403, NOT_FOUND, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE})
 """Statuses that mean that a commit had no effect."""
 CALL_TIMEOUT_S = 0.7
-"""Time-out of one call: almost three times the latency of a slow store, 0.25 s."""
+"""Timeout of one call: almost three times the latency of a slow store, 0.25 s."""
 FIRST_COMMIT_TIMEOUT_S = 0.35
-"""Time-out of a commit that can safely be sent again: slightly above a slow store's latency."""
+"""Timeout of a commit that can safely be sent again: slightly above a slow store's latency."""
 PAGE_TIMEOUT_S = 5.0
-"""Time-out of a page that keeps arriving: a page has up to 1 MB, which takes the slowest links of
+"""Timeout of a page that keeps arriving: a page has up to 1 MB, which takes the slowest links of
 entry hosts one or two seconds, or longer if they are shared."""
 LEASE_TIMEOUTS_S = (0.15, 0.45)
-"""Time-outs of the two attempts of a lease call. The second allows for a busy link, and their sum
+"""Timeouts of the two attempts of a lease call. The second allows for a busy link, and their sum
 is short enough for another renewal within a lease of 1.6 s."""
 LATENCY_DECAY = 0.9
 """Factor by which the expected latency decays with each faster answer."""
 DEADLINE_S = 1.5
-"""Time-out of a call including its retries; callers of jobs wait 3 s for an answer."""
+"""Timeout of a call including its retries; callers of jobs wait 3 s for an answer."""
 WATCH_WAIT_MS = 1500
 """Time that a watch waits for a change: half of the 3 s within which a silent connection must be
 replaced. Shorter waits cost more calls, and calls are billed."""
@@ -182,7 +182,7 @@
         body = _encode_txn(compares, writes)
         if not _fails_if_repeated(compares, writes):
             return self._commit(body, priority, CALL_TIMEOUT_S)[0]
-        # The time-out follows the latency, so that a slow store does not get each commit twice.
+        # The timeout follows the latency, so that a slow store does not get each commit twice.
         first_timeout_s = min(
             CALL_TIMEOUT_S, max(FIRST_COMMIT_TIMEOUT_S, 2 * self._expected_latency_s)
         )
@@ -356,7 +356,7 @@
         return Success(WatchBatch(items, self._after))
 
     def close(self) -> None:
-        """End the watch; a pending wait ends with its time-out at the latest."""
+        """End the watch; a pending wait ends with its timeout at the latest."""
         self._closed.set()
 
 
--- a/src/lentilrill/platform/_policy.py
+++ b/src/lentilrill/platform/_policy.py
@@ -14,7 +14,7 @@
 
 OK = 200
 CALL_TIMEOUT_S = 3.0
-"""Time-out of a call. The service processes the calls of a host one after the other, and each takes
+"""Timeout of a call. The service processes the calls of a host one after the other, and each takes
 about half a second for thirty endpoints, so a call may wait for some calls of other pools."""
 
 
--- a/src/lentilrill/store/_follow.py
+++ b/src/lentilrill/store/_follow.py
@@ -26,10 +26,10 @@
 
 class _Listener(Protocol):
     def on_replaced(self, items: tuple[Item, ...]) -> None:
-        """Replace all known items by a full read."""
+        """Process a full read, which replaces all items."""
 
     def on_changed(self, items: tuple[Item, ...]) -> None:
-        """Apply changes; a deleted key has no value."""
+        """Process changes; a deleted key has no value."""
 
 
 class Follower(threading.Thread):
--- a/src/lentilrill/store/_hostlist.py
+++ b/src/lentilrill/store/_hostlist.py
@@ -42,9 +42,9 @@
 
     def _attempt(self, timeout_s: float) -> Result[HostListing, Fault]:
         answer = self._transport.exchange(STEP, Effect.REPEATABLE, "GET", PATH, b"", timeout_s)
-        return answer.bind(self._decoded)
+        return answer.bind(self._decode)
 
-    def _decoded(self, data: bytes) -> Result[HostListing, Fault]:
+    def _decode(self, data: bytes) -> Result[HostListing, Fault]:
         try:
             return Success(msgspec.json.decode(data, type=HostListing))
         except DECODE_ERRORS as error:
--- a/src/lentilrill/store/_transport.py
+++ b/src/lentilrill/store/_transport.py
@@ -123,7 +123,7 @@
     ) -> Result[tuple[int, bytes, str], Fault]:
         """Send one request and return the status, the body and the peer, whatever the status.
 
-        :param total_timeout_s: time-out of the whole exchange, in seconds, if it is longer than
+        :param total_timeout_s: timeout of the whole exchange, in seconds, if it is longer than
             ``timeout_s``, which then limits each period of silence.
         """
         deadline = self._clock() + max(timeout_s, total_timeout_s)
@@ -155,7 +155,7 @@
     ) -> Result[tuple[urllib3.BaseHTTPResponse, str], Fault]:
         """Send a request and return the response, with its body unread, and the peer.
 
-        :param read_timeout_s: read time-out, in seconds.
+        :param read_timeout_s: read timeout, in seconds.
         """
         pool, peer = self._pool_for(effect)
         timeout = urllib3.Timeout(connect=min(connect_s, MAX_CONNECT_S), read=read_timeout_s)
--- a/src/lentilrill/store/_watch.py
+++ b/src/lentilrill/store/_watch.py
@@ -114,7 +114,7 @@
             try:
                 line = self._read_line()
             except (HTTPError, OSError) as error:
-                # The service sends progress notices, so a read time-out means that the connection
+                # The service sends progress notices, so a read timeout means that the connection
                 # is open but dead. After the failover the next watch uses a new connection.
                 self._transport.fail_over(self._peer)
                 return self._unavailable(f"the watch failed: {failure_reason(error)}")
--- a/tests/platform/site.py
+++ b/tests/platform/site.py
@@ -100,7 +100,7 @@
         """Cancel a job."""
         return self._status("DELETE", self.settings[name]["callers"], path)[0]
 
-    def ask(self, method: str, name: str, path: str) -> int:
+    def request(self, method: str, name: str, path: str) -> int:
         """Send a request without a body; return the status of the answer."""
         return self._status(method, self.settings[name]["callers"], path)[0]
 
--- a/tests/platform/test_ingress.py
+++ b/tests/platform/test_ingress.py
@@ -40,7 +40,7 @@
         thread.start()
         self.addCleanup(ingress.stop)
 
-    def ask(self, method: str, **headers: str) -> int:
+    def request(self, method: str, **headers: str) -> int:
         host, _, port = self.address.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=5)
         self.addCleanup(connection.close)
@@ -54,13 +54,13 @@
     def test_the_intake_gets_the_deadline_of_a_caller(self) -> None:
         """Guards against holding a caller beyond the deadline in its request."""
         for method in ("POST", "DELETE"):
-            self.assertEqual(200, self.ask(method, Deadline_Ms="1400"))
+            self.assertEqual(200, self.request(method, Deadline_Ms="1400"))
             wait_s = self.intake.waits.pop()
             assert wait_s is not None
             self.assertTrue(0.5 < wait_s <= 1.4, wait_s)
 
     def test_a_malformed_deadline_is_ignored(self) -> None:
         for malformed in ("", "soon", "-5", "1e3", "9" * 30):
-            self.assertEqual(200, self.ask("POST", Deadline_Ms=malformed))
-        self.assertEqual(200, self.ask("POST"))
+            self.assertEqual(200, self.request("POST", Deadline_Ms=malformed))
+        self.assertEqual(200, self.request("POST"))
         self.assertEqual([None] * 6, self.intake.waits)
--- a/tests/platform/test_kv.py
+++ b/tests/platform/test_kv.py
@@ -87,7 +87,7 @@
     def recording_timeouts(
         self, request: Callable[..., ExchangeResult]
     ) -> Callable[..., ExchangeResult]:
-        """Return a wrapper of the call that records its time-out."""
+        """Return a wrapper of the call that records its timeout."""
 
         def recorded(
             step: str, effect: Effect, method: str, path: str, body: bytes, timeout_s: float
--- a/tests/platform/test_orders.py
+++ b/tests/platform/test_orders.py
@@ -21,7 +21,7 @@
         task = TaskId("5c0e7a21d94b36f8", 0, 0, 0)
         return endpoint.start(StartOrder(task, 1, "text", 1000, 7)).verdict
 
-    def test_a_start_that_found_no_connection_is_not_in_doubt(self) -> None:
+    def test_a_start_that_found_no_connection_is_not_unknown(self) -> None:
         """Guards against a needless stop and poll after a start that was never sent."""
         self.assertIsNot(Verdict.UNKNOWN, self.start_at(an_address()))
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -70,7 +70,7 @@
         self.assertEqual(400, self.site.submit("front-0", path(7), {"spec": 1}))
         large = JOB | {"spec": "x" * 300_000}
         self.assertEqual(413, self.site.submit("front-0", path(8), large))
-        self.assertEqual(405, self.site.ask("BREW", "front-0", path(0)))
+        self.assertEqual(405, self.site.request("BREW", "front-0", path(0)))
         metrics = self.site.metrics("front-0")
         self.assertIn("lentilrill_ingress_post_200_total", metrics)
         self.assertIn("lentilrill_ingress_other_405_total", metrics)
--- a/tests/store/test_late_reader.py
+++ b/tests/store/test_late_reader.py
@@ -14,7 +14,7 @@
 
 
 class LateReaderTest(TestCase):
-    """The clock advances by more than the time-out at each call."""
+    """The clock advances by more than the timeout at each call."""
 
     def late_answer(self, answer: bytes, then: bytes = b"") -> bytes:
         now = 0.0
--- a/tests/store/test_odd_answers.py
+++ b/tests/store/test_malformed_answers.py
@@ -21,7 +21,7 @@
 class FixedAnswerTransport:
     """Answers each exchange with the same bytes."""
 
-    peer = "odd"
+    peer = "fixed"
 
     def __init__(self, data: bytes) -> None:
         self.data = data
--- a/tests/store/test_transport.py
+++ b/tests/store/test_transport.py
@@ -91,7 +91,7 @@
         self.assertEqual(b"newnew", self.exchange(transport).unwrap())
 
     def test_an_answer_that_trickles_ends_by_its_deadline(self) -> None:
-        # Each byte of an answer arrives within the read time-out, but the answer never ends, so the
+        # Each byte of an answer arrives within the read timeout, but the answer never ends, so the
         # deadline must apply to the whole answer.
         def script(connection: socket.socket, number: int) -> None:
             connection.sendall(HEAD + b"ol")
