--- a/bench/owner.py
+++ b/bench/owner.py
@@ -206,7 +206,7 @@
             time.sleep(max(0.0, began + number / self._rate - time.monotonic()))
             job = a_job(number, rng)
             value = msgspec.msgpack.encode(job)
-            self.owner.take_job(value, self.kv.put(f"in/{POOL}/j/{job.id}", value))
+            self.owner.add_job(value, self.kv.put(f"in/{POOL}/j/{job.id}", value))
             jobs.append(job)
         return jobs
 
--- a/src/lentilrill/entry/_process.py
+++ b/src/lentilrill/entry/_process.py
@@ -323,7 +323,7 @@
         del batch
         owner = self._owners_by_pool.get(message.pool)
         if owner is not None:
-            owner.take_job(message.value, Revision(message.revision))
+            owner.add_job(message.value, Revision(message.revision))
 
     def _on_job_cancelled(self, batch: Batch, message: JobCancelled) -> None:
         del batch
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -162,7 +162,7 @@
 
     # Requests of callers
 
-    def take_job(self, value: bytes, revision: Revision) -> None:
+    def add_job(self, value: bytes, revision: Revision) -> None:
         """Add an accepted job, unless it is tracked already."""
         tracked_job = self._jobs.add(value, revision)
         if tracked_job is not None:
--- a/src/lentilrill/intake/_intake.py
+++ b/src/lentilrill/intake/_intake.py
@@ -272,7 +272,7 @@
         owner = self._local_owner_of(job.pool)
         record = self._owner_of(job.pool)
         if owner is not None:
-            owner.take_job(value, revision)
+            owner.add_job(value, revision)
         elif record is not None:
             self._peers.send(record.inner, JobAccepted(job.pool, job.id, value, revision))
 
--- a/tests/execution/test_idle.py
+++ b/tests/execution/test_idle.py
@@ -169,6 +169,6 @@
         self.assertTrue(eventually(lambda: owner.release(endpoint, cancel=False)[0] == "free"))
         job = a_job("a", a_step(1, lasting=True))
         value = msgspec.msgpack.encode(job)
-        owner.take_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
+        owner.add_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
         self.assertTrue(eventually(is_reported))
         self.assertEqual(("no room", "1 released"), (lines[0]["reason"], lines[0]["endpoints"]))
--- a/tests/execution/test_latency.py
+++ b/tests/execution/test_latency.py
@@ -112,7 +112,7 @@
         owner.start()
         job = a_job("a")
         value = msgspec.msgpack.encode(job)
-        owner.take_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
+        owner.add_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
         self.assertTrue(eventually(lambda: len(pool.starts()) == 2))
         self.assertTrue(eventually(lambda: "owner.look.notices" in metrics.timings))
         self.assertEqual(2, len(metrics.timings["owner.start.notices"]))
--- a/tests/execution/test_owner_delays.py
+++ b/tests/execution/test_owner_delays.py
@@ -60,7 +60,7 @@
         """Store a job and add it to the owner."""
         value = msgspec.msgpack.encode(job)
         revision = self.pool.kv.put(f"in/notices/j/{job.id}", value)
-        self.owner.take_job(value, revision)
+        self.owner.add_job(value, revision)
         return self.owner
 
     def hold_orders(self) -> None:
@@ -114,7 +114,7 @@
         )
         for job, received in ((first, 1), (second, 1 + MAX_ORDERS_IN_FLIGHT)):
             value = msgspec.msgpack.encode(job)
-            owner.take_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
+            owner.add_job(value, pool.kv.put(f"in/notices/j/{job.id}", value))
             self.assertTrue(eventually(lambda received=received: slow.received >= received))
             self.assertTrue(eventually(lambda: len(slow.starts) == 1))
         link = owner._links.by_id["e1"]
--- a/tests/execution/test_suspended_owner.py
+++ b/tests/execution/test_suspended_owner.py
@@ -47,7 +47,7 @@
         """Store a job and add it to the owner."""
         value = msgspec.msgpack.encode(job)
         revision = self.pool.kv.put(f"in/notices/j/{job.id}", value)
-        self.owner.take_job(value, revision)
+        self.owner.add_job(value, revision)
         return self.owner
 
     def suspend_orders(self) -> float:
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -78,7 +78,7 @@
         self.pool.register(an_endpoint("e2"))
         second = self.pool.take_over()
         self.job = a_job("b")
-        second.take_job(*self.accept())
+        second.add_job(*self.accept())
         self.assertTrue(eventually(lambda: len(self.pool.endpoints["e2"].starts) == 2))
         self.assertEqual({self.job.id}, {t.job for t, _ in self.pool.endpoints["e2"].starts})
 
@@ -189,7 +189,7 @@
         self.job = a_job("a", a_step(1), a_step(1, after=(0,)))
         self.owner = self.pool.take_over()
         value = msgspec.msgpack.encode(self.job)
-        self.owner.take_job(value, self.pool.kv.put(f"in/notices/j/{self.job.id}", value))
+        self.owner.add_job(value, self.pool.kv.put(f"in/notices/j/{self.job.id}", value))
 
     def test_completed_is_shown_only_once_stored(self) -> None:
         """Guards against a job that is shown as completed and then run again.
