--- a/src/lentilrill/execution/_demand.py
+++ b/src/lentilrill/execution/_demand.py
@@ -107,15 +107,18 @@
             runs = [run for task in step.tasks for run in task.runs]
             if not runs:
                 continue
-            whole_s = durations.expected_ms(tracked_job.job, step.spec, step) / 1000
-            left_s = [
+            expected_s = durations.expected_ms(tracked_job.job, step.spec, step) / 1000
+            remaining_s = [
                 max(
-                    MIN_REMAINING_S, whole_s - (now - run.started_at) if run.started_at else whole_s
+                    MIN_REMAINING_S,
+                    expected_s - (now - run.started_at) if run.started_at else expected_s,
                 )
                 for run in runs
             ]
             yield Demand(
-                _share(step.spec.reserved, host_size, sum(left_s)), 0.0, sum(left_s) / len(left_s)
+                _share(step.spec.reserved, host_size, sum(remaining_s)),
+                0.0,
+                sum(remaining_s) / len(remaining_s),
             )
 
 
--- a/src/lentilrill/execution/_endpoint_list.py
+++ b/src/lentilrill/execution/_endpoint_list.py
@@ -25,7 +25,7 @@
         self._record = FencedRecord(kv, f"e/{pool}", Compare(owner_key, token))
 
     def load(self) -> bool:
-        """Read the former owner's list; return whether it could be read."""
+        """Read the previous owner's list; return whether it could be read."""
         read = self._record.read()
         if isinstance(read, Failure):
             log(Event.SHARD_NOT_LOADED, shard=self._pool, reason=read.failure().reason)
--- a/src/lentilrill/execution/_jobs.py
+++ b/src/lentilrill/execution/_jobs.py
@@ -110,7 +110,7 @@
                 self._on_job_changed(tracked_job)
 
     def load(self) -> bool:
-        """Read the former owners' records; return whether all could be read."""
+        """Read the previous owners' records; return whether all could be read."""
         accepted = self._kv.read(f"in/{self._pool}/")
         progress = self._kv.read(progress_key(self._pool, ""))
         for result in (accepted, progress):
--- a/src/lentilrill/execution/_link.py
+++ b/src/lentilrill/execution/_link.py
@@ -204,8 +204,8 @@
         """Interrupt the pause between two polls."""
         self._woken.set()
 
-    def assume_former_lease(self, now: float) -> None:
-        """Assume a full run lease from an earlier owner, whose actual expiry is unknown.
+    def assume_previous_lease(self, now: float) -> None:
+        """Assume a full run lease from a previous owner, whose actual expiry is unknown.
 
         Without it, a task would wait forever if its endpoint were lost between the poll that
         found its run and the first lease given by this owner.
@@ -229,7 +229,7 @@
         return self._clock.local_time_of(clock_ms / 1000, read_at)
 
     def reset(self, started_ms: int) -> None:
-        """Reset the state that belongs to the endpoint's former process."""
+        """Reset the state that belongs to the endpoint's previous process."""
         self.started_ms = started_ms
         self.released = False
         self.seen_cursor = self.stored_cursor = 0
@@ -265,7 +265,7 @@
         if not self._owner.may_order():
             self._pause(RETRY_S)
             return
-        # The first poll only sets the fencing token, reads the clock and finds former runs.
+        # The first poll only sets the fencing token, reads the clock and finds runs in progress.
         first = not self.was_polled
         # Leases of an unreachable endpoint are not renewed: its tasks are started elsewhere after
         # the last lease that it may have received, and renewals would postpone that forever.
--- a/src/lentilrill/execution/_links.py
+++ b/src/lentilrill/execution/_links.py
@@ -13,9 +13,9 @@
 
 TAKE_OVER_WAIT_S = 5.5
 """Wait after a take-over for endpoints that can't be polled, before tasks that may run there are
-started elsewhere. Covers the former owner's lease (at most 1.6 s, by its expiry or by reports that
-the store is unavailable everywhere), the run lease of its last order (3.4 s on a clock that may be
-2 % slow), and the stop at its expiry."""
+started elsewhere. Covers the previous owner's lease (at most 1.6 s, by its expiry or by reports
+that the store is unavailable everywhere), the run lease of its last order (3.4 s on a clock that
+may be 2 % slow), and the stop at its expiry."""
 MAX_ENTRY_AGE_S = 0.3
 """Maximum age of the registered entries when a start order is sent: about the delay with which
 changes of the store arrive."""
@@ -24,11 +24,11 @@
 
 
 class PoolLinks:
-    """Links to the registered endpoints of a pool and to those that a former owner used.
+    """Links to the registered endpoints of a pool and to those that a previous owner used.
 
     :param lock: the lock of the pool's owner, which guards ``by_id``.
     :param connect: creates a link without starting it.
-    :ivar unpolled: endpoints of the former owner that this owner has not polled yet.
+    :ivar unpolled: endpoints of the previous owner that this owner has not polled yet.
     :ivar read_at: monotonic time at which the entries of the links were last read.
     """
 
@@ -49,7 +49,7 @@
         self._owner_since = time.monotonic()
 
     def load(self) -> bool:
-        """Read the former owner's endpoints; return whether they could be read."""
+        """Read the previous owner's endpoints; return whether they could be read."""
         if not self._endpoint_list.load():
             return False
         self.unpolled = set(self._endpoint_list.address_by_id)
@@ -57,8 +57,8 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether tasks of the former owner's jobs may run on endpoints not polled yet."""
-        return bool(self.unpolled) and self._former_tasks_may_run()
+        """Whether tasks of the previous owner's jobs may run on endpoints not polled yet."""
+        return bool(self.unpolled) and self._previous_tasks_may_run()
 
     def refresh(self, entries: dict[EndpointId, EndpointEntry]) -> bool:
         """Open links to new endpoints and close expired links.
@@ -77,7 +77,7 @@
         gone_ids = [link.entry.id for link in gone]
         if (new or gone) and not self._endpoint_list.write(new, gone_ids):
             return False
-        for entry in [*new, *self._former_entries(entries)]:
+        for entry in [*new, *self._previous_entries(entries)]:
             if entry.id in self._endpoint_list.address_by_id:
                 self._open(entry)
         return True
@@ -95,8 +95,8 @@
         """Whether the entries of the links are no older than ``MAX_ENTRY_AGE_S``."""
         return time.monotonic() - self.read_at < MAX_ENTRY_AGE_S
 
-    def _former_entries(self, entries: dict[EndpointId, EndpointEntry]) -> list[EndpointEntry]:
-        """Return unregistered endpoints that are on the former owner's list."""
+    def _previous_entries(self, entries: dict[EndpointId, EndpointEntry]) -> list[EndpointEntry]:
+        """Return unregistered endpoints that are on the previous owner's list."""
         return [
             EndpointEntry(endpoint, self._pool, address, ZoneId(""))
             for endpoint, address in self._endpoint_list.address_by_id.items()
@@ -115,15 +115,15 @@
         Its endpoint is unregistered, and either its link was closed or it has not answered until
         all leases given to it expired; no runs are assigned to it.
         """
-        # Endpoints of a partitioned zone disappear from the store while a former owner's tasks
+        # Endpoints of a partitioned zone disappear from the store while a previous owner's tasks
         # still run on them until its last leases expire. Dropping these links early would start
         # such tasks a second time.
-        former = link.entry.id in self.unpolled and self._former_tasks_may_run()
-        if link.registered or former:
+        tasks_may_run = link.entry.id in self.unpolled and self._previous_tasks_may_run()
+        if link.registered or tasks_may_run:
             return False
         now = time.monotonic()
         silent = now - max(link.answered_at, link.opened_at) > MAX_SILENCE_S
         return not link.runs_by_key and (link.closed or (silent and now > link.lease_end))
 
-    def _former_tasks_may_run(self) -> bool:
+    def _previous_tasks_may_run(self) -> bool:
         return time.monotonic() - self._owner_since < TAKE_OVER_WAIT_S
--- a/src/lentilrill/execution/_need.py
+++ b/src/lentilrill/execution/_need.py
@@ -127,8 +127,8 @@
 
     def estimate_work(self, tracked_job: TrackedJob) -> WorkEstimate:
         """Return the work of a job."""
-        left: dict[int, float] = {}
-        whole: dict[int, float] = {}
+        remaining_ms: dict[int, float] = {}
+        total_ms: dict[int, float] = {}
         resource_seconds = [0.0, 0.0, 0.0]
         current = max(tracked_job.steps_by_occurrence, default=0)
         steps = tracked_job.steps_by_occurrence.get(current, [])
@@ -136,15 +136,17 @@
             step = steps[index] if steps else None
             remaining = step.remaining if step is not None else spec.count
             ms = self.expected_ms(tracked_job.job, spec, step)
-            whole[index] = ms + max((whole[i] for i in spec.after), default=0.0)
-            left[index] = (ms if remaining else 0) + max((left[i] for i in spec.after), default=0.0)
+            total_ms[index] = ms + max((total_ms[i] for i in spec.after), default=0.0)
+            remaining_ms[index] = (ms if remaining else 0) + max(
+                (remaining_ms[i] for i in spec.after), default=0.0
+            )
             seconds = remaining * ms / 1000
             resource_seconds[0] += seconds * spec.needs.cpu
             resource_seconds[1] += seconds * spec.needs.memory_mb
             resource_seconds[2] += seconds * spec.needs.accelerators
         return WorkEstimate(
-            max(left.values(), default=0.0),
-            max(whole.values(), default=0.0),
+            max(remaining_ms.values(), default=0.0),
+            max(total_ms.values(), default=0.0),
             (resource_seconds[0], resource_seconds[1], resource_seconds[2]),
         )
 
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -193,8 +193,8 @@
     def pressure(self) -> PoolPressure | None:
         """Return the pool's load, or ``None`` if this owner has no complete view of it.
 
-        An owner that has not loaded its predecessors' records, or has lost its lease, tracks only
-        some of the jobs, and would report a queue as empty while jobs wait in it.
+        An owner that has not loaded the previous owners' records, or has lost its lease, tracks
+        only some of the jobs, and would report a queue as empty while jobs wait in it.
         """
         with self._lock:
             if not self._jobs.loaded or not self.may_order():
@@ -294,7 +294,7 @@
         self._latency.report(ended, len(self._jobs.live_by_id), len(self._links.by_id))
 
     def _load(self) -> bool:
-        """Read the former owners' records; return whether all could be read."""
+        """Read the previous owners' records; return whether all could be read."""
         # Endpoints first: once the jobs are loaded, requests to release hosts are answered.
         return self._links.load() and self._jobs.load()
 
--- a/src/lentilrill/execution/_reconcile.py
+++ b/src/lentilrill/execution/_reconcile.py
@@ -250,7 +250,7 @@
     def _adopt(self, link: EndpointLink, running: ReportedRun) -> Run | None:
         """Track a run that this owner has not placed, if its job is tracked.
 
-        It was started by an earlier owner, or by an order that was executed after this owner had
+        It was started by a previous owner, or by an order that was executed after this owner had
         given it up.
         """
         tracked_job = self._jobs_by_id.get(running.task.job)
@@ -262,7 +262,7 @@
         run.confirmed_at = time.monotonic()
         run.progressed_at = link.reported_at
         link.runs_by_key[run.key] = run
-        link.assume_former_lease(run.confirmed_at)
+        link.assume_previous_lease(run.confirmed_at)
         task.runs.append(run)
         tracked_job.mark_running()
         log(
--- a/src/lentilrill/execution/_tracking.py
+++ b/src/lentilrill/execution/_tracking.py
@@ -305,7 +305,7 @@
         return JobProgress(self.state, 0, steps_by_key)
 
     def restore(self, progress: JobProgress, now_ms: int) -> None:
-        """Restore the state from the progress record of an earlier owner."""
+        """Restore the state from the progress record of a previous owner."""
         self.state = progress.state
         self.ended_ms = progress.ended_ms
         self.final_stored = progress.state.is_final
--- a/tests/entry/test_received_state.py
+++ b/tests/entry/test_received_state.py
@@ -145,7 +145,7 @@
             self.receive("h1", status)
         self.assertEqual(1, len(self.rises))
 
-    def test_pressure_of_a_former_owner_is_ignored(self) -> None:
+    def test_pressure_of_a_previous_owner_is_ignored(self) -> None:
         pool = PoolId("notices")
         self.receive("h1", HostNews(0.0, -1, (PoolPressure(pool, 1.0, {}, 9),)))
         self.receive("h2", HostNews(0.0, -1, (PoolPressure(pool, 60.0, {}, 4),)))
--- a/tests/execution/test_reconcile.py
+++ b/tests/execution/test_reconcile.py
@@ -159,7 +159,7 @@
             self.poll(ended=(RunEnd(cursor, run.task.id, run.number, EndKind.FAILED, ""),))
         self.assertIs(JobState.FAILED, tracked_job.state)
 
-    def test_a_lease_of_a_former_owner_expires(self) -> None:
+    def test_a_lease_of_a_previous_owner_expires(self) -> None:
         """Guards against a task that waits forever after a take-over.
 
         The endpoint was lost after the new owner had found the run and before it had given a lease
@@ -212,7 +212,7 @@
     def test_a_long_running_task_stays_while_another_one_is_away(self) -> None:
         """Guards against two of five tasks being away at once where one may be.
 
-        The first had been stopped by the former owner of the pool. Every task that is not working
+        The first had been stopped by the previous owner of the pool. Every task that is not working
         counts, whatever the cause.
         """
         tracked_job = self.add(a_step(2, lasting=True, may_be_away=1))
--- a/tests/execution/test_take_over.py
+++ b/tests/execution/test_take_over.py
@@ -48,7 +48,7 @@
 
         The partitioned zone contained the owner. The next owner waited for the zone's endpoints
         until their entries in the store expired. Then it dropped them and started their tasks
-        elsewhere, while the former owner's leases were still valid.
+        elsewhere, while the previous owner's leases were still valid.
         """
         self.accept()
         first = self.pool.take_over()
@@ -67,7 +67,7 @@
     def test_new_jobs_do_not_wait_for_unpolled_endpoints(self) -> None:
         """Guards against new jobs that wait for seconds after a zone was partitioned.
 
-        Only jobs of the former owner can run on an endpoint that has not been polled yet; a job
+        Only jobs of the previous owner can run on an endpoint that has not been polled yet; a job
         that is accepted later can't, and starts at once.
         """
         self.accept()
@@ -127,7 +127,7 @@
     def test_an_owner_reports_no_pressure_before_it_has_loaded(self) -> None:
         """Guards against a queue reported as empty while six jobs waited in it for five seconds.
 
-        A new owner that had not loaded the former owner's records reported to all hosts that no
+        A new owner that had not loaded the previous owner's records reported to all hosts that no
         job was waiting.
         """
         self.accept()
@@ -169,7 +169,7 @@
     def test_an_owner_stops_when_a_newer_owner_has_polled(self) -> None:
         """Guards against two owners of one pool that give orders at the same time.
 
-        The former owner was suspended beyond the end of its lease. When it resumes, its next poll
+        The previous owner was suspended beyond the end of its lease. When it resumes, its next poll
         is refused, since the new owner has polled with a higher token, and it stops for good.
         """
         first = self.pool.take_over()
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -138,20 +138,20 @@
         item = self.kv.items_by_key["m/o/notices"]
         self.assertEqual(item.revision, listener.tokens_by_shard[NOTICES])
 
-    def test_a_restarted_host_ends_its_former_lease(self) -> None:
+    def test_a_restarted_host_ends_its_previous_lease(self) -> None:
         """After a crash a pool waited for its owner's lease to expire, although the host was back.
 
         The new process listens on the address of the old one, which proves that the old one ended.
         """
         lease = self.kv.lease(9.0).unwrap()
-        former = MemberRecord(
+        previous = MemberRecord(
             ProcessId("h1"), Incarnation(1), ZoneId("holyoke"), "10.0.0.1:1", lease
         )
         owner = OwnerRecord(ProcessId("h1"), Incarnation(1), "10.0.0.1:1")
         self.kv.commit(
             (),
             (
-                Put("m/n/h1", msgspec.json.encode(former), lease),
+                Put("m/n/h1", msgspec.json.encode(previous), lease),
                 Put("m/o/notices", msgspec.json.encode(owner), lease),
             ),
         )
