--- a/src/lentilrill/intake/_group.py
+++ b/src/lentilrill/intake/_group.py
@@ -283,7 +283,7 @@
 def _existing_result(create: _PendingCreate, item: Item) -> CommitResult:
     """Return the result for a key that exists, from an earlier attempt or another writer.
 
-    Only the former has a revision, with which the owner is notified: an owner that has forgotten
+    Only the former has a revision, with which the owner is notified: an owner that has removed
     a job that ended long ago would run it a second time.
     """
     if item.value != create.put.value:
--- a/src/lentilrill/ownership/_ownership.py
+++ b/src/lentilrill/ownership/_ownership.py
@@ -418,7 +418,7 @@
         ]
 
     def _transfer(self, shard: Shard, token: Revision, target: MemberRecord) -> None:
-        """Make another process the owner of ``shard``; it learns so from its watch of the store.
+        """Make another process the owner of ``shard``, which its watch of the store shows it.
 
         If the target has ended, the store refuses its lease; if it ends now, the key expires with
         its lease. If the answer is lost, the key belongs either to the target or still to this
--- a/tests/execution/test_tickets.py
+++ b/tests/execution/test_tickets.py
@@ -71,7 +71,7 @@
         self.assertEqual(3, len(self.policy.requests_received))
 
     def test_a_refused_ticket_is_requested_again(self) -> None:
-        """Guards against a task that waits forever: its ticket was void after a restart."""
+        """Guards against a task that waits forever: its ticket was invalid after a restart."""
         self.cache.request([TicketRequest(STEP, endpoints(1))])
         self.assertTrue(eventually(lambda: self.has(STEP, "e0")))
         self.cache.forget(STEP, EndpointId("e0"))
--- a/tests/intake/test_slow_store.py
+++ b/tests/intake/test_slow_store.py
@@ -57,7 +57,7 @@
         self.assertLess(time.monotonic() - began, SOON_S)
 
     def test_a_caller_is_answered_within_its_timeout(self) -> None:
-        """A caller with a timeout of one second was held for two, and left without an answer."""
+        """A caller with a timeout of one second waited for two, and left without an answer."""
         self.kv.commits.extend([self.delayed] * ALL_IN_FLIGHT)
         began = time.monotonic()
         self.assertIs(JobAnswer.UNKNOWN, self.intake.submit(self.job, 0.3)[0])
@@ -99,9 +99,9 @@
     def test_refused_at_once_while_the_queue_is_stuck(self) -> None:
         """Callers waited in a write queue that could not be sent before their timeout."""
         self.kv.commits.extend([self.delayed] * ALL_IN_FLIGHT)
-        held = []
+        callers = []
         for name in "123456":
-            held.append(self.submit_in_background(a_job(name), 2.0))
+            callers.append(self.submit_in_background(a_job(name), 2.0))
             time.sleep(0.12)
         time.sleep(0.5)
         began = time.monotonic()
@@ -110,7 +110,7 @@
         self.assertGreater(retry_s, 0)
         self.assertLess(time.monotonic() - began, 0.2)
         self.answering.set()
-        for answer_of in held:
+        for answer_of in callers:
             self.assertIs(JobAnswer.ACCEPTED, answer_of())
         self.assertNotIn(f"in/notices/j/{self.job.id}", self.kv.items_by_key)
 
@@ -159,7 +159,7 @@
         self.assertLessEqual(self.kv.calls["commit"], 5)
 
     def test_each_delayed_caller_is_logged_once(self) -> None:
-        """The log didn't show the outcome for a caller that was held for seconds."""
+        """The log didn't show the outcome for a caller that had waited for seconds."""
         self.kv.commits.extend([self.delayed] * ALL_IN_FLIGHT)
         with self.assertLogs(level="INFO") as logs:
             self.intake.submit(self.job, 0.3)
--- a/tests/store/test_guard.py
+++ b/tests/store/test_guard.py
@@ -94,10 +94,10 @@
         while not self.guard.breaker.is_open:
             self.call(Effect.REPEATABLE)
         self.assertEqual(FAILURES_TO_OPEN, self.attempts)
-        held = self.call().failure()
+        rejected = self.call().failure()
         self.assertEqual(FAILURES_TO_OPEN, self.attempts)
-        self.assertThat(held.retry_after_s, GreaterThan(0.0))
-        self.now += held.retry_after_s
+        self.assertThat(rejected.retry_after_s, GreaterThan(0.0))
+        self.now += rejected.retry_after_s
         probe = self.guard.admit("platform.x", FIRST)
         self.assertIsNone(probe)
         self.assertIsNotNone(self.guard.admit("platform.x", FIRST))
