--- a/src/lentilrill/entry/_caches.py
+++ b/src/lentilrill/entry/_caches.py
@@ -21,7 +21,7 @@
 class ConfigurationCache:
     """The newest configuration received, and the upkeep waves.
 
-    A configuration with a lower version than the one in effect comes from a stale read or a late
+    A configuration with a lower version than the one in force comes from a stale read or a late
     message of a peer, and is ignored, so that the configuration never reverts.
     """
 
@@ -34,7 +34,7 @@
 
     @property
     def version(self) -> int:
-        """The version in effect; -1 if there is none yet."""
+        """The version in force; -1 if there is none yet."""
         return self.current.version if self.current is not None else -1
 
     def on_replaced(self, items: tuple[Item, ...]) -> None:
@@ -56,7 +56,7 @@
                     self.waves_by_number[wave.number] = wave
 
     def apply_if_newer(self, value: bytes) -> None:
-        """Put an encoded configuration into effect if it is newer than the current one."""
+        """Put an encoded configuration in force if it is newer than the current one."""
         configuration = decode_configuration(value)
         if configuration is None:
             return
--- a/src/lentilrill/execution/_pool.py
+++ b/src/lentilrill/execution/_pool.py
@@ -55,7 +55,7 @@
 
     :param token: revision of the owner's key, used as fencing token of all orders and writes.
     :param owner_key: key whose revision is the token.
-    :param configuration: returns the configuration in effect.
+    :param configuration: returns the configuration in force.
     :param entries: returns the registered endpoints of a pool.
     :param dial: opens connections to endpoints.
     :param may_order: whether the owner's lease is still valid.
--- a/src/lentilrill/platform/_ingress.py
+++ b/src/lentilrill/platform/_ingress.py
@@ -47,7 +47,7 @@
 class Ingress:
     """HTTP server for callers of jobs.
 
-    :param configuration: returns the configuration in effect; ``None`` if there is none yet.
+    :param configuration: returns the configuration in force; ``None`` if there is none yet.
     :param is_draining: whether this host drains, so that connections are closed after their
         answers.
     """
--- a/src/lentilrill/telemetry/_events.py
+++ b/src/lentilrill/telemetry/_events.py
@@ -146,7 +146,7 @@
     HOST_WAITS = (657, Level.INFO, "A host cannot be drained yet; the reason has changed.")
     HOST_UP = (658, Level.INFO, "A host is back from upkeep or from a move.")
     POOL_SIZED = (659, Level.INFO, "The target number of hosts of a pool changed.")
-    QUEUE_UNKNOWN = (668, Level.INFO, "A request matches no queue of the configuration in effect.")
+    QUEUE_UNKNOWN = (668, Level.INFO, "A request matches no queue of the configuration in force.")
     JOB_ODD = (669, Level.INFO, "A caller submitted a malformed job.")
     JOB_ANSWERED = (670, Level.INFO, "A submitted job was answered.")
     CANCEL_ANSWERED = (671, Level.INFO, "A request to cancel a job was answered.")
